--- a/packages/core/src/cardamomloft/core/addresses.py
+++ b/packages/core/src/cardamomloft/core/addresses.py
@@ -1,4 +1,4 @@
-"""IPv4 addresses and blocks as integers, and how they are written."""
+"""IPv4 addresses and blocks as integers, with their text forms."""
 
 import re
 import typing as t
@@ -7,7 +7,6 @@
 HOSTMASKS = tuple(LAST_ADDRESS >> length for length in range(33))
 NETMASKS = tuple(LAST_ADDRESS ^ mask for mask in HOSTMASKS)
 
-
 _OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])"
 _ADDRESS = re.compile(rf"{_OCTET}\.{_OCTET}\.{_OCTET}\.{_OCTET}\Z")
 
@@ -24,16 +23,16 @@
         return self.network | HOSTMASKS[self.length]
 
     def covers(self, other: "Block") -> bool:
-        """Tell whether every address of `other` is in this block."""
+        """Return whether every address of `other` is in this block."""
         return self.length <= other.length and other.network & self.netmask == self.network
 
     def within(self, length: int) -> "Block":
-        """Return the block of `length` around this one."""
+        """Return the enclosing block of prefix length `length`."""
         return Block(self.network & NETMASKS[length], length)
 
     @property
     def netmask(self) -> int:
-        """The mask that takes an address to its network."""
+        """The mask that reduces an address to its network."""
         return NETMASKS[self.length]
 
     def __str__(self) -> str:
@@ -41,7 +40,7 @@
 
 
 def parse_address(text: str) -> int | None:
-    """Return the IPv4 address in `text` as an integer, or None if it is not one."""
+    """Return the IPv4 address in `text` as an integer, or None if it is malformed."""
     found = _ADDRESS.match(text)
     if found is None:
         return None
@@ -55,10 +54,9 @@
 
 
 def parse_block(text: str) -> Block | None:
-    """Return the block written as ``a.b.c.d/length``, or None.
+    """Return the block written as ``a.b.c.d/length``, or None if it is malformed.
 
-    Set bits behind the prefix are refused: they are a slip of the pen, and without them no block
-    can be written in two ways.
+    Bits set behind the prefix are rejected, so that each block has exactly one text form.
     """
     head, _, tail = text.partition("/")
     address = parse_address(head)
--- a/packages/core/src/cardamomloft/core/blocks.py
+++ b/packages/core/src/cardamomloft/core/blocks.py
@@ -1,9 +1,10 @@
-"""The client-block map: which site serves an IPv4 address, for a million blocks and more.
+"""The client-block map: the site that serves each IPv4 address, for a million blocks and more.
 
-The map keeps the operators' blocks as they are, nested ones included, in flat arrays: seven or
-eight bytes a block. Each block records the length of the block around it. A look-up finds the last
-block that starts at or below the address; if that one ends too early, the answer can only be one
-of the blocks around it. Arrays are cut by the first octet, so that a change copies one part.
+The map keeps the configured blocks, nested ones included, in flat arrays of seven or eight bytes
+per block. Each block records the length of its parent, the smallest block that encloses it. A
+lookup finds the last block that starts at or below the address; if that block ends before the
+address, the result is one of its ancestors. The arrays are split by first octet, so that a change
+copies one segment.
 """
 
 import itertools
@@ -38,7 +39,7 @@
 class _Segment(t.NamedTuple):
     """The blocks of one first octet, sorted by network, then by length.
 
-    A link holds the block's length in its low bits and the length of the block around it above.
+    A link holds the block's own length in its low bits and the length of its parent above them.
     """
 
     starts: "array[int]"
@@ -53,60 +54,60 @@
         return _Segment(self.starts[:], self.links[:], array(typecode, self.sites))
 
     def position(self, block: Block) -> tuple[int, bool]:
-        """Return where `block` is or belongs, and whether it is there."""
-        at = bisect_left(self.starts, block.network)
-        while at < len(self.starts) and self.starts[at] == block.network:
-            length = self.links[at] & _LENGTH_MASK
+        """Return the row of `block`, or where to insert it, and whether it exists."""
+        index = bisect_left(self.starts, block.network)
+        while index < len(self.starts) and self.starts[index] == block.network:
+            length = self.links[index] & _LENGTH_MASK
             if length >= block.length:
-                return at, length == block.length
-            at += 1
-        return at, False
-
-    def around(self, at: int, block: Block) -> int:
-        """Return the length of the closest block around `block`, found from the row `at`."""
-        while at >= 0:
-            length = self.links[at] & _LENGTH_MASK
-            if length < block.length and not (self.starts[at] ^ block.network) >> (32 - length):
+                return index, length == block.length
+            index += 1
+        return index, False
+
+    def enclosing_length(self, index: int, block: Block) -> int:
+        """Return the length of the smallest block around `block`, searching from row `index`."""
+        while index >= 0:
+            length = self.links[index] & _LENGTH_MASK
+            if length < block.length and not (self.starts[index] ^ block.network) >> (32 - length):
                 return length
-            at = self.parent(at)
+            index = self.parent(index)
         return _NO_PARENT
 
-    def parent(self, at: int) -> int:
-        """Return the row of the block around the row `at`, or -1."""
-        length = self.links[at] >> _LENGTH_BITS
+    def parent(self, index: int) -> int:
+        """Return the row of the parent of the row `index`, or -1."""
+        length = self.links[index] >> _LENGTH_BITS
         if length == _NO_PARENT:
             return -1
-        return self.position(Block(self.starts[at] & NETMASKS[length], length))[0]
+        return self.position(Block(self.starts[index] & NETMASKS[length], length))[0]
 
-    def put(self, block: Block, site: int) -> None:
-        at, found = self.position(block)
+    def insert_block(self, block: Block, site: int) -> None:
+        index, found = self.position(block)
         if found:
-            self.sites[at] = site
+            self.sites[index] = site
             return
-        parent = self.around(at - 1, block)
-        self._adopt(at, block, old=parent, new=block.length)
-        self.starts.insert(at, block.network)
-        self.links.insert(at, parent << _LENGTH_BITS | block.length)
-        self.sites.insert(at, site)
-
-    def remove(self, block: Block) -> None:
-        at, found = self.position(block)
+        parent = self.enclosing_length(index - 1, block)
+        self._reparent(index, block, old=parent, new=block.length)
+        self.starts.insert(index, block.network)
+        self.links.insert(index, parent << _LENGTH_BITS | block.length)
+        self.sites.insert(index, site)
+
+    def remove_block(self, block: Block) -> None:
+        index, found = self.position(block)
         if not found:
             return
-        parent = self.links[at] >> _LENGTH_BITS
-        del self.starts[at], self.links[at], self.sites[at]
-        self._adopt(at, block, old=block.length, new=parent)
+        parent = self.links[index] >> _LENGTH_BITS
+        del self.starts[index], self.links[index], self.sites[index]
+        self._reparent(index, block, old=block.length, new=parent)
 
-    def _adopt(self, at: int, block: Block, *, old: int, new: int) -> None:
-        """Give the blocks inside `block` whose parent was `old` the parent `new`."""
-        for row in range(at, bisect_right(self.starts, block.last)):
+    def _reparent(self, index: int, block: Block, *, old: int, new: int) -> None:
+        """Change the parent of the blocks inside `block` from length `old` to length `new`."""
+        for row in range(index, bisect_right(self.starts, block.last)):
             link = self.links[row]
             if link >> _LENGTH_BITS == old:
                 self.links[row] = new << _LENGTH_BITS | link & _LENGTH_MASK
 
 
 def _build_segment(rows: Iterable[Row], typecode: str) -> _Segment:
-    """Build a segment of sorted rows; the stack holds the ends of the blocks around a row."""
+    """Build a segment of sorted rows; the stack holds the ends of the enclosing blocks."""
     starts, links, sites = array("I"), array("H"), array(typecode)
     stack = [(LAST_ADDRESS, _NO_PARENT)]
     for network, length, site in rows:
@@ -116,7 +117,7 @@
         links.append(stack[-1][1] << _LENGTH_BITS | length)
         sites.append(site)
         stack.append((network | HOSTMASKS[length], length))
-    # A slice has no room to grow, and so a large map takes no more than it needs.
+    # Copying by slice drops the spare capacity of the arrays.
     return _Segment(starts[:], links[:], sites[:])
 
 
@@ -126,34 +127,34 @@
 class BlockMap:
     """An immutable map from IPv4 addresses to site names; the longest block wins.
 
-    Build one by :meth:`from_blocks` or :meth:`from_chunks`; :meth:`replace` and
-    :meth:`with_chunks` return a new map that shares all that did not change.
+    Build one with :meth:`from_blocks` or :meth:`from_chunks`; :meth:`replace` and
+    :meth:`with_chunks` return a new map that shares the unchanged segments.
     """
 
     def __init__(self, default: str) -> None:
         self._default = default
         self._names: tuple[str, ...] = ()
         self._segments: list[_Segment] = [_EMPTY] * _SEGMENTS
-        # Blocks too short for one segment, 255 at most.
-        self._wide: dict[Block, int] = {}
+        # Blocks with a prefix too short for one segment, 255 at most.
+        self._short_blocks: dict[Block, int] = {}
         self._chunks: dict[str, Range] = {}
 
     @classmethod
     def from_blocks(cls, blocks: Mapping[str, str], default: str) -> "BlockMap":
-        """Build a map of checked blocks.
+        """Build a map of valid blocks.
 
         Raises
         ------
         ValueError
-            If a block is malformed; :func:`block_mistakes` tells before.
+            If a block is malformed; :func:`block_mistakes` finds these.
         """
         names = tuple(sorted(set(blocks.values())))
-        sites = {name: at for at, name in enumerate(names)}
+        sites = {name: index for index, name in enumerate(names)}
         rows = [(*_checked_block(text), sites[name]) for text, name in blocks.items()]
-        made = cls(default)
-        made._names = names
-        made._load(rows)
-        return made
+        new_map = cls(default)
+        new_map._names = names
+        new_map._load(rows)
+        return new_map
 
     @classmethod
     def from_chunks(cls, default: str, chunks: Sequence[bytes]) -> Result["BlockMap", Mistake]:
@@ -163,60 +164,60 @@
 
     @property
     def default(self) -> str:
-        """The site of addresses in no block."""
+        """The site of addresses that no block covers."""
         return self._default
 
     @property
     def sites(self) -> tuple[str, ...]:
-        """The names of the sites that blocks lead to."""
+        """The names of the sites of all blocks."""
         return self._names
 
     def __len__(self) -> int:
-        return len(self._wide) + sum(len(segment.starts) for segment in self._segments)
+        return len(self._short_blocks) + sum(len(segment.starts) for segment in self._segments)
 
     @property
     def nbytes(self) -> int:
-        """The bytes that the arrays take."""
+        """Size of the arrays in bytes."""
         return sum(
             len(column) * column.itemsize for segment in self._segments for column in segment
         )
 
     def site_of(self, address: int) -> str:
-        """Return the site of the longest block that holds `address`, or the default."""
+        """Return the site of the longest block that covers `address`, or the default."""
         segment = self._segments[address >> 24]
         starts, links = segment.starts, segment.links
-        at = bisect_right(starts, address) - 1
-        while at >= 0:
-            link = links[at]
-            if not (address ^ starts[at]) >> (32 - (link & _LENGTH_MASK)):
-                return self._names[segment.sites[at]]
+        index = bisect_right(starts, address) - 1
+        while index >= 0:
+            link = links[index]
+            if not (address ^ starts[index]) >> (32 - (link & _LENGTH_MASK)):
+                return self._names[segment.sites[index]]
             if link >> _LENGTH_BITS == _NO_PARENT:
                 break
-            at = segment.parent(at)
-        return self._wide_site(address) if self._wide else self._default
+            index = segment.parent(index)
+        return self._short_block_site(address) if self._short_blocks else self._default
 
     def blocks(self) -> Iterator[tuple[str, str]]:
-        """Yield each block and its site's name, in the order of addresses."""
+        """Yield each block and the name of its site, in address order."""
         for network, length, site in self._rows():
             yield str(Block(network, length)), self._names[site]
 
     def replace(self, changes: Mapping[str, str | None]) -> "BlockMap":
-        """Return a map in which each block of `changes` has its new site, or is gone for None.
+        """Return a map with the new site of each block in `changes`; None removes the block.
 
         Raises
         ------
         ValueError
             If a block is malformed.
         """
-        made = self._sharing()
-        made._chunks = {}
-        sites = made._add_names(name for name in changes.values() if name is not None)
+        new_map = self._shallow_copy()
+        new_map._chunks = {}
+        sites = new_map._add_names(name for name in changes.values() if name is not None)
         copied: set[int] = set()
         for text, name in changes.items():
             block = _checked_block(text)
             site = None if name is None else sites[name]
-            made._change(block, site, copied)
-        return made
+            new_map._apply_change(block, site, copied)
+        return new_map
 
     def missing(self, digests: Iterable[str]) -> tuple[str, ...]:
         """Return those of the chunks that this map was not loaded from."""
@@ -225,68 +226,71 @@
     def with_chunks(
         self, digests: Sequence[str], chunks: Mapping[str, bytes], *, default: str | None = None
     ) -> Result["BlockMap", Mistake]:
-        """Return the map that `digests` name; `chunks` holds at least the missing ones.
+        """Return the map made of `digests`; `chunks` holds at least the missing ones.
 
-        Only the parts whose chunks changed are loaded anew.
+        Only the segments whose chunks changed are rebuilt.
         """
         payloads: dict[str, Payload] = {}
-        for at, digest in enumerate(digests):
+        for index, digest in enumerate(digests):
             if digest in self._chunks:
                 continue
             payload = unpack_chunk(digest, chunks.get(digest))
             if isinstance(payload, str):
-                return Error(Mistake(dotted("clients", "chunks", at), payload))
+                return Error(Mistake(dotted("clients", "chunks", index), payload))
             payloads[digest] = payload
-        made = self._sharing()
-        made._default = self._default if default is None else default
+        new_map = self._shallow_copy()
+        new_map._default = self._default if default is None else default
         kept = {digest: self._chunks[digest] for digest in digests if digest in self._chunks}
         loaded = {digest: Range(item.first, item.last) for digest, item in payloads.items()}
-        made._chunks = kept | loaded
-        if overlapping(made._chunks.values()):
+        new_map._chunks = kept | loaded
+        if overlapping(new_map._chunks.values()):
             return Error(Mistake(dotted("clients", "chunks"), "chunks overlap"))
-        made._clear([span for digest, span in self._chunks.items() if digest not in kept])
+        new_map._clear(
+            [chunk_range for digest, chunk_range in self._chunks.items() if digest not in kept]
+        )
         for payload in payloads.values():
-            known = made._add_names(payload.names)
-            made._load(list(payload.rows([known[name] for name in payload.names])))
-        return Ok(made)
+            known = new_map._add_names(payload.names)
+            new_map._load(list(payload.rows([known[name] for name in payload.names])))
+        return Ok(new_map)
 
     def pack(self) -> tuple[Chunk, ...]:
         """Return the map as chunks.
 
-        The address space is halved until a part has at most
-        :data:`~cardamomloft.core.chunks.CHUNK_BLOCKS` blocks, so the cuts depend on the blocks
-        alone and a changed block changes the chunk it is in.
+        The address space is halved until each part has at most
+        :data:`~cardamomloft.core.chunks.CHUNK_BLOCKS` blocks. The cuts depend on the blocks alone,
+        so that a changed block usually changes only the chunk that contains it.
         """
         rows = list(self._rows())
         starts = array("I", (row[0] for row in rows))
         return tuple(
-            pack_chunk(span, rows[low:high], self._names) for span, low, high in cut_chunks(starts)
+            pack_chunk(chunk_range, rows[low:high], self._names)
+            for chunk_range, low, high in cut_chunks(starts)
         )
 
     def _rows(self) -> Iterator[Row]:
-        wide = sorted((*block, site) for block, site in self._wide.items())
+        short_blocks = sorted((*block, site) for block, site in self._short_blocks.items())
         for octet, segment in enumerate(self._segments):
-            # A short block starts where its segment does and sorts before the longer ones.
-            yield from (row for row in wide if row[0] >> 24 == octet)
+            # A short block starts at the first address of a segment and sorts before its blocks.
+            yield from (row for row in short_blocks if row[0] >> 24 == octet)
             yield from segment.rows()
 
-    def _wide_site(self, address: int) -> str:
+    def _short_block_site(self, address: int) -> str:
         for length in range(_SEGMENT_LENGTH - 1, -1, -1):
-            site = self._wide.get(Block(address & NETMASKS[length], length))
+            site = self._short_blocks.get(Block(address & NETMASKS[length], length))
             if site is not None:
                 return self._names[site]
         return self._default
 
-    def _sharing(self) -> "BlockMap":
-        made = BlockMap(self._default)
-        made._names = self._names
-        made._segments = list(self._segments)
-        made._wide = dict(self._wide)
-        made._chunks = dict(self._chunks)
-        return made
+    def _shallow_copy(self) -> "BlockMap":
+        new_map = BlockMap(self._default)
+        new_map._names = self._names
+        new_map._segments = list(self._segments)
+        new_map._short_blocks = dict(self._short_blocks)
+        new_map._chunks = dict(self._chunks)
+        return new_map
 
     def _add_names(self, names: Iterable[str]) -> dict[str, int]:
-        sites = {name: at for at, name in enumerate(self._names)}
+        sites = {name: index for index, name in enumerate(self._names)}
         for name in names:
             sites.setdefault(name, len(sites))
         self._names = tuple(sites)
@@ -295,39 +299,39 @@
     def _typecode(self) -> str:
         return "B" if len(self._names) <= 256 else "H"
 
-    def _change(self, block: Block, site: int | None, copied: set[int]) -> None:
+    def _apply_change(self, block: Block, site: int | None, copied: set[int]) -> None:
         if block.length < _SEGMENT_LENGTH:
-            self._wide.pop(block, None)
+            self._short_blocks.pop(block, None)
             if site is not None:
-                self._wide[block] = site
+                self._short_blocks[block] = site
             return
         octet = block.network >> 24
         if octet not in copied:
             copied.add(octet)
             self._segments[octet] = self._segments[octet].copy(self._typecode())
         if site is None:
-            self._segments[octet].remove(block)
+            self._segments[octet].remove_block(block)
         else:
-            self._segments[octet].put(block, site)
+            self._segments[octet].insert_block(block, site)
 
-    def _clear(self, spans: Iterable[Range]) -> None:
-        """Drop every block that starts in `spans`."""
-        for first, last in spans:
-            for block in [block for block in self._wide if first <= block.network <= last]:
-                del self._wide[block]
+    def _clear(self, ranges: Iterable[Range]) -> None:
+        """Remove every block that starts in `ranges`."""
+        for first, last in ranges:
+            for block in [block for block in self._short_blocks if first <= block.network <= last]:
+                del self._short_blocks[block]
             for octet in range(first >> 24, (last >> 24) + 1):
                 rows = self._segments[octet].rows()
                 outside = (row for row in rows if not first <= row[0] <= last)
                 self._segments[octet] = _build_segment(outside, self._typecode())
 
     def _load(self, rows: list[Row]) -> None:
-        """Add blocks that the map does not have yet."""
+        """Add blocks that the map does not contain yet."""
         rows.sort()
         for octet, group in itertools.groupby(rows, key=lambda row: row[0] >> 24):
             narrow = []
             for row in group:
                 if row[1] < _SEGMENT_LENGTH:
-                    self._wide[Block(*row[:2])] = row[2]
+                    self._short_blocks[Block(*row[:2])] = row[2]
                 else:
                     narrow.append(row)
             if self._segments[octet].starts:
@@ -338,8 +342,7 @@
 def block_mistakes(path: Sequence[object], blocks: Mapping[str, str]) -> Iterator[Mistake]:
     """Yield a mistake for each malformed block of the table at `path`.
 
-    Blocks may nest, and the longest wins; as there is one way to write a block, no two can
-    overlap otherwise.
+    Blocks may nest. They cannot overlap otherwise, since each block is written in only one way.
     """
     for text in blocks:
         if parse_block(text) is None:
--- a/packages/core/src/cardamomloft/core/places.py
+++ b/packages/core/src/cardamomloft/core/places.py
@@ -1,7 +1,7 @@
-"""The zones of one service: which are open, dead or about to close, and which endpoints are fit.
+"""The zones of one service: which are open, dead or about to drain, and their eligible endpoints.
 
-A zone is dead only by facts: this entry's own last requests to each of its endpoints failed. A
-report alone never closes one, and the ejection of single endpoints is bounded.
+A zone is dead only if this entry's own last requests to each of its endpoints failed. Load reports
+alone never close a zone, and the fraction of endpoints ejected at one time is bounded.
 """
 
 import random
@@ -16,25 +16,25 @@
     Candidate,
     EndpointState,
     may_eject,
+    median_latency,
     rank,
-    usual_latency,
 )
 from cardamomloft.core.model import Endpoint, Priority, Request
-from cardamomloft.core.shifting import Closing, Landscape, Schedule
+from cardamomloft.core.shifting import Schedule, ServiceSnapshot, UpcomingDrain
 
-DEFAULT_CAP = 50.0
-"""Percentage points per second by which a service's traffic may move if it states no cap."""
+DEFAULT_SHIFT_CAP_PERCENT_PER_S = 50.0
+"""Shift cap of a service that configures none, in percentage points of its traffic per second."""
 
-_SURVEY = timedelta(milliseconds=100)
-_SAMPLE = 8
-_TRIAL_EVERY = 8
-_ASK = timedelta(milliseconds=100)
-_PROBE = timedelta(seconds=1)
-_MAX_PROBE = timedelta(seconds=10)
+_SNAPSHOT_INTERVAL = timedelta(milliseconds=100)
+_RANKING_BATCH = 8
+_TRIAL_INTERVAL_REQUESTS = 8
+_SHARE_REQUEST_INTERVAL = timedelta(milliseconds=100)
+_INITIAL_PROBE_INTERVAL = timedelta(seconds=1)
+_MAX_PROBE_INTERVAL = timedelta(seconds=10)
 _ZERO = timedelta(0)
 
 
-class Zone:
+class ZoneEndpoints:
     """The endpoints of one service in one zone.
 
     Parameters
@@ -42,236 +42,257 @@
     states
         All its endpoints.
     offset
-        Where the rotation begins.
+        Start of the endpoint rotation.
     """
 
     def __init__(self, states: list[EndpointState], offset: int) -> None:
         self.states = states
-        self.fit = states
-        self.reference: timedelta | None = None
-        self._turns = offset
-        self._probe_at: timedelta | None = None
-        self._probe_pause = _PROBE
-        self._ask_at = _ZERO
+        self.eligible = states
+        self.reference_latency: timedelta | None = None
+        self._rotation = offset
+        self._next_probe_at: timedelta | None = None
+        self._probe_interval = _INITIAL_PROBE_INTERVAL
+        self._next_share_request_at = _ZERO
 
     @property
     def slots(self) -> int:
-        """The declared slots of all endpoints."""
+        """Declared slots of all endpoints."""
         return sum(state.endpoint.slots for state in self.states)
 
     @property
     def running(self) -> int:
-        """Requests of this entry in flight there."""
+        """Requests that this entry has in flight in the zone."""
         return sum(state.running for state in self.states)
 
     def ranked(
         self, req: Request, exclude: frozenset[str], free: Callable[[str], int], now: timedelta
     ) -> list[Candidate]:
-        """Rank the endpoints for a request; of many, only as many as it takes to find room."""
+        """Rank the endpoints for a request, in batches until one has a free slot."""
         states = self._rotated()
         if exclude:
             states = [state for state in states if state.endpoint.name not in exclude]
         ranked: list[Candidate] = []
-        for start in range(0, len(states), _SAMPLE):
-            found = rank(states[start : start + _SAMPLE], free, self.reference, now)
+        for start in range(0, len(states), _RANKING_BATCH):
+            found = rank(states[start : start + _RANKING_BATCH], free, self.reference_latency, now)
             if not req.idempotent:
-                found = [candidate for candidate in found if candidate.state.suits(req, now)]
+                found = [candidate for candidate in found if candidate.state.accepts(req, now)]
             ranked = found + ranked if found and not found[0].full else ranked + found
             if ranked and not ranked[0].full:
                 break
-        if self._turns % _TRIAL_EVERY == 0:
+        if self._rotation % _TRIAL_INTERVAL_REQUESTS == 0:
             _put_trial_first(ranked, req)
         return ranked
 
     def probe(
         self, req: Request, exclude: frozenset[str], free: Callable[[str], int], now: timedelta
     ) -> EndpointState | None:
-        """Return the endpoint that this request is to try, if a probe of the dead zone is due.
+        """Return the endpoint that this request should probe, if a probe of the dead zone is due.
 
-        Idempotent requests are used; others only if none of them came for a while.
+        Probes use idempotent requests; others serve only after a grace period without one.
         """
         grace = _ZERO if req.idempotent else PROBE_GRACE
-        if self._probe_at is None or now < self._probe_at + grace or not self.fit:
+        if self._next_probe_at is None or now < self._next_probe_at + grace or not self.eligible:
             return None
         state = self._rotated()[0]
         if state.running or state.endpoint.name in exclude or free(state.key) < 1:
             return None
-        self._probe_at = now + self._probe_pause
-        self._probe_pause = min(_MAX_PROBE, self._probe_pause * 2)
+        self._next_probe_at = now + self._probe_interval
+        self._probe_interval = min(_MAX_PROBE_INTERVAL, self._probe_interval * 2)
         return state
 
-    def may_ask(self, now: timedelta) -> bool:
-        """Tell whether a request should wait here although no slot is free.
+    def may_wait_for_share(self, now: timedelta) -> bool:
+        """Return whether a request should wait here although no slot is free.
 
-        An entry may hold no share of a zone, and borrows one only for requests that wait for it.
+        An entry without a share of the zone borrows one only for requests that wait, so one request
+        per interval is let through.
         """
-        if now < self._ask_at:
+        if now < self._next_share_request_at:
             return False
-        self._ask_at = now + _ASK
+        self._next_share_request_at = now + _SHARE_REQUEST_INTERVAL
         return True
 
-    def note_dead(self, dead: bool, now: timedelta) -> None:
-        """Begin or end probing."""
+    def set_dead(self, dead: bool, now: timedelta) -> None:
+        """Start or stop probing."""
         if not dead:
-            self._probe_at, self._probe_pause = None, _PROBE
-        elif self._probe_at is None:
-            self._probe_at = now + _PROBE
+            self._next_probe_at, self._probe_interval = None, _INITIAL_PROBE_INTERVAL
+        elif self._next_probe_at is None:
+            self._next_probe_at = now + _INITIAL_PROBE_INTERVAL
 
     def _rotated(self) -> list[EndpointState]:
-        """Return the fit endpoints, beginning one further at each call."""
-        self._turns += 1
-        at = self._turns % len(self.fit) if self.fit else 0
-        return self.fit[at:] + self.fit[:at]
+        """Return the eligible endpoints, starting one further at each call."""
+        self._rotation += 1
+        first = self._rotation % len(self.eligible) if self.eligible else 0
+        return self.eligible[first:] + self.eligible[:first]
 
 
-class ServicePlaces:
-    """One service's zones, and what was last found out about them.
+class ServiceState:
+    """The zones of one service and the last snapshot of their availability.
 
     Parameters
     ----------
     name
         The service.
     row
-        Its part of the document.
+        Its row in the document.
     zones
         Its zones by name.
-    blank
-        A landscape with the fixed properties filled in.
-    base
-        Returns how many of an endpoint's slots are this entry's by its base share.
+    template
+        A snapshot with the fixed fields filled in.
+    base_share
+        Returns how many of an endpoint's slots belong to this entry's base share.
     """
 
     def __init__(
         self,
         name: str,
         row: ServiceRow,
-        zones: Mapping[str, Zone],
-        blank: Landscape,
-        base: Callable[[str], int],
+        zones: Mapping[str, ZoneEndpoints],
+        template: ServiceSnapshot,
+        base_share: Callable[[str], int],
     ) -> None:
         self.name = name
-        self.cap = row.get("shift_cap_percent_per_s", DEFAULT_CAP) / 100
+        self.cap = row.get("shift_cap_percent_per_s", DEFAULT_SHIFT_CAP_PERCENT_PER_S) / 100
         self.may_spill = row.get("spill_percent", 100) > 0
         self.zones = zones
-        self._land = blank
-        self._base = base
-        self._surveyed: timedelta | None = None
+        self._snapshot = template
+        self._base_share = base_share
+        self._snapshot_at: timedelta | None = None
 
     def states(self) -> Iterator[EndpointState]:
         """Iterate over all endpoints."""
         for zone in self.zones.values():
             yield from zone.states
 
-    def look_again(self) -> None:
-        """Make the next survey take everything anew."""
-        self._surveyed = None
+    def invalidate(self) -> None:
+        """Make :meth:`current_snapshot` evaluate all zones at its next call."""
+        self._snapshot_at = None
 
-    def survey(self, clock: Clock, schedule: Schedule, leaving: frozenset[str]) -> Landscape:
-        """Return which zones are open; the same object until something may have changed."""
+    def current_snapshot(
+        self, clock: Clock, schedule: Schedule, leaving: frozenset[str]
+    ) -> ServiceSnapshot:
+        """Return the availability of the zones, cached for a short interval."""
         now = clock.monotonic()
-        if self._surveyed is not None and now - self._surveyed < _SURVEY:
-            return self._land
-        slots, held, shut, dead, closing = {}, {}, set(), set(), []
+        if self._snapshot_at is not None and now - self._snapshot_at < _SNAPSHOT_INTERVAL:
+            return self._snapshot
+        slots, base_slots, drained, dead, upcoming_drains = {}, {}, set(), set(), []
         for name, zone in self.zones.items():
-            opened = [s for s in zone.states if not _closed(s, schedule, leaving)]
-            slots[name] = sum(state.endpoint.slots for state in opened)
-            held[name] = sum(self._base(state.endpoint.name) for state in opened)
-            staying = [state for state in opened if not state.confirmed_leaving(now)]
-            zone.fit = staying or opened
-            zone.reference = usual_latency(zone.states)
-            is_dead = bool(opened) and all(state.failing for state in staying)
-            zone.note_dead(is_dead and bool(staying), now)
-            if not opened:
-                shut.add(name)
+            open_endpoints = [s for s in zone.states if not _is_closed(s, schedule, leaving)]
+            slots[name] = sum(state.endpoint.slots for state in open_endpoints)
+            base_slots[name] = sum(
+                self._base_share(state.endpoint.name) for state in open_endpoints
+            )
+            staying = [state for state in open_endpoints if not state.drain_confirmed(now)]
+            zone.eligible = staying or open_endpoints
+            zone.reference_latency = median_latency(zone.states)
+            is_dead = bool(open_endpoints) and all(state.failing for state in staying)
+            zone.set_dead(is_dead and bool(staying), now)
+            if not open_endpoints:
+                drained.add(name)
             elif is_dead:
                 dead.add(name)
-            at = _closes_at(opened, schedule)
-            if at is not None:
-                closing.append(Closing(name, at - clock.utcnow()))
-        self._surveyed = now
-        self._land = self._land._replace(
+            start = _zone_drain_start(open_endpoints, schedule)
+            if start is not None:
+                upcoming_drains.append(UpcomingDrain(name, start - clock.utcnow()))
+        self._snapshot_at = now
+        self._snapshot = self._snapshot._replace(
             slots=slots,
-            held=held,
-            shut=frozenset(shut),
+            base_slots=base_slots,
+            drained=frozenset(drained),
             dead=frozenset(dead),
-            closing=tuple(closing),
+            upcoming_drains=tuple(upcoming_drains),
         )
-        return self._land
+        return self._snapshot
 
-    def before(self, land: Landscape, schedule: Schedule, instant: datetime) -> Landscape:
-        """Return the landscape without the drains that began at or after `instant`."""
-        opened = {
+    def without_recent_drains(
+        self, snapshot: ServiceSnapshot, schedule: Schedule, instant: datetime
+    ) -> ServiceSnapshot:
+        """Return the snapshot without the drains that began at or after `instant`."""
+        reopened = {
             name
-            for name in land.shut
-            if (at := _closes_at(self.zones[name].states, schedule)) is not None and at >= instant
+            for name in snapshot.drained
+            if (start := _zone_drain_start(self.zones[name].states, schedule)) is not None
+            and start >= instant
         }
-        slots = {**land.slots, **{name: self.zones[name].slots for name in opened}}
-        return land._replace(shut=land.shut - opened, slots=slots)
+        slots = {**snapshot.slots, **{name: self.zones[name].slots for name in reopened}}
+        return snapshot._replace(drained=snapshot.drained - reopened, slots=slots)
 
     def may_eject(self, state: EndpointState, now: timedelta) -> bool:
-        """Tell whether the zone can spare an endpoint; facts displace what a report ejected."""
-        peers = self.zones[state.endpoint.zone].fit
+        """Return whether `state` may be ejected within the zone's bound.
+
+        If `state` is failing, a healthy peer whose reported drain is honored is readmitted instead.
+        """
+        peers = self.zones[state.endpoint.zone].eligible
         if may_eject(state, peers, now):
             return True
         for peer in peers if state.failing else ():
-            if peer is not state and peer.heeds_drain(now) and not peer.failing:
-                peer.heed_drain(None)
+            if peer is not state and peer.honors_drain(now) and not peer.failing:
+                peer.honor_drain_until(None)
                 return may_eject(state, peers, now)
         return False
 
-    def reference(self, state: EndpointState) -> timedelta | None:
-        """Return the usual latency of warm peers: in its zone, else in its region."""
+    def reference_latency(self, state: EndpointState) -> timedelta | None:
+        """Return the median latency of warm peers in the zone, else in the region."""
         zone = self.zones[state.endpoint.zone]
-        usual = usual_latency(peer for peer in zone.states if peer is not state)
-        if usual is not None:
-            return usual
+        median = median_latency(peer for peer in zone.states if peer is not state)
+        if median is not None:
+            return median
         region = state.endpoint.region
-        return usual_latency(peer for peer in self.states() if peer.endpoint.region == region)
+        return median_latency(peer for peer in self.states() if peer.endpoint.region == region)
 
 
 class EndpointIndex:
-    """The state of each endpoint; it outlives changes of the document.
+    """The states of all endpoints, kept across changes of the document.
 
     Parameters
     ----------
     zone, region
-        Where this entry stands.
+        Location of this entry.
     rng
-        Draws once per zone where to begin, so that entries do not all prefer the same endpoint.
-    base
-        Returns how many of an endpoint's slots are this entry's by its base share.
+        Draws the start of the endpoint rotation in each zone, so that entries differ in it.
+    base_share
+        Returns how many of an endpoint's slots belong to this entry's base share.
     """
 
     def __init__(
-        self, zone: str, region: str, rng: random.Random, base: Callable[[str], int]
+        self, zone: str, region: str, rng: random.Random, base_share: Callable[[str], int]
     ) -> None:
         self._zone = zone
         self._region = region
         self._rng = rng
-        self._base = base
+        self._base_share = base_share
         self.states: dict[str, EndpointState] = {}
 
-    def configure(self, document: Document) -> dict[str, ServicePlaces]:
-        """Take over a document; an endpoint that joins a running entry starts cold."""
+    def configure(self, document: Document) -> dict[str, ServiceState]:
+        """Apply a document; an endpoint added to a running entry starts cold."""
         cold = bool(self.states)
         region_of = regions_of_zones(document)
         states: dict[str, EndpointState] = {}
-        services: dict[str, ServicePlaces] = {}
+        services: dict[str, ServiceState] = {}
         for service, row in document["services"].items():
             zones: dict[str, list[EndpointState]] = {}
             for name, upstream in row["upstreams"].items():
                 endpoint = _endpoint(name, service, upstream, region_of)
                 state = states[name] = self._state(endpoint, cold)
                 zones.setdefault(endpoint.zone, []).append(state)
-            blank = Landscape(
-                self._region, self._zone, document["regions"], region_of, {}, _NONE, _NONE, ()
+            template = ServiceSnapshot(
+                self._region,
+                self._zone,
+                document["regions"],
+                region_of,
+                {},
+                _NO_ZONES,
+                _NO_ZONES,
+                (),
             )
-            services[service] = ServicePlaces(
+            services[service] = ServiceState(
                 service,
                 row,
-                {z: Zone(found, self._rng.randrange(len(found))) for z, found in zones.items()},
-                blank,
-                self._base,
+                {
+                    z: ZoneEndpoints(found, self._rng.randrange(len(found)))
+                    for z, found in zones.items()
+                },
+                template,
+                self._base_share,
             )
         self.states = states
         return services
@@ -284,7 +305,7 @@
         return state
 
 
-_NONE: frozenset[str] = frozenset()
+_NO_ZONES: frozenset[str] = frozenset()
 
 
 def _endpoint(name: str, service: str, row: UpstreamRow, region_of: Mapping[str, str]) -> Endpoint:
@@ -299,23 +320,23 @@
     )
 
 
-def _closed(state: EndpointState, schedule: Schedule, leaving: frozenset[str]) -> bool:
+def _is_closed(state: EndpointState, schedule: Schedule, leaving: frozenset[str]) -> bool:
     return state.endpoint.name in leaving or schedule.is_closed(state.endpoint.name)
 
 
-def _closes_at(states: t.Iterable[EndpointState], schedule: Schedule) -> datetime | None:
-    """Return when the last of the endpoints closes, if a drain covers each of them."""
-    instants = [schedule.closes_at(state.endpoint.name) for state in states]
+def _zone_drain_start(states: t.Iterable[EndpointState], schedule: Schedule) -> datetime | None:
+    """Return when the last of the endpoints is drained, if a drain covers each of them."""
+    instants = [schedule.drain_start(state.endpoint.name) for state in states]
     known = [instant for instant in instants if instant is not None]
     return max(known) if known and len(known) == len(instants) else None
 
 
 def _put_trial_first(ranked: list[Candidate], req: Request) -> None:
-    """Let a request of lower priority find out whether an endpoint is fast and sound by now."""
+    """Move an idle degraded endpoint to the front, unless the request is critical."""
     if req.priority is Priority.CRITICAL:
         return
-    for at, candidate in enumerate(ranked):
+    for index, candidate in enumerate(ranked):
         state = candidate.state
-        if candidate.poor and not candidate.full and not state.running:
-            ranked.insert(0, ranked.pop(at))
+        if candidate.degraded and not candidate.full and not state.running:
+            ranked.insert(0, ranked.pop(index))
             return
--- a/packages/core/src/cardamomloft/core/requests.py
+++ b/packages/core/src/cardamomloft/core/requests.py
@@ -1,4 +1,4 @@
-"""From a request's head to what the decisions need to know about it."""
+"""Classification of a request from its head: service, priority, deadline and limits."""
 
 import re
 import typing as t
@@ -12,7 +12,7 @@
 from expression import Error, Ok, Result
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
-"""Methods that a service may be asked to run twice, unless it lists its own."""
+"""Methods that may run twice, unless the service lists its own."""
 
 DEFAULT_MAX_BODY_BYTES = 1 << 30
 
@@ -20,7 +20,7 @@
 PRIORITY_HEADER = "x-priority"
 OPERATION_HEADER = "idempotency-key"
 
-# ASCII digits alone, and few enough that reading them costs nothing.
+# ASCII digits only, with a bound on the cost of parsing.
 _WHOLE_NUMBER = re.compile(r"[0-9]{1,18}\Z")
 _DOT_SEGMENT = re.compile(r"/(\.|%2[eE]){1,2}(/|\Z)")
 
@@ -35,14 +35,14 @@
 
 
 class Classifier:
-    """Tells requests apart by the services of one document.
+    """Classifies requests by the services of one document.
 
     Parameters
     ----------
     document
-        A checked document.
+        A valid document.
     blocks
-        The client-block map; by default the one that stands in the document.
+        The client-block map; by default the one in the document.
     """
 
     def __init__(self, document: Document, blocks: BlockMap | None = None) -> None:
@@ -74,7 +74,12 @@
         headers
             The request's headers with lower-case names.
         client
-            The caller's IPv4 address; if it is not known, the site is the entry's `zone`.
+            The caller's IPv4 address; if it is unknown, the site is the entry's `zone`.
+
+        Errors
+        ------
+        Refusal
+            BAD_REQUEST, NO_SERVICE, DEADLINE or TOO_LARGE.
         """
         service = self._service_of(path)
         if isinstance(service, Refusal):
@@ -105,7 +110,7 @@
         )
 
     def use_blocks(self, blocks: BlockMap) -> None:
-        """Look clients up in another map from now on, because more of it has come."""
+        """Replace the client-block map, for example when more of it has been loaded."""
         self._blocks = blocks
 
     def site_of(self, client: int) -> str:
@@ -114,9 +119,11 @@
 
     def _service_of(self, path: str) -> _Service | Refusal:
         bare = bare_path(path)
-        # The next hop may resolve dot segments, and rules on paths would then be got around.
+        # The upstream may resolve dot segments, which would bypass rules on paths.
         if not bare.startswith("/") or _DOT_SEGMENT.search(bare):
-            return Refusal(RefusalReason.BAD_REQUEST, "the path is not absolute and resolved")
+            return Refusal(
+                RefusalReason.BAD_REQUEST, "the path must be absolute and without dot segments"
+            )
         for prefix in reversed(path_prefixes(bare, self._depth)):
             service = self._services.get(prefix)
             if service is not None:
@@ -125,18 +132,18 @@
 
 
 def body_limit(row: ServiceRow) -> int:
-    """Return the most bytes that a request's body may have."""
+    """Return the maximum size of a request body in bytes."""
     return row.get("max_body_bytes", DEFAULT_MAX_BODY_BYTES)
 
 
 def idempotent_methods(row: ServiceRow) -> frozenset[str]:
-    """Return the methods that the service runs as idempotent."""
+    """Return the methods that the service treats as idempotent."""
     listed = row.get("idempotent_methods")
     return IDEMPOTENT_METHODS if listed is None else frozenset(listed)
 
 
 def service_priority(row: ServiceRow) -> Priority:
-    """Return the priority of the service's requests unless a rule or the caller sets another."""
+    """Return the default priority of the service's requests."""
     return Priority[row.get("priority", "normal").upper()]
 
 
@@ -155,34 +162,36 @@
     if text is None:
         return service.deadline
     if not _WHOLE_NUMBER.match(text):
-        return Refusal(RefusalReason.BAD_REQUEST, f"{DEADLINE_HEADER} is not a whole number")
+        return Refusal(RefusalReason.BAD_REQUEST, f"{DEADLINE_HEADER} must be a whole number of ms")
     left_ms = min(int(text), service.max_deadline // timedelta(milliseconds=1))
     if left_ms == 0:
-        return Refusal(RefusalReason.DEADLINE, f"{DEADLINE_HEADER} leaves no time")
+        return Refusal(RefusalReason.DEADLINE, f"{DEADLINE_HEADER} must be at least 1 ms")
     return timedelta(milliseconds=left_ms)
 
 
 def _priority(text: str | None, service: _Service) -> Priority | Refusal:
-    """Return the caller's priority, but none above the service's.
+    """Return the caller's priority, limited to the service's.
 
-    Priorities decide who is served when capacity is short. If callers could raise their own,
-    every impatient one would, and the order that the operators chose would be lost.
+    A caller can lower its priority but not raise it, so that the configured order holds when
+    capacity is short.
     """
     if text is None:
         return service.priority
     try:
-        asked = Priority[text.upper()]
+        requested = Priority[text.upper()]
     except KeyError:
-        return Refusal(RefusalReason.BAD_REQUEST, f"{PRIORITY_HEADER} is not a priority")
-    return max(asked, service.priority)
+        return Refusal(
+            RefusalReason.BAD_REQUEST, f"{PRIORITY_HEADER} must be critical, normal or bulk"
+        )
+    return max(requested, service.priority)
 
 
 def _size(text: str | None, service: _Service) -> int | None | Refusal:
     if text is None:
         return None
     if not _WHOLE_NUMBER.match(text):
-        return Refusal(RefusalReason.BAD_REQUEST, "content-length is not a whole number")
+        return Refusal(RefusalReason.BAD_REQUEST, "content-length must be a whole number")
     if int(text) > service.max_body_bytes:
         limit = service.max_body_bytes
-        return Refusal(RefusalReason.TOO_LARGE, f"the body is above {limit} bytes")
+        return Refusal(RefusalReason.TOO_LARGE, f"the body exceeds the limit of {limit} bytes")
     return int(text)
--- a/packages/core/src/cardamomloft/core/router.py
+++ b/packages/core/src/cardamomloft/core/router.py
@@ -1,7 +1,7 @@
-"""The way of one request through the decisions: rules, place, admission, share, dispatch.
+"""Takes each request through the decisions: rules, place, admission, shares and dispatch.
 
-:class:`Router` is the entry's central object. It owns no socket: the caller's edge submits
-requests and is told what to send where, the upstream's edge reports how it ended.
+:class:`Router` is the central object of an entry. It does no I/O: the callers' edge submits
+requests and receives dispatches, and the upstreams' edge reports how they ended.
 """
 
 import itertools
@@ -28,7 +28,7 @@
 
 
 class Ticket(t.NamedTuple):
-    """One admitted request; `number` is unique within this entry's life."""
+    """An admitted request; `number` is unique within this incarnation of the entry."""
 
     number: int
     req: Request
@@ -38,7 +38,7 @@
 
 
 class Dispatch(t.NamedTuple):
-    """Send this request to this endpoint now; the holds are kept until :meth:`Router.finish`."""
+    """A request to send to `endpoint` now; its holds are kept until :meth:`Router.finish`."""
 
     ticket: Ticket
     endpoint: Endpoint
@@ -47,19 +47,19 @@
 
 
 class Waiting(t.NamedTuple):
-    """The request is queued; its dispatch or refusal comes out of :meth:`Router.pump`."""
+    """A queued request; :meth:`Router.pump` returns its dispatch or refusal."""
 
     ticket: Ticket
 
 
 class Dropped(t.NamedTuple):
-    """A queued request that will not be sent. It was not run."""
+    """A queued request that is refused without having been sent."""
 
     ticket: Ticket
     refusal: Refusal
 
 
-class _Entry(t.NamedTuple):
+class _QueuedRequest(t.NamedTuple):
     """A queued ticket with the endpoints chosen for it."""
 
     ticket: Ticket
@@ -67,12 +67,12 @@
 
 
 class Router:
-    """Decides for every request of one entry.
+    """Decides on every request of one entry.
 
     Parameters
     ----------
     zone, region
-        Where this entry stands.
+        Location of this entry.
     clock
         Source of time.
     shares
@@ -98,37 +98,37 @@
         self.steering = steering
         self.admission = admission
         self._clock = clock
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, _Entry] = {}
-        self._budgets: dict[str, RetryBudget] = {}
-        self._wanted: frozenset[str] = frozenset()
+        self._ticket_numbers = itertools.count(1)
+        self._queued_requests: dict[int, _QueuedRequest] = {}
+        self._retry_budgets: dict[str, RetryBudget] = {}
+        self._demanded_keys: frozenset[str] = frozenset()
         self._evictions: list[Dropped] = []
         self._in_flight: dict[int, Dispatch] = {}
         self.classifier: Classifier | None = None
         self.rules: RuleSet | None = None
         self.document: Document | None = None
         self.revision = 0
-        self._links: frozenset[str] = frozenset()
+        self._limited_links: frozenset[str] = frozenset()
         self.nearby: tuple[Endpoint, ...] = ()
 
     def configure(
         self, revision: Revision, *, quarantine: bool, blocks: BlockMap | None = None
     ) -> None:
-        """Put a revision in force for all later requests; those in flight keep their holds.
+        """Apply a revision to all later requests; requests in flight keep their holds.
 
         Parameters
         ----------
         revision
             The revision.
         quarantine
-            Whether an earlier life of this seat may have left uses behind.
+            Whether an earlier incarnation of this seat may still have requests in flight.
         blocks
-            The client-block map, if it does not stand in the document itself.
+            The client-block map, if the document does not contain it.
         """
         document = revision.document
         self.document = document
         self.revision = revision.number
-        self._links = frozenset(
+        self._limited_links = frozenset(
             f"link/{row['origin']}/{row['target']}" for row in document.get("links", [])
         )
         self.nearby = tuple(_endpoints_in(document, self.region))
@@ -136,19 +136,19 @@
         self.rules = RuleSet(document)
         self.shares.configure(revision.number, limits_of(document), quarantine=quarantine)
         self.steering.configure(document)
-        self._budgets = {
-            name: self._budgets.get(name)
+        self._retry_budgets = {
+            name: self._retry_budgets.get(name)
             or RetryBudget(row.get("retry_percent", _DEFAULT_RETRY_PERCENT))
             for name, row in document["services"].items()
         }
 
     def submit(self, req: Request) -> Result[Dispatch | Waiting, Refusal]:
-        """Decide about a new request.
+        """Decide on a new request.
 
         Returns
         -------
         Result
-            A dispatch to carry out now, a place in the queue, or a refusal (not run).
+            A dispatch to send now, a queued request, or a refusal of a request that was not run.
         """
         if self.rules is None:
             return Error(Refusal(RefusalReason.NOT_READY, "no configuration yet"))
@@ -157,35 +157,37 @@
                 return Error(refusal)
             case Result(ok=directive):
                 req = with_directive(req, directive, self._clock.monotonic())
-        self._budgets[req.service].on_request()
-        return self._place(Ticket(next(self._numbers), req, directive, 1, frozenset()))
+        self._retry_budgets[req.service].on_request()
+        return self._choose_and_dispatch(
+            Ticket(next(self._ticket_numbers), req, directive, 1, frozenset())
+        )
 
     def retry(
         self, dispatch: Dispatch, *, not_run: bool, refusal: Refusal
     ) -> Result[Dispatch | Waiting, Refusal]:
-        """Decide about another attempt after `dispatch` failed; call :meth:`finish` first.
+        """Decide on a retry after `dispatch` failed; call :meth:`finish` first.
 
-        `refusal` is the answer if there is none.
+        Returns `refusal` if the request may not be retried.
         """
         ticket = dispatch.ticket
         req = ticket.req
         left = req.deadline - self._clock.monotonic()
         attempts = ticket.directive.attempts - ticket.attempt
         expected = self.admission.expected(req.service)
-        budget = self._budgets.get(req.service)
+        budget = self._retry_budgets.get(req.service)
         if budget is None or not may_retry(req.idempotent, not_run, attempts, left, expected):
             return Error(refusal)
         if not budget.try_retry():
             return Error(refusal)
-        again = ticket._replace(
-            number=next(self._numbers),
+        retry_ticket = ticket._replace(
+            number=next(self._ticket_numbers),
             attempt=ticket.attempt + 1,
             excluded=ticket.excluded | {dispatch.endpoint.name},
         )
-        return self._place(again)
+        return self._choose_and_dispatch(retry_ticket)
 
     def finish(self, dispatch: Dispatch, *, ok: bool, latency: timedelta | None) -> None:
-        """Release what a dispatch held; `latency` is None where it says nothing of the endpoint."""
+        """Release the holds of a dispatch; a `latency` of None does not rate the endpoint."""
         for hold in dispatch.holds:
             self.shares.release(hold)
         self._in_flight.pop(dispatch.ticket.number, None)
@@ -196,61 +198,61 @@
                 self.admission.observe(dispatch.ticket.req.service, latency)
 
     def cancel(self, number: int) -> None:
-        """Forget a queued request whose caller has left."""
-        if self._waiting.pop(number, None) is not None:
+        """Remove a queued request whose caller has disconnected."""
+        if self._queued_requests.pop(number, None) is not None:
             self.admission.remove(number)
 
     def pump(self) -> list[Dispatch | Dropped]:
-        """Return what became of queued requests since the last call."""
+        """Return the queued requests that were dispatched or dropped since the last call."""
         out: list[Dispatch | Dropped] = self._evictions
         self._evictions = []
         for item, refusal in self.admission.expire():
-            out.append(Dropped(self._waiting.pop(item.number).ticket, refusal))
+            out.append(Dropped(self._queued_requests.pop(item.number).ticket, refusal))
         for queue in self.admission.queues():
             out += self._pump_queue(queue)
         return out
 
     def queued(self) -> Counter[str]:
         """Return the number of queued requests by service."""
-        return Counter(entry.ticket.req.service for entry in self._waiting.values())
+        return Counter(entry.ticket.req.service for entry in self._queued_requests.values())
 
     def region_of(self, zone: str) -> str:
-        """Return the region of a zone, empty if there is none."""
+        """Return the region of a zone, or an empty string if the zone is unknown."""
         regions = self.document["regions"].items() if self.document else ()
         return next((name for name, zones in regions if zone in zones), "")
 
     def link_to(self, endpoint: Endpoint) -> str | None:
-        """Return the key of the rate limit between here and an endpoint, None if it has none."""
+        """Return the key of the rate limit from this region to the endpoint's, if there is one."""
         key = f"link/{self.region}/{endpoint.region}"
-        return key if key in self._links else None
+        return key if key in self._limited_links else None
 
     def in_flight(self) -> list[Dispatch]:
-        """Return the dispatches that are not finished."""
+        """Return the dispatches that have not finished."""
         return list(self._in_flight.values())
 
     def report_wants(self) -> None:
-        """Tell the shares how much more of each limit the queues could use now."""
+        """Report to the shares how much more of each limit the queued requests need."""
         unmet: dict[str, float] = {}
-        for entry in self._waiting.values():
-            keys = _keys(entry.choice)
+        for entry in self._queued_requests.values():
+            keys = _choice_limit_keys(entry.choice)
             for key in keys:
                 unmet[key] = unmet.get(key, 0.0) + 1 / len(entry.choice.endpoints)
-        for key in self._wanted - unmet.keys():
+        for key in self._demanded_keys - unmet.keys():
             self.shares.want(key, 0)
         for key, amount in unmet.items():
             self.shares.want(key, math.ceil(amount))
-        self._wanted = frozenset(unmet)
+        self._demanded_keys = frozenset(unmet)
 
-    def _place(self, ticket: Ticket) -> Result[Dispatch | Waiting, Refusal]:
+    def _choose_and_dispatch(self, ticket: Ticket) -> Result[Dispatch | Waiting, Refusal]:
         match self.steering.choose(ticket.req, ticket.directive, ticket.excluded):
             case Result(tag="error", error=refusal):
                 return Error(refusal)
             case Result(ok=choice):
                 pass
         queue = QueueKey(ticket.req.service, choice.place)
-        # Whoever waits already goes first, unless this request has the higher priority.
-        ahead = self.admission.peek(*queue)
-        if ahead is None or ahead.priority > ticket.req.priority:
+        # Queued requests go first unless the new one has a higher priority.
+        queued_first = self.admission.peek(*queue)
+        if queued_first is None or queued_first.priority > ticket.req.priority:
             dispatch = self._try_dispatch(ticket, choice)
             if dispatch is not None:
                 return Ok(dispatch)
@@ -267,9 +269,9 @@
             case Result(tag="error", error=refusal):
                 return Error(refusal)
             case Result(ok=evicted):
-                self._waiting[ticket.number] = _Entry(ticket, choice)
+                self._queued_requests[ticket.number] = _QueuedRequest(ticket, choice)
         if evicted is not None:
-            entry = self._waiting.pop(evicted.item.number)
+            entry = self._queued_requests.pop(evicted.item.number)
             self._evictions.append(Dropped(entry.ticket, evicted.refusal))
         self.report_wants()
         return Ok(Waiting(ticket))
@@ -277,17 +279,17 @@
     def _pump_queue(self, queue: QueueKey) -> list[Dispatch | Dropped]:
         out: list[Dispatch | Dropped] = []
         while (item := self.admission.peek(*queue)) is not None:
-            entry = self._waiting[item.number]
+            entry = self._queued_requests[item.number]
             outcome = self._dispatch_queued(entry)
             if outcome is None:
                 break
             self.admission.pop(*queue)
-            del self._waiting[item.number]
+            del self._queued_requests[item.number]
             out.append(outcome)
         return out
 
-    def _dispatch_queued(self, entry: _Entry) -> Dispatch | Dropped | None:
-        """Choose again at the place where the request waits, since the facts have changed."""
+    def _dispatch_queued(self, entry: _QueuedRequest) -> Dispatch | Dropped | None:
+        """Repeat the choice at the request's place, since conditions may have changed."""
         ticket, place = entry.ticket, entry.choice.place
         match self.steering.choose(ticket.req, ticket.directive, ticket.excluded, place):
             case Result(tag="ok", ok=choice):
@@ -296,7 +298,7 @@
                 return Dropped(ticket, refusal)
 
     def _try_dispatch(self, ticket: Ticket, choice: Choice) -> Dispatch | None:
-        """Take the shares for the first endpoint that has room, all of them or none."""
+        """Acquire all holds at the first endpoint that has room; no hold is kept otherwise."""
         for endpoint in choice.endpoints:
             holds = self._acquire(endpoint, choice, ticket.req.deadline)
             if holds is not None:
@@ -311,7 +313,7 @@
         self, endpoint: Endpoint, choice: Choice, deadline: timedelta
     ) -> tuple[Hold, ...] | None:
         holds: list[Hold] = []
-        for key in _endpoint_keys(endpoint, choice):
+        for key in _endpoint_limit_keys(endpoint, choice):
             match self.shares.acquire(key, 1, deadline):
                 case Result(tag="ok", ok=hold):
                     holds.append(hold)
@@ -337,10 +339,10 @@
     return f"slots/{endpoint.name}"
 
 
-def _endpoint_keys(endpoint: Endpoint, choice: Choice) -> tuple[str, ...]:
+def _endpoint_limit_keys(endpoint: Endpoint, choice: Choice) -> tuple[str, ...]:
     keys = (slots_key(endpoint), f"connections/{endpoint.name}")
     return keys if choice.spill_key is None else (*keys, choice.spill_key)
 
 
-def _keys(choice: Choice) -> set[str]:
-    return {key for endpoint in choice.endpoints for key in _endpoint_keys(endpoint, choice)}
+def _choice_limit_keys(choice: Choice) -> set[str]:
+    return {key for endpoint in choice.endpoints for key in _endpoint_limit_keys(endpoint, choice)}
--- a/packages/core/src/cardamomloft/core/routes.py
+++ b/packages/core/src/cardamomloft/core/routes.py
@@ -1,8 +1,8 @@
-"""Rules for upstreams that register themselves: by host and path prefix to a service.
+"""Routing rules for upstreams that register themselves: from host and path prefix to a service.
 
-These rules are ordered and the first that matches counts, like those of :mod:`.rules`. They name
-services only; which endpoints a service has is learned from registrations. A plan is immutable:
-a new configuration makes a new one.
+Rules are ordered and the first match decides, as in :mod:`.rules`. They only name services; the
+endpoints of a service are learned from registrations. A plan is immutable: each configuration
+creates a new one.
 """
 
 import typing as t
@@ -11,20 +11,20 @@
 
 
 class ServiceShare(t.NamedTuple):
-    """One of the services that a rule's requests are divided among, with its weight."""
+    """A service among those that share a rule's requests, with its weight."""
 
     service: str
     weight: float
 
 
 class RouteRule(t.NamedTuple):
-    """One when-then rule.
+    """A rule that sends requests to one of several services.
 
-    When the request's host is `host` and its path begins with `prefix` (which ends in a slash),
-    then it goes to one of `services`. `timeout` is the longest that a caller is kept waiting,
-    `target` the latency that the operators aim at. `attempts` bounds the endpoints that one
-    request may be sent to. A lower `priority` goes first. With `keyed`, requests of one placement
-    key are best served by one endpoint. `homes` are the regions that may serve it; empty: all.
+    It matches if the request's host is `host` and its path begins with `prefix`, which ends in a
+    slash. `timeout` bounds the time that a caller waits and `target` is the latency objective.
+    `attempts` bounds the endpoints that one request may be sent to. A lower `priority` is served
+    first. With `keyed`, requests with the same affinity key prefer one endpoint. `homes` are the
+    regions that may serve the requests; if it is empty, all may.
     """
 
     name: str
@@ -41,11 +41,11 @@
 
 
 class ServicePolicy(t.NamedTuple):
-    """What the endpoints of a service bear.
+    """Limits on the use of a service's endpoints.
 
-    `connections` is the most connections to one endpoint from all callers together. An endpoint
-    that has just started bears `cold_per_s` requests a second, all callers together, during
-    `cold_time`.
+    `connections` is the maximum number of connections to one endpoint from all callers together.
+    For `cold_time` after its start, an endpoint accepts `cold_per_s` requests per second from all
+    callers together.
     """
 
     name: str
@@ -55,7 +55,7 @@
 
 
 class CallerLimits(t.NamedTuple):
-    """What a caller may send, in bytes, and how long it may take or stay idle."""
+    """Limits on a caller's request head and body, in bytes, and on its timeouts."""
 
     head_bytes: int
     body_bytes: int
@@ -64,7 +64,7 @@
 
 
 class RoutePlan(t.NamedTuple):
-    """A whole configuration; numbers only go up."""
+    """A complete configuration; `number` increases with each one."""
 
     number: int
     rules: tuple[RouteRule, ...]
@@ -73,12 +73,12 @@
 
 
 def longest_prefix_first(rules: Iterable[RouteRule]) -> tuple[RouteRule, ...]:
-    """Return `rules` in an order in which the first match is the longest matching prefix."""
+    """Return `rules` ordered so that the first match has the longest matching prefix."""
     return tuple(sorted(rules, key=lambda rule: -len(rule.prefix)))
 
 
 class RouteTable:
-    """Finds the first matching rule by an index instead of a scan.
+    """Finds the first matching rule with an index.
 
     Parameters
     ----------
@@ -118,15 +118,15 @@
 class ServiceRotation:
     """Divides the requests of one rule among its services in proportion to their weights.
 
-    Smooth weighted rotation: over any run of requests each service's count is within one of its
-    share, where drawing at random would be off by several percent in a few hundred requests.
+    Smooth weighted round-robin: over any run of requests, each service's count stays within one of
+    its share.
 
     Parameters
     ----------
     services
         The services with their weights.
     offset
-        A number from 0 to 1 that says where the rotation begins, so that entries differ.
+        Start of the rotation, from 0 to 1, so that entries differ.
     """
 
     def __init__(self, services: tuple[ServiceShare, ...], offset: float) -> None:
@@ -135,7 +135,7 @@
         self._credit = {share.service: share.weight * offset for share in services}
 
     def next(self) -> str:
-        """Return the service of the next request."""
+        """Return the service for the next request."""
         if len(self._services) == 1:
             return self._services[0].service
         for share in self._services:
--- a/packages/core/src/cardamomloft/core/rules.py
+++ b/packages/core/src/cardamomloft/core/rules.py
@@ -1,7 +1,7 @@
-"""The ordered when-then rules: the first rule whose conditions all hold decides.
+"""The ordered rules of a document: the first rule whose conditions all hold decides.
 
-:func:`scan_rules` reads the rules one by one and says why each does not match; it defines what
-they mean. :class:`RuleSet` gives the same answers from an index that is built once per document.
+:func:`scan_rules` is the reference implementation: it checks the rules one by one and explains why
+each does not match. :class:`RuleSet` gives the same results from an index built per document.
 """
 
 import typing as t
@@ -15,11 +15,11 @@
 from expression import Error, Ok, Result
 
 ANY_VALUE = "*"
-"""As a header's value in a condition: the header is present, whatever its value."""
+"""Matches any value of a header that is present."""
 
 
 class WeightedPlace(t.NamedTuple):
-    """A region or a zone (exactly one is given) and its weight among a rule's places."""
+    """A region or a zone, exactly one of them, with its weight among a rule's places."""
 
     region: str | None
     zone: str | None
@@ -38,7 +38,7 @@
 
 
 class RuleVerdict(t.NamedTuple):
-    """Whether one rule matches a request, and the first condition that does not hold."""
+    """Whether a rule matches a request, with the first condition that does not hold."""
 
     rule: str
     matched: bool
@@ -56,45 +56,45 @@
 
 
 def is_under(path: str, prefix: str) -> bool:
-    """Tell whether whole segments of `path` begin with `prefix`.
+    """Return whether `path` begins with the whole segments of `prefix`.
 
-    Both are without query and trailing slash: ``/menus`` holds ``/menus/7`` but not ``/menus2``.
+    Both are without query and trailing slash: ``/menus`` matches ``/menus/7`` but not ``/menus2``.
     """
     return path == prefix or path.startswith(prefix + "/")
 
 
 def path_prefixes(path: str, depth: int) -> list[str]:
-    """Return the prefixes of at most `depth` segments that hold `path`, the shortest first."""
-    found, at = [""], 0
+    """Return the prefixes of `path` with at most `depth` segments, the shortest first."""
+    found, index = [""], 0
     for _ in range(depth):
-        at = path.find("/", at + 1)
-        if at < 0:
+        index = path.find("/", index + 1)
+        if index < 0:
             found.append(path)
             break
-        found.append(path[:at])
+        found.append(path[:index])
     return found
 
 
 def with_directive(req: Request, directive: Directive, now: timedelta) -> Request:
-    """Return `req` with the rule's deadline and priority, counted from its arrival at `now`.
+    """Return `req` with the rule's deadline and priority; the deadline counts from `now`.
 
-    They stand in for those of the service. A caller's own deadline and lower priority still hold,
-    since the caller will not wait longer whatever a rule says.
+    They replace the defaults of the service. A caller's earlier deadline or lower priority still
+    applies.
     """
     deadline, priority = req.deadline, req.priority
     if directive.deadline is not None:
-        ruled = now + directive.deadline
-        deadline = min(deadline, ruled) if "x-deadline-ms" in req.headers else ruled
+        rule_deadline = now + directive.deadline
+        deadline = min(deadline, rule_deadline) if "x-deadline-ms" in req.headers else rule_deadline
     if directive.priority is not None:
-        asked = req.priority if "x-priority" in req.headers else directive.priority
-        priority = max(directive.priority, asked)
+        requested = req.priority if "x-priority" in req.headers else directive.priority
+        priority = max(directive.priority, requested)
     return req._replace(deadline=deadline, priority=priority)
 
 
 def scan_rules(
     rules: t.Sequence[RuleRow], req: Request, zone: str, region: str
 ) -> list[RuleVerdict]:
-    """Return the verdict on each rule, in order, up to the first that matches."""
+    """Return the verdict on each rule in order, up to the first that matches."""
     verdicts = []
     for rule in rules:
         why = unmet_condition(rule["when"], req, zone, region)
@@ -106,15 +106,15 @@
 
 def unmet_condition(when: When, req: Request, zone: str, region: str) -> str | None:
     """Return why `when` does not hold for a request at an entry of `zone`, or None if it does."""
-    here = _Here(req, zone, region)
+    context = _RequestContext(req, zone, region)
     for condition, wanted in when.items():
-        why = _CONDITIONS[condition](wanted, here)
+        why = _CONDITIONS[condition](wanted, context)
         if why is not None:
             return why
     return None
 
 
-class _Here(t.NamedTuple):
+class _RequestContext(t.NamedTuple):
     req: Request
     zone: str
     region: str
@@ -124,20 +124,20 @@
     return None if wanted == actual else f"{what} is {actual}, not {wanted}"
 
 
-def _unmet_method(wanted: list[str], here: _Here) -> str | None:
-    method = here.req.method
+def _unmet_method(wanted: list[str], context: _RequestContext) -> str | None:
+    method = context.req.method
     return None if method in wanted else f"method is {method}, not {' or '.join(wanted)}"
 
 
-def _unmet_path(wanted: str, here: _Here) -> str | None:
-    path = bare_path(here.req.path)
+def _unmet_path(wanted: str, context: _RequestContext) -> str | None:
+    path = bare_path(context.req.path)
     if is_under(path, clean_prefix(wanted)):
         return None
     return f"path {path} is not under {wanted}"
 
 
-def _unmet_block(wanted: str, here: _Here) -> str | None:
-    client, block = here.req.client, parse_block(wanted)
+def _unmet_block(wanted: str, context: _RequestContext) -> str | None:
+    client, block = context.req.client, parse_block(wanted)
     if client is None:
         return "the client's address is not known"
     if block is not None and client & block.netmask == block.network:
@@ -145,9 +145,9 @@
     return f"client {format_address(client)} is not in {wanted}"
 
 
-def _unmet_headers(wanted: Mapping[str, str], here: _Here) -> str | None:
+def _unmet_headers(wanted: Mapping[str, str], context: _RequestContext) -> str | None:
     for name, value in wanted.items():
-        actual = here.req.headers.get(name)
+        actual = context.req.headers.get(name)
         if actual is None:
             return f"there is no header {name}"
         if value not in (ANY_VALUE, actual):
@@ -155,31 +155,34 @@
     return None
 
 
-def _unmet_idempotent(wanted: bool, here: _Here) -> str | None:
-    if wanted == here.req.idempotent:
+def _unmet_idempotent(wanted: bool, context: _RequestContext) -> str | None:
+    if wanted == context.req.idempotent:
         return None
-    return "the request is idempotent" if here.req.idempotent else "the request is not idempotent"
+    return (
+        "the request is idempotent" if context.req.idempotent else "the request is not idempotent"
+    )
 
 
-_CONDITIONS: dict[str, Callable[[t.Any, _Here], str | None]] = {
-    "service": lambda wanted, here: _unless_equal("service", wanted, here.req.service),
+_CONDITIONS: dict[str, Callable[[t.Any, _RequestContext], str | None]] = {
+    "service": lambda wanted, context: _unless_equal("service", wanted, context.req.service),
     "method": _unmet_method,
     "path": _unmet_path,
     "block": _unmet_block,
-    "zone": lambda wanted, here: _unless_equal("the entry's zone", wanted, here.zone),
-    "region": lambda wanted, here: _unless_equal("the entry's region", wanted, here.region),
+    "zone": lambda wanted, context: _unless_equal("the entry's zone", wanted, context.zone),
+    "region": lambda wanted, context: _unless_equal("the entry's region", wanted, context.region),
     "headers": _unmet_headers,
-    "priority": lambda wanted, here: _unless_equal(
-        "priority", wanted, here.req.priority.name.lower()
+    "priority": lambda wanted, context: _unless_equal(
+        "priority", wanted, context.req.priority.name.lower()
     ),
     "idempotent": _unmet_idempotent,
 }
 
 
 class _Rule(t.NamedTuple):
-    """A rule with its conditions taken apart.
+    """A rule with its conditions separated by kind.
 
-    The fixed ones have few values in all and select a bucket; the others are read per request.
+    `fixed` conditions have few values in total and select a bucket; the others are checked per
+    request.
     """
 
     fixed: Mapping[str, t.Any]
@@ -189,7 +192,7 @@
     outcome: Result[Directive, Refusal]
 
     def lookup_keys(self) -> Iterator["_Key"]:
-        """Yield what a matching request must show, each usable to find the rule."""
+        """Yield the keys under which the index can file the rule."""
         if self.path is not None:
             yield _Key("path", "", self.path)
         if self.block is not None:
@@ -198,7 +201,7 @@
             yield _Key("header", name, value)
 
     def holds(self, path: str, req: Request) -> bool:
-        """Tell whether the conditions outside the bucket hold."""
+        """Return whether the conditions other than the fixed ones hold."""
         if self.path is not None and not is_under(path, self.path):
             return False
         if self.block is not None and (
@@ -212,7 +215,7 @@
 
     @property
     def unconditional(self) -> bool:
-        """Whether the rule holds for all requests of its bucket."""
+        """Whether the rule matches every request of its bucket."""
         return self.path is None and self.block is None and not self.headers
 
 
@@ -225,33 +228,33 @@
 class _Bucket:
     """The rules that can match requests with the same fixed properties.
 
-    Each rule is filed under the one of its keys that it shares with the fewest others.
+    Each rule is indexed under the one of its keys that the fewest other rules share.
     """
 
     def __init__(self, rules: list[tuple[int, _Rule]]) -> None:
         shared = Counter(key for _, rule in rules for key in rule.lookup_keys())
-        self._always: list[int] = []
+        self._without_key: list[int] = []
         self._paths: dict[str, list[int]] = {}
         self._groups: dict[str, dict[t.Any, dict[t.Any, list[int]]]] = {"block": {}, "header": {}}
-        for at, rule in rules:
+        for index, rule in rules:
             key = min(rule.lookup_keys(), key=shared.__getitem__, default=None)
-            self._file(at, key)
+            self._add_rule(index, key)
             if rule.unconditional:
                 break
         self._depth = max((prefix.count("/") for prefix in self._paths), default=0)
 
-    def _file(self, at: int, key: _Key | None) -> None:
+    def _add_rule(self, index: int, key: _Key | None) -> None:
         if key is None:
-            self._always.append(at)
+            self._without_key.append(index)
         elif key.kind == "path":
-            self._paths.setdefault(t.cast(str, key.value), []).append(at)
+            self._paths.setdefault(t.cast(str, key.value), []).append(index)
         else:
             group = self._groups[key.kind].setdefault(key.group, {})
-            group.setdefault(key.value, []).append(at)
+            group.setdefault(key.value, []).append(index)
 
     def candidates(self, path: str, req: Request) -> list[int]:
-        """Return the rules to try, in order; every rule that matches is among them."""
-        found = self._always[:]
+        """Return the indices of all rules that may match, in order."""
+        found = self._without_key[:]
         if self._paths:
             for prefix in path_prefixes(path, self._depth):
                 found += self._paths.get(prefix, ())
@@ -270,11 +273,11 @@
 
 
 class RuleSet:
-    """The rules of one document, indexed.
+    """The indexed rules of one document.
 
-    Requests are first told apart by service, method, place, priority and idempotence; the rules
-    left over are found by path prefix, block or header. Buckets are made when first needed and
-    there are few: a value that no rule names counts as no value.
+    Requests select a bucket by service, method, location, priority and idempotence; its rules are
+    found by path prefix, client block or header. Buckets are created on first use. Values that no
+    rule names share one bucket, so callers cannot create buckets at will.
     """
 
     def __init__(self, document: Document) -> None:
@@ -295,14 +298,14 @@
             RULE if that rule refuses, NO_RULE if none matches.
         """
         path = bare_path(req.path)
-        for at in self._bucket(req, zone, region).candidates(path, req):
-            rule = self._rules[at]
+        for index in self._bucket(req, zone, region).candidates(path, req):
+            rule = self._rules[index]
             if rule.holds(path, req):
                 return rule.outcome
         return Error(Refusal(RefusalReason.NO_RULE))
 
     def explain(self, req: Request, zone: str, region: str) -> list[RuleVerdict]:
-        """Return the verdict on each rule up to the one that matches."""
+        """Return the verdict on each rule up to the first that matches."""
         return scan_rules(self._rows, req, zone, region)
 
     def _values(self, condition: str) -> frozenset[str]:
@@ -335,8 +338,8 @@
             "idempotent": idempotent,
         }
         return [
-            (at, rule)
-            for at, rule in enumerate(self._rules)
+            (index, rule)
+            for index, rule in enumerate(self._rules)
             if ("method" not in rule.fixed or method in rule.fixed["method"])
             and all(
                 actual.get(name) == value for name, value in rule.fixed.items() if name != "method"
--- a/packages/core/src/cardamomloft/core/shifting.py
+++ b/packages/core/src/cardamomloft/core/shifting.py
@@ -1,7 +1,7 @@
-"""Where traffic should go: places of a rule, planned moves and drains, dead places.
+"""Target distribution of each rule's traffic: its places, planned moves, drains and dead zones.
 
-The stages are plain functions from weights to weights; :func:`plan` runs them in order. How fast
-the traffic then follows is bounded by :mod:`cardamomloft.core.ramping`.
+The stages are pure functions from weights to weights; :func:`target_distribution` runs them in
+order. :mod:`cardamomloft.core.ramping` bounds the rate at which traffic follows the target.
 """
 
 import typing as t
@@ -15,33 +15,33 @@
 from cardamomloft.core.rules import Directive, WeightedPlace
 
 DRAIN_LEAD = timedelta(seconds=1)
-"""How long before its time an announced drain should have moved all traffic."""
+"""How long before an announced drain begins its traffic should have moved."""
 
-_DRAIN_RATE = 0.8
+_DRAIN_CAP_FRACTION = 0.8
 
 
-class Closing(t.NamedTuple):
-    """A zone that is to be drained in `left`."""
+class UpcomingDrain(t.NamedTuple):
+    """A zone whose drain begins after `time_left`."""
 
     zone: str
-    left: timedelta
+    time_left: timedelta
 
 
 class AppliedMove(t.NamedTuple):
-    """A move as far as it has come: `fraction` of the origin's traffic goes to the target."""
+    """The progress of a move: `fraction` of the origin's traffic goes to the target."""
 
     origin: str
     target: str
     fraction: float
 
 
-class Landscape(t.NamedTuple):
-    """What the stages know of one service's places.
+class ServiceSnapshot(t.NamedTuple):
+    """Availability of one service's zones, seen from this entry.
 
-    `slots` holds those of the endpoints not drained, for each zone that has endpoints, and `held`
-    those of them that are this entry's by its base shares. `shut` are
-    the zones closed by the configuration, `dead` those found dead or leaving. `region` is that of
-    this entry and `zone` its own.
+    `region` and `zone` locate this entry. `slots` has the slots of the endpoints that are not
+    drained, for each zone with endpoints, and `base_slots` those that belong to this entry's base
+    shares. In `drained` zones every endpoint is drained or reported as leaving. In `dead` zones
+    each of the others fails or has confirmed that it is leaving.
     """
 
     region: str
@@ -49,17 +49,17 @@
     regions: Mapping[str, t.Sequence[str]]
     region_of: Mapping[str, str]
     slots: Mapping[str, int]
-    shut: frozenset[str]
+    drained: frozenset[str]
     dead: frozenset[str]
-    closing: tuple[Closing, ...]
-    held: Mapping[str, int] = {}
+    upcoming_drains: tuple[UpcomingDrain, ...]
+    base_slots: Mapping[str, int] = {}
 
 
-class Plan(t.NamedTuple):
-    """Where a rule's traffic should go in the end.
+class TargetDistribution(t.NamedTuple):
+    """Where a rule's traffic should go once all shifts are complete.
 
-    `fractions` is empty if no place is left. `closed` zones get no new work whatever fraction
-    they still have. `primary` zones are those that the rule and the moves name; `overflow` lists
+    `fractions` is empty if no place is left. `closed` zones get no new requests whatever their
+    present fraction. `primary` zones are those named by the rule and the moves; `overflow` lists
     the zones to use when one is full, the nearest first.
     """
 
@@ -69,75 +69,88 @@
     overflow: tuple[str, ...]
 
 
-def plan(directive: Directive, land: Landscape, moves: Iterable[AppliedMove], rate: float) -> Plan:
+def target_distribution(
+    directive: Directive, snapshot: ServiceSnapshot, moves: Iterable[AppliedMove], rate: float
+) -> TargetDistribution:
     """Run all stages for one rule; `rate` is the cap as a fraction of traffic per second.
 
-    Moves come before drains: what was moved off a place before its drain stays where it went.
+    Moves are applied before drains: what was moved off a place stays where it went.
     """
-    barred = land.shut | land.dead
-    weights = expand(directive.places, land)
-    weights = apply_moves(weights, [m for m in moves if _possible(m, land, barred)])
+    unavailable = snapshot.drained | snapshot.dead
+    weights = expand_places(directive.places, snapshot)
+    weights = apply_moves(weights, [m for m in moves if _is_possible(m, snapshot, unavailable)])
     primary = frozenset(weights)
-    limits = dict.fromkeys(barred, 0.0) | hold_back(weights, land.closing, barred, rate)
-    fractions = withdraw(weights, limits, land.region_of)
+    limits = dict.fromkeys(unavailable, 0.0) | limits_before_drains(
+        weights, snapshot.upcoming_drains, unavailable, rate
+    )
+    fractions = redistribute(weights, limits, snapshot.region_of)
     if not fractions:
-        fractions = _elsewhere(directive, land, barred)
-    closed = barred
+        fractions = _spill_fractions(directive, snapshot, unavailable)
+    closed = unavailable
     if not fractions:
-        # All are dead as far as this entry can tell. To try them is better than to refuse all.
-        fractions = withdraw(weights, dict.fromkeys(land.shut, 0.0), land.region_of)
-        closed = land.shut
-    return Plan(fractions, closed, primary, _overflow(directive, land, primary, closed))
+        # Every place seems dead to this entry: try them rather than refuse all requests.
+        fractions = redistribute(weights, dict.fromkeys(snapshot.drained, 0.0), snapshot.region_of)
+        closed = snapshot.drained
+    return TargetDistribution(
+        fractions, closed, primary, _overflow_zones(directive, snapshot, primary, closed)
+    )
 
 
-def expand(places: t.Sequence[WeightedPlace], land: Landscape) -> Fractions:
-    """Turn a rule's places into zones with fractions; a region's weight follows its slots.
+def expand_places(places: t.Sequence[WeightedPlace], snapshot: ServiceSnapshot) -> Fractions:
+    """Convert a rule's places to zones with fractions; a region's weight is split by slots.
 
-    They are the slots that this entry holds there, if it holds any: over all entries these add up
-    to the slots themselves, and what waits for a zone then waits for slots that come free here.
-    Without places it is the entry's own region, or everywhere if that has no endpoint. Places of
-    weight 0 are kept, as a standby.
+    The split uses this entry's base slots if it has any in the region: over all entries they add up
+    to the full slots, and a request that waits for a zone can then use a slot of this entry.
+    Without places, the entry's own region is used, or all zones if that has no endpoint. Places
+    with weight 0 are kept as standby.
     """
     weights: Fractions = {}
-    for place in places or (WeightedPlace(land.region, None, 1),):
-        zones = [place.zone] if place.region is None else land.regions.get(place.region, ())
-        held = any(land.held.get(zone) for zone in zones)
-        for zone, part in _by_slots(zones, land.held if held else land.slots).items():
-            weights[zone] = weights.get(zone, 0.0) + part * place.weight
+    for place in places or (WeightedPlace(snapshot.region, None, 1),):
+        zones = [place.zone] if place.region is None else snapshot.regions.get(place.region, ())
+        has_base = any(snapshot.base_slots.get(zone) for zone in zones)
+        for zone, fraction in _split_by_slots(
+            zones, snapshot.base_slots if has_base else snapshot.slots
+        ).items():
+            weights[zone] = weights.get(zone, 0.0) + fraction * place.weight
     if not weights and not places:
-        weights = _by_slots(land.slots, land.slots)
-    return _normal(weights)
+        weights = _split_by_slots(snapshot.slots, snapshot.slots)
+    return _normalized(weights)
 
 
 def apply_moves(weights: Fractions, moves: t.Sequence[AppliedMove]) -> Fractions:
-    """Move parts of origins to targets; all are parts of what the rule alone would send."""
+    """Move fractions of origins to targets; they relate to the rule's weights before any move."""
     moved = dict(weights)
-    asked: dict[str, float] = {}
+    requested: dict[str, float] = {}
     for move in moves:
-        asked[move.origin] = asked.get(move.origin, 0.0) + move.fraction
+        requested[move.origin] = requested.get(move.origin, 0.0) + move.fraction
     for move in moves:
-        amount = weights.get(move.origin, 0.0) * move.fraction / max(1.0, asked[move.origin])
+        amount = weights.get(move.origin, 0.0) * move.fraction / max(1.0, requested[move.origin])
         if amount > 0:
             moved[move.origin] -= amount
             moved[move.target] = moved.get(move.target, 0.0) + amount
     return moved
 
 
-def hold_back(
-    weights: Fractions, closing: Iterable[Closing], barred: AbstractSet[str], rate: float
+def limits_before_drains(
+    weights: Fractions,
+    upcoming_drains: Iterable[UpcomingDrain],
+    unavailable: AbstractSet[str],
+    rate: float,
 ) -> Fractions:
-    """Return how much traffic those places may still have whose drain is near.
+    """Return the fraction that each zone with an upcoming drain may still have.
 
-    All that is to leave by a certain time must fit the cap until then, taken together with what
-    is to leave earlier. The rate used is below the cap and ends ahead of time, so that clocks
-    which differ a little, or another shift, do not leave a rest.
+    The traffic of all drains up to an instant must fit the cap until then. Movement is planned at a
+    reduced rate and ends before the drain begins, which leaves a margin for clock skew and for
+    concurrent shifts.
     """
     limits: Fractions = {}
     used = 0.0
-    for item in sorted(closing, key=lambda c: (c.left, c.zone)):
-        if item.zone in barred or item.zone not in weights:
+    for item in sorted(upcoming_drains, key=lambda c: (c.time_left, c.zone)):
+        if item.zone in unavailable or item.zone not in weights:
             continue
-        movable = max(0.0, (item.left - DRAIN_LEAD).total_seconds()) * rate * _DRAIN_RATE
+        movable = (
+            max(0.0, (item.time_left - DRAIN_LEAD).total_seconds()) * rate * _DRAIN_CAP_FRACTION
+        )
         if movable >= 1:
             break
         limits[item.zone] = min(weights[item.zone], max(0.0, movable - used))
@@ -145,76 +158,84 @@
     return limits
 
 
-def withdraw(
+def redistribute(
     weights: Fractions, limits: Mapping[str, float], region_of: Mapping[str, str]
 ) -> Fractions:
-    """Take from limited places what they may not have and give it to others, the nearest first.
+    """Move the excess of limited zones to others, the nearest first.
 
-    It goes to the other places of the same region, else to all others by their weights, else to
-    the standby places. Empty if there is none to take it and nothing may stay.
+    It goes to the other zones of the same region, else to all others by weight, else to the standby
+    zones. Empty if no zone can take it and none may keep traffic.
     """
-    takers = {zone: weight for zone, weight in weights.items() if zone not in limits}
-    if not takers:
-        return _normal({z: w for z, w in weights.items() if limits.get(z, 0.0) > 0 and w > 0})
-    if sum(takers.values()) <= 0:
-        takers = dict.fromkeys(takers, 1.0)
+    recipients = {zone: weight for zone, weight in weights.items() if zone not in limits}
+    if not recipients:
+        return _normalized({z: w for z, w in weights.items() if limits.get(z, 0.0) > 0 and w > 0})
+    if sum(recipients.values()) <= 0:
+        recipients = dict.fromkeys(recipients, 1.0)
     kept = {zone: min(weight, limits.get(zone, weight)) for zone, weight in weights.items()}
     for zone, weight in weights.items():
-        lost = weight - kept[zone]
-        if lost <= 0:
+        excess = weight - kept[zone]
+        if excess <= 0:
             continue
-        near = {z: w for z, w in takers.items() if region_of.get(z) == region_of.get(zone)}
-        group = near if sum(near.values()) > 0 else takers
+        near = {z: w for z, w in recipients.items() if region_of.get(z) == region_of.get(zone)}
+        group = near if sum(near.values()) > 0 else recipients
         total = sum(group.values())
-        for taker, part in group.items():
-            kept[taker] += lost * part / total
-    return _normal({zone: fraction for zone, fraction in kept.items() if fraction > 0})
+        for recipient, share in group.items():
+            kept[recipient] += excess * share / total
+    return _normalized({zone: fraction for zone, fraction in kept.items() if fraction > 0})
 
 
-def _possible(move: AppliedMove, land: Landscape, barred: AbstractSet[str]) -> bool:
-    return move.target not in barred and land.slots.get(move.target, 0) > 0
+def _is_possible(
+    move: AppliedMove, snapshot: ServiceSnapshot, unavailable: AbstractSet[str]
+) -> bool:
+    return move.target not in unavailable and snapshot.slots.get(move.target, 0) > 0
 
 
-def _elsewhere(directive: Directive, land: Landscape, barred: AbstractSet[str]) -> Fractions:
+def _spill_fractions(
+    directive: Directive, snapshot: ServiceSnapshot, unavailable: AbstractSet[str]
+) -> Fractions:
     """Return the zones that take a rule's traffic when none of its places can."""
     regions = directive.spill
     if not directive.places and not regions:
-        regions = tuple(region for region in land.regions if region != land.region)
+        regions = tuple(region for region in snapshot.regions if region != snapshot.region)
     for region in regions:
-        zones = [zone for zone in land.regions.get(region, ()) if zone not in barred]
-        fractions = _normal(_by_slots(zones, land.slots))
+        zones = [zone for zone in snapshot.regions.get(region, ()) if zone not in unavailable]
+        fractions = _normalized(_split_by_slots(zones, snapshot.slots))
         if fractions:
             return fractions
     return {}
 
 
-def _overflow(
-    directive: Directive, land: Landscape, primary: frozenset[str], closed: frozenset[str]
+def _overflow_zones(
+    directive: Directive, snapshot: ServiceSnapshot, primary: frozenset[str], closed: frozenset[str]
 ) -> tuple[str, ...]:
-    leaving = {item.zone for item in land.closing}
+    leaving = {item.zone for item in snapshot.upcoming_drains}
 
     def usable(zone: str) -> bool:
-        return land.slots.get(zone, 0) > 0 and zone not in closed and zone not in leaving
+        return snapshot.slots.get(zone, 0) > 0 and zone not in closed and zone not in leaving
 
     own = sorted(
         filter(usable, primary),
-        key=lambda zone: (zone != land.zone, land.region_of.get(zone) != land.region, zone),
+        key=lambda zone: (
+            zone != snapshot.zone,
+            snapshot.region_of.get(zone) != snapshot.region,
+            zone,
+        ),
     )
-    spill = [zone for region in directive.spill for zone in land.regions.get(region, ())]
+    spill = [zone for region in directive.spill for zone in snapshot.regions.get(region, ())]
     return tuple(own) + tuple(z for z in filter(usable, spill) if z not in primary)
 
 
-def _by_slots(zones: Iterable[str], slots: Mapping[str, int]) -> Fractions:
-    """Split 1 over the zones that have endpoints, by the slots that are open."""
+def _split_by_slots(zones: Iterable[str], slots: Mapping[str, int]) -> Fractions:
+    """Divide 1 among the zones that have endpoints, by their open slots."""
     known = {zone: slots[zone] for zone in zones if zone in slots}
     total = sum(known.values())
     if total == 0:
-        # All are drained. They keep their part for now, so that later stages can pass it on.
+        # All are drained: equal fractions let later stages redistribute them.
         return dict.fromkeys(known, 1 / len(known)) if known else {}
-    return {zone: part / total for zone, part in known.items()}
+    return {zone: count / total for zone, count in known.items()}
 
 
-def _normal(weights: Fractions) -> Fractions:
+def _normalized(weights: Fractions) -> Fractions:
     total = sum(weights.values())
     if total <= 0:
         return dict.fromkeys(weights, 1 / len(weights)) if weights else {}
@@ -222,7 +243,7 @@
 
 
 class _Move:
-    """A move under way; a wall clock that jumps back does not undo its start."""
+    """A move in progress; a wall clock that steps back does not undo its start."""
 
     def __init__(self, row: MoveRow, ramp: Ramp) -> None:
         self.row = row
@@ -238,74 +259,74 @@
 
 
 class Schedule:
-    """The planned moves and drains of the document, and how far they have come.
+    """The planned moves and drains of the document and their progress.
 
     Parameters
     ----------
     clock
-        The wall clock says when a plan begins, the monotonic clock how fast it goes on.
+        The wall clock determines when a plan begins, the monotonic clock how fast it proceeds.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._moves: dict[str, _Move] = {}
         self._revoked: list[_Move] = []
-        self._closes: dict[str, datetime] = {}
+        self._drain_starts: dict[str, datetime] = {}
         self._closed: set[str] = set()
         self._pending: list[tuple[datetime, str]] = []
-        self._first = True
+        self._is_first_document = True
 
     def configure(self, document: Document) -> None:
-        """Take over the moves and drains of a document."""
+        """Apply the moves and drains of a document."""
         self._configure_moves(document.get("moves", {}))
-        closes = closing_times(document)
-        self._closed = {e for e in self._closed if closes.get(e) == self._closes.get(e)}
-        self._closes = closes
+        drain_starts = drain_start_times(document)
+        self._closed = {e for e in self._closed if drain_starts.get(e) == self._drain_starts.get(e)}
+        self._drain_starts = drain_starts
         self._pending = sorted(
-            ((since, name) for name, since in closes.items() if name not in self._closed),
+            ((since, name) for name, since in drain_starts.items() if name not in self._closed),
             reverse=True,
         )
-        self._first = False
+        self._is_first_document = False
         self.advance()
 
     def advance(self) -> bool:
-        """Bring all plans to the present; tell whether an endpoint has closed."""
+        """Advance all plans to the present; return whether an endpoint has been closed."""
         now, wall = self._clock.monotonic(), self._clock.utcnow()
         for move in [*self._moves.values(), *self._revoked]:
             move.advance(now, wall)
         self._revoked = [move for move in self._revoked if move.ramp.value > 0]
-        begun = False
+        any_closed = False
         while self._pending and self._pending[-1][0] <= wall:
             self._closed.add(self._pending.pop()[1])
-            begun = True
-        return begun
+            any_closed = True
+        return any_closed
 
     def is_closed(self, endpoint: str) -> bool:
-        """Tell whether a drain that has begun covers the endpoint."""
+        """Return whether a drain that has begun covers the endpoint."""
         return endpoint in self._closed
 
-    def closes_at(self, endpoint: str) -> datetime | None:
+    def drain_start(self, endpoint: str) -> datetime | None:
         """Return when a drain of the endpoint begins or began, if there is one."""
-        return self._closes.get(endpoint)
+        return self._drain_starts.get(endpoint)
 
-    def moves(self, service: str, *, begun_before: datetime | None = None) -> list[AppliedMove]:
-        """Return how far the service's moves are, or only those begun before an instant."""
+    def moves(self, service: str, *, started_before: datetime | None = None) -> list[AppliedMove]:
+        """Return the progress of the service's moves, or of those started before an instant."""
         return [
             AppliedMove(move.row["origin"], move.row["target"], move.ramp.value / 100)
             for move in [*self._moves.values(), *self._revoked]
             if move.row["service"] == service
             and move.ramp.value > 0
-            and (begun_before is None or move.since < begun_before)
+            and (started_before is None or move.since < started_before)
         ]
 
-    def last_begun(
+    def last_start(
         self, service: str, endpoints: Iterable[str], after: datetime
     ) -> datetime | None:
-        """Return when the last plan after `after` began that concerns the service."""
+        """Return the start of the service's latest plan that began after `after`."""
         wall = self._clock.utcnow()
-        begun = [m.since for m in self._moves.values() if m.row["service"] == service]
-        begun += [self._closes[name] for name in endpoints if name in self._closes]
-        return max((since for since in begun if after < since <= wall), default=None)
+        starts = [m.since for m in self._moves.values() if m.row["service"] == service]
+        starts += [self._drain_starts[name] for name in endpoints if name in self._drain_starts]
+        return max((since for since in starts if after < since <= wall), default=None)
 
     def _configure_moves(self, rows: Mapping[str, MoveRow]) -> None:
         moves: dict[str, _Move] = {}
@@ -327,26 +348,29 @@
         self._revoked.append(move)
 
     def _new_move(self, row: MoveRow) -> _Move:
-        """Begin at nothing moved; only a process that has just begun takes the fleet's position."""
+        """Create a move at zero progress, or in the first document at the progress of the fleet.
+
+        Only a process that has just started continues from the elapsed time.
+        """
         value = 0.0
-        if self._first:
+        if self._is_first_document:
             elapsed = (self._clock.utcnow() - parse_instant(row["since"])).total_seconds()
             value = min(row["percent"], max(0.0, elapsed) * row["cap_percent_per_s"])
         return _Move(row, Ramp(self._clock.monotonic(), value))
 
 
-def closing_times(document: Document) -> dict[str, datetime]:
-    """Return when a drain first covers each endpoint, for those that one covers."""
+def drain_start_times(document: Document) -> dict[str, datetime]:
+    """Return when the first drain of each endpoint begins, for endpoints that have one."""
     region_of = regions_of_zones(document)
-    closes: dict[str, datetime] = {}
+    drain_starts: dict[str, datetime] = {}
     for name, drain in document.get("drains", {}).items():
         since = parse_instant(drain["since"])
         for service in document["services"].values():
             for endpoint, row in service["upstreams"].items():
                 if not _covers(name, drain, endpoint, row["zone"], region_of.get(row["zone"])):
                     continue
-                closes[endpoint] = min(since, closes.get(endpoint, since))
-    return closes
+                drain_starts[endpoint] = min(since, drain_starts.get(endpoint, since))
+    return drain_starts
 
 
 def parse_instant(text: str) -> datetime:
--- a/packages/core/src/cardamomloft/core/streams.py
+++ b/packages/core/src/cardamomloft/core/streams.py
@@ -1,7 +1,7 @@
-"""Streams of traffic, one for each rule of a service, each with its shift.
+"""Streams: the traffic of each rule of a service, with its gradual shift.
 
-After an edit of the rules a stream is made for each pair of the former and the new rule of a
-request, so that all traffic starts from where it went before, whichever rule it falls to now.
+After an edit of the rules, a stream is created for each pair of a request's previous and present
+rule. Traffic thus starts from its distribution before the edit, whichever rule it matches now.
 """
 
 import typing as t
@@ -10,60 +10,67 @@
 
 from cardamomloft.core.clock import Clock
 from cardamomloft.core.model import Request
-from cardamomloft.core.places import ServicePlaces
+from cardamomloft.core.places import ServiceState
 from cardamomloft.core.ramping import Fractions, Movement, Shift
 from cardamomloft.core.rules import Directive, RuleSet
-from cardamomloft.core.shifting import Landscape, Plan, Schedule, plan
+from cardamomloft.core.shifting import (
+    Schedule,
+    ServiceSnapshot,
+    TargetDistribution,
+    target_distribution,
+)
 
-_REFRESH = timedelta(milliseconds=10)
-_SETTLED = 1e-6
+_REFRESH_INTERVAL = timedelta(milliseconds=10)
+_SETTLED_DISTANCE = 1e-6
 
 
 class StreamKey(t.NamedTuple):
-    """Requests of a service that match `rule`, and matched `former` before the last edit."""
+    """Requests of a service that match `rule` now and matched `previous` before the last edit."""
 
     service: str
     rule: str
-    former: str
+    previous: str
 
 
 class Stream:
-    """One stream: where it should go, and where it goes by now."""
+    """One stream: the target of its traffic and its present distribution."""
 
-    def __init__(self, directive: Directive, shift: Shift, aim: Plan) -> None:
+    def __init__(self, directive: Directive, shift: Shift, target: TargetDistribution) -> None:
         self.directive = directive
         self.shift = shift
-        self.aim = aim
-        self.closed = aim.closed
+        self.target = target
+        self.closed = target.closed
         self.requests = 0
-        self._land: Landscape | None = None
+        self._snapshot: ServiceSnapshot | None = None
         self._refreshed = timedelta(0)
 
     def refresh(
-        self, land: Landscape, schedule: Schedule, places: ServicePlaces, now: timedelta
+        self, snapshot: ServiceSnapshot, schedule: Schedule, service: ServiceState, now: timedelta
     ) -> None:
-        """Bring the stream to the present; at most once in a few milliseconds, or at news."""
-        if self._land is land and now - self._refreshed < _REFRESH:
+        """Advance the stream to `now`, once per interval while the snapshot is unchanged."""
+        if self._snapshot is snapshot and now - self._refreshed < _REFRESH_INTERVAL:
             return
-        before = self.aim.overflow
-        self.aim = plan(self.directive, land, schedule.moves(places.name), places.cap)
-        if not set(self.aim.overflow) <= set(before):
-            # What grew towards other places has not moved anything to the new one yet.
+        old_overflow = self.target.overflow
+        self.target = target_distribution(
+            self.directive, snapshot, schedule.moves(service.name), service.cap
+        )
+        if not set(self.target.overflow) <= set(old_overflow):
+            # The overflow fraction grew towards the earlier zones: reset it for a new one.
             self.shift.forget_overflow()
-        gone = {zone for zone in self.shift.fractions if not land.slots.get(zone)}
-        self.closed = self.aim.closed | gone
-        target = self.aim.fractions or dict(self.shift.fractions)
-        self.shift.advance(now, target, self.closed, places.cap)
-        self._land, self._refreshed = land, now
+        gone = {zone for zone in self.shift.fractions if not snapshot.slots.get(zone)}
+        self.closed = self.target.closed | gone
+        fractions = self.target.fractions or dict(self.shift.fractions)
+        self.shift.advance(now, fractions, self.closed, service.cap)
+        self._snapshot, self._refreshed = snapshot, now
 
     @property
     def settled(self) -> bool:
-        """Whether all traffic is where it should be."""
-        return self.shift.distance(self.aim.fractions) < _SETTLED
+        """Whether the distribution has reached the target."""
+        return self.shift.distance(self.target.fractions) < _SETTLED_DISTANCE
 
 
-class _Former(t.NamedTuple):
-    """The rules before the last edit, and where their traffic went at that moment."""
+class _PreviousRules(t.NamedTuple):
+    """The rules before the last edit and the distribution of their traffic at that time."""
 
     rules: RuleSet
     fractions: Mapping[tuple[str, str], Fractions]
@@ -76,7 +83,7 @@
     Parameters
     ----------
     zone, region
-        Where this entry stands.
+        Location of this entry.
     clock
         Source of time.
     schedule
@@ -88,108 +95,114 @@
         self._region = region
         self._clock = clock
         self._schedule = schedule
-        self._former: _Former | None = None
+        self._previous: _PreviousRules | None = None
         self._streams: dict[StreamKey, Stream] = {}
 
-    def remember(self, rules: RuleSet, services: Mapping[str, ServicePlaces]) -> None:
-        """Begin anew after an edit; `rules` and `services` are those before it."""
+    def start_transition(self, rules: RuleSet, services: Mapping[str, ServiceState]) -> None:
+        """Start from the present distribution; `rules` and `services` are those before the edit."""
         slowest = min((service.cap for service in services.values()), default=1.0)
         until = self._clock.monotonic() + timedelta(seconds=1 / slowest)
-        self._former = _Former(rules, self._blended(), until)
+        self._previous = _PreviousRules(rules, self._fractions_by_rule(), until)
         self._streams = {}
 
     def get(
-        self, places: ServicePlaces, land: Landscape, req: Request, directive: Directive
+        self, service: ServiceState, snapshot: ServiceSnapshot, req: Request, directive: Directive
     ) -> Stream:
-        """Return the stream that a request belongs to, brought to the present."""
-        former = self._former_directive(req)
-        key = StreamKey(places.name, directive.rule, "" if former is None else former.rule)
+        """Return the stream of a request, advanced to the present."""
+        previous = self._previous_directive(req)
+        key = StreamKey(service.name, directive.rule, "" if previous is None else previous.rule)
         stream = self._streams.get(key)
         if stream is None:
-            stream = self._open(places, land, directive, former)
+            stream = self._create_stream(service, snapshot, directive, previous)
             self._streams[key] = stream
-        stream.refresh(land, self._schedule, places, self._clock.monotonic())
+        stream.refresh(snapshot, self._schedule, service, self._clock.monotonic())
         return stream
 
-    def of(self, service: str) -> list[Stream]:
+    def of_service(self, service: str) -> list[Stream]:
         """Return the streams of a service."""
         return [stream for key, stream in self._streams.items() if key.service == service]
 
     def forget_service(self, service: str) -> None:
-        """Drop the streams of a service that is no longer configured."""
+        """Remove the streams of a service that is no longer configured."""
         self._streams = {k: s for k, s in self._streams.items() if k.service != service}
 
-    def tidy(self) -> None:
-        """Drop the former rules once all traffic has moved to where the new ones want it."""
-        former = self._former
-        if former is None or self._clock.monotonic() < former.until:
+    def end_transition(self) -> None:
+        """Remove the previous rules once all traffic has reached its target."""
+        previous = self._previous
+        if previous is None or self._clock.monotonic() < previous.until:
             return
         if not all(stream.settled for stream in self._streams.values()):
             return
         merged: dict[StreamKey, Stream] = {}
         for key, stream in self._streams.items():
-            merged.setdefault(key._replace(former=""), stream)
-        self._streams, self._former = merged, None
+            merged.setdefault(key._replace(previous=""), stream)
+        self._streams, self._previous = merged, None
 
-    def movements(self, services: Mapping[str, ServicePlaces]) -> list[Movement]:
-        """Return all shifts under way."""
+    def movements(self, services: Mapping[str, ServiceState]) -> list[Movement]:
+        """Return all shifts in progress."""
         rows = []
         for key, stream in self._streams.items():
             if stream.settled:
                 continue
-            left = stream.shift.distance(stream.aim.fractions)
+            left = stream.shift.distance(stream.target.fractions)
             ends_in = timedelta(seconds=left / services[key.service].cap)
             fractions = dict(stream.shift.fractions)
             rows.append(Movement(key.service, key.rule, fractions, left, ends_in))
         return rows
 
-    def _former_directive(self, req: Request) -> Directive | None:
-        if self._former is None:
+    def _previous_directive(self, req: Request) -> Directive | None:
+        if self._previous is None:
             return None
-        return self._former.rules.match(req, self._zone, self._region).default_value(None)
+        return self._previous.rules.match(req, self._zone, self._region).default_value(None)
 
-    def _open(
+    def _create_stream(
         self,
-        places: ServicePlaces,
-        land: Landscape,
+        service: ServiceState,
+        snapshot: ServiceSnapshot,
         directive: Directive,
-        former: Directive | None,
+        previous: Directive | None,
     ) -> Stream:
-        """Begin where the traffic went before the edit, or where the fleet's shift is by now."""
+        """Start from the distribution before the edit, else from the fleet's progress."""
         now = self._clock.monotonic()
-        if not places.may_spill:
+        if not service.may_spill:
             directive = directive._replace(spill=())
-        aim = self._aim(places, land, directive)
-        # How far the others are with a drain that is still to come depends on when it was
-        # recorded, which the document does not say. To start before it is never ahead of them.
-        steady = land._replace(closing=())
-        if former is None or self._former is None:
-            return Stream(directive, self._resumed(places, steady, directive), aim)
-        start = self._former.fractions.get((places.name, former.rule))
+        target = self._target(service, snapshot, directive)
+        # The document does not say when an upcoming drain was recorded. Starting as if it had not
+        # begun to take effect is never ahead of the other entries.
+        before_drains = snapshot._replace(upcoming_drains=())
+        if previous is None or self._previous is None:
+            return Stream(directive, self._resumed_shift(service, before_drains, directive), target)
+        start = self._previous.fractions.get((service.name, previous.rule))
         if start is None:
-            start = self._aim(places, steady, former).fractions
-        return Stream(directive, Shift(start, now), aim)
-
-    def _aim(self, places: ServicePlaces, land: Landscape, directive: Directive) -> Plan:
-        return plan(directive, land, self._schedule.moves(places.name), places.cap)
-
-    def _resumed(self, places: ServicePlaces, land: Landscape, directive: Directive) -> Shift:
-        """Return a shift at most as far as the cap allowed since the last plan began."""
+            start = self._target(service, before_drains, previous).fractions
+        return Stream(directive, Shift(start, now), target)
+
+    def _target(
+        self, service: ServiceState, snapshot: ServiceSnapshot, directive: Directive
+    ) -> TargetDistribution:
+        return target_distribution(
+            directive, snapshot, self._schedule.moves(service.name), service.cap
+        )
+
+    def _resumed_shift(
+        self, service: ServiceState, snapshot: ServiceSnapshot, directive: Directive
+    ) -> Shift:
+        """Return a shift at most as far as the cap has allowed since the last plan began."""
         now, wall = self._clock.monotonic(), self._clock.utcnow()
-        aim = self._aim(places, land, directive)
-        recent = wall - timedelta(seconds=1 / places.cap)
-        names = [state.endpoint.name for state in places.states()]
-        since = self._schedule.last_begun(places.name, names, recent)
+        target = self._target(service, snapshot, directive)
+        recent = wall - timedelta(seconds=1 / service.cap)
+        names = [state.endpoint.name for state in service.states()]
+        since = self._schedule.last_start(service.name, names, recent)
         if since is None:
-            return Shift(aim.fractions, now)
-        before = places.before(land, self._schedule, recent)
-        moves = self._schedule.moves(places.name, begun_before=recent)
-        shift = Shift(plan(directive, before, moves, places.cap).fractions, now)
-        shift.jump(aim.fractions, places.cap * (wall - since).total_seconds())
+            return Shift(target.fractions, now)
+        earlier = service.without_recent_drains(snapshot, self._schedule, recent)
+        moves = self._schedule.moves(service.name, started_before=recent)
+        shift = Shift(target_distribution(directive, earlier, moves, service.cap).fractions, now)
+        shift.jump(target.fractions, service.cap * (wall - since).total_seconds())
         return shift
 
-    def _blended(self) -> dict[tuple[str, str], Fractions]:
-        """Return the fractions of each rule, over its streams by their requests."""
+    def _fractions_by_rule(self) -> dict[tuple[str, str], Fractions]:
+        """Return the fractions of each rule, averaged over its streams by request count."""
         weights: dict[tuple[str, str], Fractions] = {}
         for key, stream in self._streams.items():
             sums = weights.setdefault((key.service, key.rule), {})
--- a/packages/core/src/cardamomloft/core/zones.py
+++ b/packages/core/src/cardamomloft/core/zones.py
@@ -1,7 +1,7 @@
-"""How much of a zone's work its own endpoints take, and where the rest goes.
+"""Division of the requests that arrive in a zone among the endpoints of all zones.
 
-Bytes between zones cost money, and between regions time as well, but zones seldom have endpoints
-in proportion to their callers. The division depends on the registrations only, so every entry of a
+Traffic between zones costs money and traffic between regions adds latency, so zones keep their own
+requests where their slots allow. The division depends only on the registrations: every entry of a
 zone computes the same one, and it changes only when endpoints come or go.
 """
 
@@ -9,94 +9,96 @@
 from collections import Counter
 from collections.abc import Mapping
 
-LAST_RESORT = 1e-9
-"""Weight of a slot in a zone that gets nothing as long as another has endpoints."""
+FALLBACK_WEIGHT = 1e-9
+"""Weight of a slot in a zone that gets requests only when no other zone has endpoints."""
 
 
 class _Balance(t.NamedTuple):
-    """What a zone or a region lacks for its demand, and what it has over."""
+    """Slots that a zone or region needs beyond its own, and slots it has beyond its demand."""
 
-    lacks: float
-    over: float
+    deficit: float
+    surplus: float
 
 
 def slot_weights(
-    slots: Mapping[str, int], here: str, regions: Mapping[str, str]
+    slots: Mapping[str, int], arrival_zone: str, regions: Mapping[str, str]
 ) -> dict[str, float]:
-    """Return the weight of one slot of each zone for work that arrives in the zone `here`.
+    """Return the weight of one slot of each zone for requests that arrive in `arrival_zone`.
 
-    Each zone is assumed to have the same demand. One with fewer slots than that needs keeps work
-    in proportion to its slots; the rest goes to zones of the region with more, by what they have
-    over, and what the region lacks goes to other regions in the same way.
+    Each zone is assumed to have the same demand. A zone with too few slots keeps requests in
+    proportion to its slots. The rest goes to zones of its region in proportion to their surplus,
+    and what the region cannot take goes to other regions in the same way.
 
     Parameters
     ----------
     slots
         Slots of a service by zone.
-    here
-        The zone in which the work arrives.
+    arrival_zone
+        The zone in which the requests arrive.
     regions
         The region of each zone that has demand.
     """
-    fair = sum(slots.values()) / max(len(regions), 1)
-    zones = {zone: _balance(slots.get(zone, 0), fair) for zone in {*slots, *regions}}
-    shares = _shares(zones, here, regions, fair)
-    return {zone: max(LAST_RESORT, shares[zone] / count) for zone, count in slots.items() if count}
+    fair_slots = sum(slots.values()) / max(len(regions), 1)
+    zones = {zone: _balance(slots.get(zone, 0), fair_slots) for zone in {*slots, *regions}}
+    shares = _zone_fractions(zones, arrival_zone, regions, fair_slots)
+    return {
+        zone: max(FALLBACK_WEIGHT, shares[zone] / count) for zone, count in slots.items() if count
+    }
 
 
-def _balance(count: float, fair: float) -> _Balance:
-    return _Balance(max(0.0, fair - count), max(0.0, count - fair))
+def _balance(count: float, fair_slots: float) -> _Balance:
+    return _Balance(max(0.0, fair_slots - count), max(0.0, count - fair_slots))
 
 
-def _shares(
-    zones: Mapping[str, _Balance], here: str, regions: Mapping[str, str], fair: float
+def _zone_fractions(
+    zones: Mapping[str, _Balance], arrival_zone: str, regions: Mapping[str, str], fair_slots: float
 ) -> Counter[str]:
-    """Return the part of the work of `here` that each zone gets; the parts add up to 1."""
+    """Return the fraction of the arriving requests that each zone gets; they add up to 1."""
     shares: Counter[str] = Counter()
-    lacks = zones[here].lacks if here in zones else fair
-    if not fair:
+    deficit = zones[arrival_zone].deficit if arrival_zone in zones else fair_slots
+    if not fair_slots:
         return shares
-    shares[here] = 1 - lacks / fair
-    region = regions.get(here, "")
-    left = _spread_inside(shares, zones, lacks / fair, region, regions)
-    _spread_outside(shares, zones, left, region, regions)
+    shares[arrival_zone] = 1 - deficit / fair_slots
+    region = regions.get(arrival_zone, "")
+    unplaced = _distribute_in_region(shares, zones, deficit / fair_slots, region, regions)
+    _distribute_to_other_regions(shares, zones, unplaced, region, regions)
     return shares
 
 
-def _spread_inside(
+def _distribute_in_region(
     shares: Counter[str],
     zones: Mapping[str, _Balance],
-    part: float,
+    fraction: float,
     region: str,
     regions: Mapping[str, str],
 ) -> float:
-    """Give `part` of the work to zones of the region; return what finds no room there."""
+    """Give `fraction` of the requests to zones of the region; return what they cannot take."""
     inside = [zone for zone in zones if regions.get(zone) == region]
-    lacking = sum(zones[zone].lacks for zone in inside)
-    over = sum(zones[zone].over for zone in inside)
-    if not lacking or not over:
-        return part
-    placed = part * min(1.0, over / lacking)
+    region_deficit = sum(zones[zone].deficit for zone in inside)
+    surplus = sum(zones[zone].surplus for zone in inside)
+    if not region_deficit or not surplus:
+        return fraction
+    placed = fraction * min(1.0, surplus / region_deficit)
     for zone in inside:
-        shares[zone] += placed * zones[zone].over / over
-    return part - placed
+        shares[zone] += placed * zones[zone].surplus / surplus
+    return fraction - placed
 
 
-def _spread_outside(
+def _distribute_to_other_regions(
     shares: Counter[str],
     zones: Mapping[str, _Balance],
-    part: float,
+    fraction: float,
     region: str,
     regions: Mapping[str, str],
 ) -> None:
-    """Give `part` of the work to other regions, by what they have over for themselves."""
-    room: Counter[str] = Counter()
+    """Give `fraction` of the requests to other regions, by their net surplus."""
+    spare_by_zone: Counter[str] = Counter()
     for other in {*regions.values()} - {region}:
         inside = [zone for zone in zones if regions.get(zone) == other]
-        over = sum(zones[zone].over for zone in inside)
-        spare = over - sum(zones[zone].lacks for zone in inside)
+        surplus = sum(zones[zone].surplus for zone in inside)
+        spare = surplus - sum(zones[zone].deficit for zone in inside)
         for zone in inside if spare > 0 else ():
-            room[zone] = spare * zones[zone].over / over
-    total = sum(room.values())
-    for zone, count in room.items():
-        shares[zone] += part * count / total
+            spare_by_zone[zone] = spare * zones[zone].surplus / surplus
+    total = sum(spare_by_zone.values())
+    for zone, count in spare_by_zone.items():
+        shares[zone] += fraction * count / total
--- a/packages/core/tests/test_blocks.py
+++ b/packages/core/tests/test_blocks.py
@@ -1,3 +1,5 @@
+"""Lookup, changes and chunks of the client-block map."""
+
 import random
 import zlib
 
@@ -13,7 +15,7 @@
 SITES = ("north", "south", "east")
 DETERMINISTIC = settings(derandomize=True, database=None, deadline=None, max_examples=150)
 
-# Few first octets and all lengths, so that blocks nest, touch, repeat and span segments.
+# Few distinct octets and all lengths, so that blocks nest, adjoin, repeat and span segments.
 lengths = st.one_of(st.integers(0, 32), st.sampled_from((6, 7, 8, 9, 16, 24, 32)))
 networks = st.builds(
     lambda octets, length: Block(int.from_bytes(bytes(octets), "big"), 32).within(length),
@@ -32,7 +34,7 @@
 
 
 def edges(table: dict[str, str]) -> list[int]:
-    """The first and last address of each block and the ones next to it."""
+    """Return the first and last address of each block and their neighbors."""
     found = {0, 0xFFFFFFFF}
     for block in map(parse_block, table):
         found |= {block.network - 1, block.network, block.last, block.last + 1}
@@ -58,9 +60,9 @@
 
 @DETERMINISTIC
 @given(tables, tables, st.integers(1, 6))
-def test_chunks_bring_a_map_and_then_another_one_over(old, new, most):
+def test_chunks_load_a_map_and_update_it_to_another(old, new, max_blocks):
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(chunks_module, "CHUNK_BLOCKS", most)
+        patch.setattr(chunks_module, "CHUNK_BLOCKS", max_blocks)
         packed_old = BlockMap.from_blocks(old, "default").pack()
         packed_new = BlockMap.from_blocks(new, "default").pack()
     loaded = BlockMap.from_chunks("default", [chunk.data for chunk in packed_old]).ok
@@ -135,13 +137,13 @@
         packed(0, 1 << 31, ["a"], [(0, 9, 0), (0, 8, 0)]),
     ],
 )
-def test_a_broken_chunk_is_reported_and_nothing_is_loaded(chunk):
+def test_malformed_chunk_is_reported_and_nothing_is_loaded(chunk):
     assert BlockMap.from_chunks("default", [GOOD]).is_ok()
     mistake = BlockMap.from_chunks("default", [chunk]).error
     assert mistake.path == "clients.chunks.0"
 
 
-def test_chunks_that_are_missing_forged_or_overlap_are_reported():
+def test_missing_altered_or_overlapping_chunks_are_reported():
     empty = BlockMap("default")
     digest = digest_of(GOOD)
     assert "missing" in empty.with_chunks([digest], {}).error.text
@@ -155,7 +157,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "10.0.0.0/8 ", *MALFORMED.split()])
-def test_malformed_blocks_are_refused(text):
+def test_malformed_blocks_are_rejected(text):
     assert parse_block(text) is None
     with pytest.raises(ValueError, match="must be a block"):
         BlockMap.from_blocks({text: "north"}, "default")
--- a/packages/core/tests/test_hints.py
+++ b/packages/core/tests/test_hints.py
@@ -22,7 +22,7 @@
     endpoint.on_result(ok, ms(latency), reference)
 
 
-def test_a_cold_endpoint_gets_more_as_it_answers_fast():
+def test_slow_start_bound_grows_with_fast_answers():
     cold, allowed = state(cold=True), []
     for latency in (100, 90, 15, 80, 12, 11, 10):
         allowed.append(cold.slow_start.allowance)
@@ -34,7 +34,7 @@
     assert not cold.usable(ms(2))
 
 
-def test_an_endpoint_that_stays_slow_or_calls_itself_cold_for_ever_is_let_in_at_last():
+def test_slow_start_ends_for_an_endpoint_that_stays_slow_or_reports_cold():
     slow = state(cold=True)
     for at in range(4 * 16):
         slow.on_report(LoadReport(0, 4, "cold", ms(at)))
@@ -42,7 +42,7 @@
     assert not slow.cold
 
 
-def test_long_idle_caches_count_as_cold():
+def test_long_idle_endpoint_is_treated_as_cold():
     idle = state()
     run(idle, 10)
     idle.on_started(ms(59_000))
@@ -81,10 +81,10 @@
             break
         peer.eject(ms(0))
         peers = peers[1:] + peers[:1]
-    assert sum(peer.out(ms(1)) for peer in peers) == bound
+    assert sum(peer.is_ejected(ms(1)) for peer in peers) == bound
 
 
-def test_a_shed_pauses_longer_each_time():
+def test_back_off_grows_with_each_refusal():
     busy, ends = state(), []
     for _ in range(6):
         busy.on_shed(ms(0))
@@ -95,7 +95,7 @@
     assert busy.usable(ms(2050))
 
 
-def test_order_is_room_then_warm_then_load_and_outliers_come_late():
+def test_rank_orders_by_free_slots_then_warmth_then_load():
     full, cold, loaded, idle, slow = (state(number) for number in range(5))
     cold.slow_start.begin()
     loaded.on_report(LoadReport(4, 4, "ready", ms(0)))
@@ -106,9 +106,9 @@
     assert [c.state.endpoint.name for c in ranked] == ["e3", "e2", "e1", "e4", "e0"]
 
 
-def test_an_older_report_does_not_undo_a_newer_one():
+def test_older_report_does_not_replace_a_newer_one():
     endpoint = state()
     endpoint.on_report(LoadReport(0, 4, "draining", ms(10)))
     endpoint.on_report(LoadReport(0, 4, "ready", ms(5)))
-    assert endpoint.says_draining(ms(10))
-    assert not endpoint.says_draining(ms(5011))
+    assert endpoint.reports_draining(ms(10))
+    assert not endpoint.reports_draining(ms(5011))
--- a/packages/core/tests/test_requests.py
+++ b/packages/core/tests/test_requests.py
@@ -1,3 +1,5 @@
+"""Classification of requests: service, limits, priority, deadline and site."""
+
 import json
 from datetime import timedelta
 from pathlib import Path
@@ -18,7 +20,7 @@
     return classifier.classify(method, path, headers or {}, client, NOW, "kingston-a")
 
 
-def left_ms(headers) -> float:
+def remaining_ms(headers) -> float:
     return (classify(headers=headers).ok.deadline - NOW) / timedelta(milliseconds=1)
 
 
@@ -35,7 +37,7 @@
     assert req.site == "montego-bay"
 
 
-def test_the_longest_prefix_of_whole_segments_takes_a_path():
+def test_longest_prefix_of_whole_segments_selects_the_service():
     menus = PIMENTO["services"]["menus"]
     services = {
         "menus": menus,
@@ -60,29 +62,29 @@
 @pytest.mark.parametrize(
     "path", ["", "*", "menus", "http://x/menus", "/menus/../checkout", "/menus/%2E%2e", "/./menus"]
 )
-def test_paths_with_two_readings_are_refused(path):
+def test_ambiguous_paths_are_refused(path):
     assert refused(path=path) is RefusalReason.BAD_REQUEST
 
 
-def test_dots_inside_segments_are_plain():
+def test_dots_inside_segments_are_allowed():
     assert classify(path="/menus/...x/a..b/.well-known?to=/../").is_ok()
 
 
-def test_the_callers_deadline_counts_up_to_the_most():
-    assert left_ms({}) == 1500
-    assert left_ms({"x-deadline-ms": "700"}) == 700
-    assert left_ms({"x-deadline-ms": "4000"}) == 4000
-    assert left_ms({"x-deadline-ms": "9" * 18}) == 5000
+def test_callers_deadline_is_capped_at_the_service_maximum():
+    assert remaining_ms({}) == 1500
+    assert remaining_ms({"x-deadline-ms": "700"}) == 700
+    assert remaining_ms({"x-deadline-ms": "4000"}) == 4000
+    assert remaining_ms({"x-deadline-ms": "9" * 18}) == 5000
     assert refused(headers={"x-deadline-ms": "0"}) is RefusalReason.DEADLINE
 
 
 @pytest.mark.parametrize("text", ["", "-1", "1.5", "1e3", "+5", "٣", "5\n", "9" * 5000])
-def test_numbers_that_cannot_be_read_are_bad_requests(text):
+def test_malformed_numbers_are_bad_requests(text):
     assert refused(headers={"x-deadline-ms": text}) is RefusalReason.BAD_REQUEST
     assert refused(headers={"content-length": text}) is RefusalReason.BAD_REQUEST
 
 
-def test_a_caller_lowers_its_priority_and_never_raises_it():
+def test_caller_can_lower_but_not_raise_its_priority():
     assert classify(headers={"x-priority": "bulk"}).ok.priority is Priority.BULK
     assert classify(headers={"x-priority": "critical"}).ok.priority is Priority.NORMAL
     assert refused(headers={"x-priority": "urgent"}) is RefusalReason.BAD_REQUEST
@@ -112,6 +114,6 @@
     assert classify(client=None).ok.site == "kingston-a"
 
 
-def test_an_empty_map_given_outright_is_used():
+def test_explicit_empty_block_map_is_used():
     classifier = Classifier(PIMENTO, BlockMap("mandeville"))
     assert classifier.classify("GET", "/menus", {}, CLIENT, NOW, "z").ok.site == "mandeville"
--- a/packages/core/tests/test_router.py
+++ b/packages/core/tests/test_router.py
@@ -1,4 +1,4 @@
-"""One request's way through the decisions, with the real steering, admission and shares."""
+"""Requests through the router with the real steering, admission and shares."""
 
 import random
 from datetime import timedelta
@@ -60,7 +60,7 @@
         return {row.key: row.used for row in self.shares.rows() if row.used}
 
 
-def test_a_request_takes_all_its_holds_or_none():
+def test_request_acquires_all_holds_or_none():
     bench = Bench({"m-1": upstream("a", slots=4, connections=1)})
     assert isinstance(bench.submit().ok, Dispatch)
     held = bench.used()
@@ -80,7 +80,7 @@
     assert isinstance(bench.submit().ok, Waiting)
 
 
-def test_the_higher_priority_goes_first_and_equals_in_turn():
+def test_queue_is_ordered_by_priority_then_arrival():
     bench = Bench({"m-1": upstream("a")})
     running = bench.submit().ok
     orders = [Priority.BULK, Priority.NORMAL, Priority.NORMAL, Priority.CRITICAL]
@@ -93,7 +93,7 @@
     assert served == [queued[3], queued[1], queued[2], queued[0]]
 
 
-def test_an_arrival_overtakes_only_lower_priorities():
+def test_new_request_overtakes_only_lower_priorities():
     bench = Bench({"m-1": upstream("a", slots=2)})
     bench.submit()
     running = bench.submit().ok
@@ -103,7 +103,7 @@
     assert isinstance(bench.submit(Priority.CRITICAL).ok, Dispatch)
 
 
-def test_a_displaced_request_is_told_at_once_and_only_once():
+def test_evicted_request_is_reported_at_once_and_only_once():
     bench = Bench({"m-1": upstream("a")}, max_queued=1)
     running = bench.submit().ok
     bulk = bench.submit(Priority.BULK).ok.ticket
@@ -118,7 +118,7 @@
     assert bench.router.pump() == []
 
 
-def test_a_queued_caller_that_leaves_takes_no_slot():
+def test_cancelled_request_takes_no_slot():
     bench = Bench({"m-1": upstream("a")})
     running = bench.submit().ok
     waiting = bench.submit().ok.ticket
@@ -128,7 +128,7 @@
     assert bench.used() == {} and not bench.router.queued()
 
 
-def test_a_queued_request_past_its_deadline_is_dropped_as_not_run():
+def test_queued_request_past_its_deadline_is_dropped():
     bench = Bench({"m-1": upstream("a")})
     bench.submit()
     waiting = bench.submit(seconds=0.5).ok.ticket
@@ -141,22 +141,22 @@
 
 
 @pytest.mark.parametrize(
-    ("idempotent", "not_run", "repeated"),
+    ("idempotent", "not_run", "retried"),
     [(True, False, True), (True, True, True), (False, True, True), (False, False, False)],
 )
-def test_only_what_is_idempotent_or_provably_not_run_is_repeated(idempotent, not_run, repeated):
+def test_only_idempotent_or_unrun_requests_are_retried(idempotent, not_run, retried):
     bench = Bench({"m-1": upstream("a"), "m-2": upstream("a")})
     first = bench.submit(idempotent=idempotent).ok
     bench.finish(first)
-    again = bench.router.retry(first, not_run=not_run, refusal=REFUSED)
-    assert again.is_ok() == repeated
-    if repeated:
-        assert again.ok.endpoint.name != first.endpoint.name
+    retried_dispatch = bench.router.retry(first, not_run=not_run, refusal=REFUSED)
+    assert retried_dispatch.is_ok() == retried
+    if retried:
+        assert retried_dispatch.ok.endpoint.name != first.endpoint.name
     else:
-        assert again.error == REFUSED and bench.used() == {}
+        assert retried_dispatch.error == REFUSED and bench.used() == {}
 
 
-def test_retries_end_with_the_attempts_and_with_the_budget():
+def test_retries_are_limited_by_attempts_and_budget():
     bench = Bench({f"m-{n}": upstream("a") for n in range(6)})
     dispatch = bench.submit().ok
     for _ in range(2):
@@ -168,15 +168,15 @@
     for _ in range(30):
         dispatch = bench.submit().ok
         bench.finish(dispatch)
-        again = bench.router.retry(dispatch, not_run=True, refusal=REFUSED)
-        granted += again.is_ok()
-        if again.is_ok():
-            bench.finish(again.ok)
-    # Ten are saved up at the start, two of them spent above; each ten requests earn one.
+        retried_dispatch = bench.router.retry(dispatch, not_run=True, refusal=REFUSED)
+        granted += retried_dispatch.is_ok()
+        if retried_dispatch.is_ok():
+            bench.finish(retried_dispatch.ok)
+    # The budget starts with ten retries, two are spent above, and each ten requests add one.
     assert granted == 8 + 3
 
 
-def test_a_drain_keeps_queued_requests_off_the_place_they_waited_for():
+def test_drain_keeps_queued_requests_off_the_drained_place():
     upstreams = {"m-1": upstream("a"), "m-2": upstream("b")}
     bench = Bench(upstreams)
     running = [bench.submit().ok, bench.submit().ok]
@@ -193,13 +193,13 @@
         out += bench.router.pump()
     sent = [item for item in out if isinstance(item, Dispatch)]
     assert {dispatch.endpoint.zone for dispatch in sent} == {"b"}
-    # What has to wait for the cap of the shift may be refused instead; none is left or told twice.
+    # Requests that exceed the shift cap may be refused; each is reported exactly once.
     refused = [item.refusal.reason for item in out if isinstance(item, Dropped)]
     assert set(refused) <= {RefusalReason.CAP}
     assert sorted(item.ticket.number for item in out) == queued
 
 
-def test_a_service_that_is_taken_out_leaves_no_request_behind():
+def test_removed_service_leaves_no_queued_request():
     bench = Bench({"m-1": upstream("a")})
     running = bench.submit().ok
     waiting = bench.submit().ok.ticket
--- a/packages/core/tests/test_routes.py
+++ b/packages/core/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Rules by host and prefix: the first match counts, and weights are kept."""
+"""Routing rules by host and prefix, and the rotation of weighted services."""
 
 from collections import Counter
 from datetime import timedelta
@@ -39,14 +39,14 @@
 
 
 @given(st.lists(st.tuples(_hosts, _prefixes), max_size=8), _hosts, _paths)
-def test_the_table_finds_what_a_scan_finds(pairs, host, path):
+def test_table_matches_like_a_linear_scan(pairs, host, path):
     rules = [_rule(*pair, name=str(number)) for number, pair in enumerate(pairs)]
     scanned = next((r for r in rules if r.host == host and path.startswith(r.prefix)), None)
     assert RouteTable(rules).match(host, path) == scanned
 
 
 @given(st.lists(st.tuples(_hosts, _prefixes), max_size=8, unique=True), _hosts, _paths)
-def test_in_order_of_length_the_first_match_is_the_longest(pairs, host, path):
+def test_longest_prefix_first_matches_the_longest_prefix(pairs, host, path):
     rules = [_rule(*pair) for pair in pairs]
     found = RouteTable(longest_prefix_first(rules)).match(host, path)
     lengths = [len(r.prefix) for r in rules if r.host == host and path.startswith(r.prefix)]
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("host", ["A.Example", "a.example:8080"])
-def test_case_and_port_of_the_host_do_not_matter(host):
+def test_case_and_port_of_the_host_are_ignored(host):
     rule = _rule("a.example", "/x/")
     assert RouteTable([rule]).match(host, "/x/7") is rule
 
@@ -64,7 +64,7 @@
 
 
 @given(st.lists(st.integers(1, 100), min_size=1, max_size=4), st.floats(0, 1))
-def test_each_service_gets_its_share_of_any_run(weights, offset):
+def test_rotation_gives_each_service_its_share(weights, offset):
     shares = tuple(ServiceShare(f"s{i}", weight) for i, weight in enumerate(weights))
     rotation = ServiceRotation(shares, offset)
     counts = Counter(rotation.next() for _ in range(200))
--- a/packages/core/tests/test_rules.py
+++ b/packages/core/tests/test_rules.py
@@ -1,3 +1,5 @@
+"""Rule conditions, their index, and the precedence of a caller's own limits."""
+
 import json
 from datetime import timedelta
 from pathlib import Path
@@ -34,7 +36,7 @@
     "priority": st.sampled_from(("critical", "normal", "bulk")),
     "idempotent": st.booleans(),
 }
-# Half of the rules combine conditions that the index can file a rule under.
+# Half of the rules combine conditions that can serve as keys of the index.
 indexed = st.just(["path", "block", "headers"]).flatmap(st.permutations)
 chosen_conditions = st.one_of(
     st.lists(st.sampled_from(list(conditions)), max_size=3, unique=True),
@@ -81,9 +83,9 @@
 
 @DETERMINISTIC
 @given(rule_lists, st.lists(st.tuples(requests, st.sampled_from(list(ZONES))), max_size=8))
-def test_the_index_answers_as_the_plain_scan(rules, asked):
+def test_index_matches_like_a_linear_scan(rules, samples):
     rule_set = RuleSet(document(rules))
-    for req, zone in asked:
+    for req, zone in samples:
         assert matched(rule_set, req, zone) == first_match(
             scan_rules(rules, req, zone, ZONES[zone])
         )
@@ -108,9 +110,9 @@
 
 @settings(DETERMINISTIC, max_examples=300)
 @given(rule_lists, st.lists(st.tuples(heads, st.sampled_from(list(ZONES))), min_size=8))
-def test_a_rule_reported_dead_matches_nothing(rules, asked):
+def test_rule_reported_as_never_matching_matches_nothing(rules, samples):
     dead = {found.path for found in warnings(document(rules)) if "never match" in found.text}
-    for head, zone in asked:
+    for head, zone in samples:
         classified = CLASSIFIER.classify(*head, timedelta(0), zone)
         if classified.is_ok():
             name = first_match(scan_rules(rules, classified.ok, zone, ZONES[zone]))
@@ -124,7 +126,7 @@
     return base._replace(**given)
 
 
-def test_the_first_match_decides_and_refuses_or_directs():
+def test_first_match_decides():
     rules = [
         {"name": "refuse", "when": {"headers": {"x-test": "*"}}, "then": {"refuse": "no tests"}},
         {
@@ -196,7 +198,7 @@
     assert scan_rules(rules, req, "z", "r")[0].why == "client 11.0.0.1 is not in 10.0.0.0/8"
 
 
-def test_callers_cannot_make_buckets_with_invented_values():
+def test_unknown_values_create_no_buckets():
     rules = [{"name": "reads", "when": {"method": ["GET"]}, "then": HERE}]
     rule_set = RuleSet(document(rules))
     for number in range(100):
@@ -204,7 +206,7 @@
     assert len(rule_set._buckets) == 1
 
 
-def test_the_rules_deadline_and_priority_never_loosen_the_callers():
+def test_rule_does_not_extend_a_callers_deadline_or_raise_its_priority():
     now, second = timedelta(seconds=4), timedelta(seconds=1)
     directive = Directive("r", (), 3 * second, Priority.CRITICAL, 1, ())
     plain = with_directive(request(), directive, now)
--- a/packages/core/tests/test_steering.py
+++ b/packages/core/tests/test_steering.py
@@ -1,4 +1,4 @@
-"""Choices under drains, dead places, edits, restarts, spill-over and misleading reports."""
+"""Choices during drains, failovers, rule edits, restarts, spill-over and false reports."""
 
 import itertools
 import random
@@ -44,7 +44,7 @@
 
 
 class Bench:
-    """One steering with a manual clock; `dead` endpoints fail, `full` keys have no slot."""
+    """A steering with a manual clock; `dead` endpoints fail, and `full` limits have no room."""
 
     def __init__(self, doc, clock=None):
         self.clock = clock or ManualClock()
@@ -68,7 +68,7 @@
         return self.steering.choose(req, directive, **kwargs)
 
     def send(self, req=None):
-        """Choose, run the request for an instant, and return the place or the refusal."""
+        """Choose, run the request at once, and return its place or the refusal."""
         match self.choose(req):
             case Result(tag="ok", ok=choice):
                 name = choice.endpoints[0].name
@@ -80,7 +80,7 @@
                 return refusal
 
     def run(self, duration, req=None):
-        """Send a request every 10 ms; return what became of each and when."""
+        """Send a request every 10 ms; return the time and the outcome of each."""
         sent = []
         for _ in range(duration // STEP):
             self.clock.advance(STEP)
@@ -95,8 +95,8 @@
     return sum(outcome == place for _, outcome in sent) / len(sent)
 
 
-def check_rise(sent, place, cap, before):
-    """Fail if a place got more requests than its fraction may have grown to by then."""
+def check_growth(sent, place, cap, before):
+    """Fail if a place got more requests than the cap on its fraction allows."""
     begin, count, allowed = sent[0][0], 0, 0.0
     for at, outcome in sent:
         count += outcome == place
@@ -104,13 +104,13 @@
         assert count <= allowed + 2
 
 
-def test_a_drain_lets_no_new_work_in_and_what_does_not_fit_the_cap_is_refused_honestly():
+def test_drain_admits_no_new_requests_and_refuses_what_exceeds_the_cap():
     bench = Bench(document({"a1": 1, "a2": 1}))
     assert share(bench.run(seconds(2)), "a1") == 0.5
     bench.configure(document({"a1": 1, "a2": 1}, drains={"a1": bench.drain("zone")}))
     bench.steering.on_started("a1-0")
     sent = bench.run(seconds(3.5))
-    check_rise(sent, "a2", 0.2, 0.5)
+    check_growth(sent, "a2", 0.2, 0.5)
     assert share(sent, "a1") == 0
     refused = [(at, r) for at, r in sent if r != "a2"]
     assert {r.reason for _, r in refused} == {RefusalReason.CAP}
@@ -120,23 +120,23 @@
     assert row.ends_in == LATENCY
 
 
-def test_an_announced_drain_refuses_nothing():
+def test_announced_drain_refuses_no_request():
     bench = Bench(document({"a1": 1, "a2": 1}))
     drains = {"r1": bench.drain("region", after=20)}
     bench.configure(document({"a1": 1, "a2": 1}, drains=drains))
     sent = bench.run(seconds(30))
     assert all(outcome in ("a1", "a2") for _, outcome in sent)
-    check_rise(sent[1500:], "a2", 0.2, 0.5)
+    check_growth(sent[1500:], "a2", 0.2, 0.5)
     assert share(sent[:1500], "a1") == 0.5
     assert all(outcome == "a2" for at, outcome in sent if at >= seconds(20))
 
 
-def test_a_dead_place_fails_over_within_the_cap_and_comes_back_after_a_probe():
+def test_dead_place_fails_over_within_the_cap_and_recovers_after_a_probe():
     bench = Bench(document({"a1": 1, "a2": 1}))
     bench.run(seconds(1))
     bench.dead = {"a1-0", "a1-1"}
     sent = bench.run(seconds(5))
-    check_rise(sent, "a2", 0.2, 0.5)
+    check_growth(sent, "a2", 0.2, 0.5)
     found = next(i for i, (_, r) in enumerate(sent) if r not in ("a1", "a2"))
     assert found < 30
     assert share(sent[found:], "a1") < 0.02
@@ -144,11 +144,11 @@
     bench.dead = set()
     sent = bench.run(seconds(15))
     assert all(outcome in ("a1", "a2") for _, outcome in sent)
-    check_rise([row for row in sent if row[0] > seconds(6)], "a1", 0.2, 0.0)
+    check_growth([row for row in sent if row[0] > seconds(6)], "a1", 0.2, 0.0)
     assert share(sent[-200:], "a1") == pytest.approx(0.5, abs=0.01)
 
 
-def test_unsafe_requests_probe_a_dead_place_only_if_no_other_does():
+def test_non_idempotent_requests_probe_a_dead_place_only_without_others():
     bench = Bench(document({"a1": 1, "a2": 1}))
     bench.dead = {"a1-0", "a1-1"}
     bench.run(seconds(0.5))
@@ -158,7 +158,7 @@
     assert share(bench.run(seconds(4), unsafe), "a1") > 0
 
 
-def test_a_drain_during_a_failover_and_a_move_keep_to_one_cap_together():
+def test_drain_failover_and_move_share_one_cap():
     zones = {"a1": 1, "b1": 1, "a2": 2}
     bench = Bench(document(zones, cap=10.0))
     bench.run(seconds(1))
@@ -178,11 +178,11 @@
     gained = share(sent[:400], "a2") + share(sent[:400], "b2") - 0.5
     assert 0.1 < gained <= 0.2
     for place, before in (("a2", 0.5), ("b2", 0.0)):
-        check_rise(sent, place, 0.1, before)
+        check_growth(sent, place, 0.1, before)
     assert share(sent[-100:], "a2") == share(sent[-100:], "b2") == 0.5
 
 
-def test_critical_requests_go_first_into_what_fits_of_a_failover():
+def test_critical_requests_get_the_failover_capacity_first():
     bench = Bench(document({"a1": 3, "a2": 1}, cap=5.0, drains={}))
     bench.configure(document({"a1": 3, "a2": 1}, cap=5.0, drains={"a1": bench.drain("zone")}))
     rng, passed = random.Random(3), {priority: [] for priority in Priority}
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize("used", [0, 1, 2])
-def test_an_edit_of_the_rules_moves_traffic_within_the_cap_whichever_rule_it_falls_to(used):
+def test_rule_edit_shifts_traffic_within_the_cap_for_every_rule(used):
     before = rule_rows(("hot", {"path": "/m/hot"}, {"a1": 1}), ("all", {}, {"b1": 1}))
     after = rule_rows(
         ("hot", {"path": "/m/hot"}, {"b1": 1}), ("new", {}, {"a2": 1}), ("all", {}, {"b1": 1})
@@ -210,21 +210,21 @@
     for req in (hot, other)[:used]:
         bench.run(seconds(0.5), req)
     bench.configure(document({}, rules=after))
-    hot_sent, other_sent = [], []
+    sent_to_hot, sent_to_other = [], []
     for _ in range(700):
         bench.clock.advance(STEP)
-        hot_sent.append((bench.clock.monotonic(), bench.send(hot)))
-        other_sent.append((bench.clock.monotonic(), bench.send(other)))
-    check_rise(hot_sent, "b1", 0.2, 0.0)
-    check_rise(other_sent, "a2", 0.2, 0.0)
-    assert all(outcome in ("a1", "b1") for _, outcome in hot_sent)
-    assert share(other_sent[:250], "b1") > 0.7
-    assert share(hot_sent[-100:], "b1") == share(other_sent[-100:], "a2") == 1
+        sent_to_hot.append((bench.clock.monotonic(), bench.send(hot)))
+        sent_to_other.append((bench.clock.monotonic(), bench.send(other)))
+    check_growth(sent_to_hot, "b1", 0.2, 0.0)
+    check_growth(sent_to_other, "a2", 0.2, 0.0)
+    assert all(outcome in ("a1", "b1") for _, outcome in sent_to_hot)
+    assert share(sent_to_other[:250], "b1") > 0.7
+    assert share(sent_to_hot[-100:], "b1") == share(sent_to_other[-100:], "a2") == 1
     assert bench.steering.movements() == []
 
 
 @pytest.mark.parametrize("age", [2, 60])
-def test_a_restart_in_the_middle_of_a_shift_is_not_ahead_of_the_others(age):
+def test_restart_during_a_shift_is_not_ahead_of_other_entries(age):
     clock = ManualClock()
     row = {"service": "menus", "origin": "a1", "target": "a2", "percent": 100}
     row |= {"cap_percent_per_s": 10, "since": clock.utcnow().isoformat()}
@@ -236,7 +236,7 @@
     running.configure(doc)
     early = running.run(seconds(age))
     restarted = Bench(doc, clock)
-    check_rise(early, "a2", 0.1, 0.0)
+    check_growth(early, "a2", 0.1, 0.0)
     old, new = [], []
     for _ in range(100):
         clock.advance(STEP)
@@ -246,7 +246,7 @@
     assert share(new, "a2") == (1.0 if age == 60 else pytest.approx(0.25, abs=0.06))
 
 
-def test_overflow_stays_near_and_within_cap_and_spill_limit():
+def test_overflow_keeps_to_the_cap_and_the_spill_limit():
     doc = document({}, rules=[{"name": "all", "when": {}, "then": then({"a1": 1}, ["r2"])}])
     bench = Bench(doc)
     bench.full = {"slots/a1-0", "slots/a1-1"}
@@ -265,7 +265,7 @@
 
 
 @pytest.mark.parametrize("places", [{"a1": 1}, {"a2": 1, "b2": 0}])
-def test_a_place_without_a_share_is_asked_for_one_but_seldom(places):
+def test_few_requests_wait_at_a_place_without_a_share(places):
     bench = Bench(document({}, rules=[{"name": "all", "when": {}, "then": then(places, ["r2"])}]))
     bench.full = {f"slots/{zone}-{n}" for zone in ("a1", "a2") for n in (0, 1)}
     bench.full |= {"spill/menus/r2", "slots/b2-0"}
@@ -274,7 +274,7 @@
     assert 0.09 < share(sent, "a2") < 0.2
 
 
-def test_a_queued_request_keeps_its_place_until_that_closes():
+def test_queued_request_keeps_its_place_until_the_place_closes():
     bench = Bench(document({"a1": 1, "a2": 1}, cap=100.0))
     assert {bench.choose(place="a2").ok.place for _ in range(5)} == {"a2"}
     bench.configure(document({"a1": 1, "a2": 1}, cap=100.0, drains={"a2": bench.drain("zone")}))
@@ -287,7 +287,7 @@
     assert bench.choose(place="a2").ok.place == "a1"
 
 
-def test_a_drain_that_comes_too_soon_for_its_cap_still_begins_on_time():
+def test_drain_with_too_short_notice_for_its_cap_begins_on_time():
     bench = Bench(document({"a1": 1, "a2": 1}, cap=1.0))
     drains = {"a1": bench.drain("zone", after=2.005)}
     bench.configure(document({"a1": 1, "a2": 1}, cap=1.0, drains=drains))
@@ -309,19 +309,19 @@
     return used
 
 
-def lie(bench, zone="a1", count=4):
+def report_draining(bench, zone="a1", count=4):
     for number in range(count):
         bench.steering.on_report(f"{zone}-{number}", report(bench, "draining"))
 
 
 def check_bound(used, zone="a1", count=4):
-    """Fail if more than half of a zone's endpoints were left out."""
+    """Fail if more than half of a zone's endpoints were excluded."""
     assert sum(f"{zone}-{number}" in used for number in range(count)) >= count / 2
 
 
-def test_health_that_lies_about_a_whole_zone_cannot_empty_it():
+def test_false_drain_reports_cannot_empty_a_zone():
     bench = Bench(document({"a1": 1}, per_zone=4))
-    lie(bench)
+    report_draining(bench)
     used = used_endpoints(bench)
     check_bound(used)
     assert len(used) == 2
@@ -331,28 +331,28 @@
     assert len(used_endpoints(bench)) == 4
 
 
-def test_check_catches_an_ejection_without_bound(monkeypatch):
-    monkeypatch.setattr(hints, "MAX_EJECTED", 1.0)
+def test_check_bound_detects_unbounded_ejection(monkeypatch):
+    monkeypatch.setattr(hints, "MAX_EJECTED_FRACTION", 1.0)
     bench = Bench(document({"a1": 1}, per_zone=4))
-    lie(bench)
+    report_draining(bench)
     with pytest.raises(AssertionError):
         check_bound(used_endpoints(bench))
 
 
-def test_a_leaving_endpoint_gets_no_work_once_a_refusal_or_the_platform_confirms_it():
+def test_leaving_endpoint_gets_no_requests_once_confirmed():
     bench = Bench(document({"a1": 1}, per_zone=4))
-    lie(bench)
+    report_draining(bench)
     kept, _ = used_endpoints(bench)
     bench.steering.on_shed(kept)
     bench.clock.advance(seconds(2))
-    lie(bench)
+    report_draining(bench)
     assert kept not in used_endpoints(bench)
     bench.clock.advance(seconds(10))
     bench.steering.on_leaving(["a1-3"])
     assert used_endpoints(bench) == {"a1-0", "a1-1", "a1-2"}
 
 
-def test_lost_and_stale_reports_change_nothing():
+def test_lost_and_expired_reports_are_ignored():
     bench = Bench(document({"a1": 1}))
     bench.steering.on_report("a1-0", report(bench, "ready", running=4))
     assert {bench.choose().ok.endpoints[0].name for _ in range(6)} == {"a1-1"}
@@ -363,7 +363,7 @@
     assert {bench.choose().ok.endpoints[0].name for _ in range(6)} == {"a1-0", "a1-1"}
 
 
-def test_many_endpoints_are_all_used_and_a_free_one_is_found():
+def test_all_of_many_endpoints_are_used_and_a_free_one_is_found():
     bench = Bench(document({"a1": 1}, per_zone=40))
     assert len({bench.choose().ok.endpoints[0].name for _ in range(40)}) == 40
     bench.full = {f"slots/a1-{number}" for number in range(40) if number != 7}
@@ -371,8 +371,8 @@
 
 
 @pytest.mark.parametrize("overflow_before", [(), ("a2",)])
-def test_what_waited_for_a_full_place_does_not_jump_to_the_target_of_a_move(overflow_before):
-    """Fullness with nowhere to go must not add up to a jump once a move opens a place."""
+def test_overflow_demand_does_not_jump_to_the_target_of_a_move(overflow_before):
+    """Unmet overflow demand must not accumulate and go to a new zone at once."""
     rules = [{"name": "all", "when": {}, "then": then({"a1": 1}, spill=["r2"])}]
     if not overflow_before:
         rules[0]["then"]["spill"] = []
@@ -387,5 +387,5 @@
     rows = {"m": {**move, "cap_percent_per_s": 10.0}}
     bench.configure(document({}, cap=10.0, rules=rules, moves=rows))
     sent = bench.run(seconds(4))
-    check_rise(sent, "b1", 0.1, 0.0)
+    check_growth(sent, "b1", 0.1, 0.0)
     assert share(sent, "b1") > 0.1
