--- a/packages/core/src/cardamomloft/core/blocks.py
+++ b/packages/core/src/cardamomloft/core/blocks.py
@@ -328,15 +328,15 @@
         """Add blocks that the map does not contain yet."""
         rows.sort()
         for octet, group in itertools.groupby(rows, key=lambda row: row[0] >> 24):
-            narrow = []
+            segment_rows = []
             for row in group:
                 if row[1] < _SEGMENT_LENGTH:
                     self._short_blocks[Block(*row[:2])] = row[2]
                 else:
-                    narrow.append(row)
+                    segment_rows.append(row)
             if self._segments[octet].starts:
-                narrow = sorted([*self._segments[octet].rows(), *narrow])
-            self._segments[octet] = _build_segment(narrow, self._typecode())
+                segment_rows = sorted([*self._segments[octet].rows(), *segment_rows])
+            self._segments[octet] = _build_segment(segment_rows, self._typecode())
 
 
 def block_mistakes(path: Sequence[object], blocks: Mapping[str, str]) -> Iterator[Mistake]:
--- a/packages/core/src/cardamomloft/core/places.py
+++ b/packages/core/src/cardamomloft/core/places.py
@@ -1,7 +1,8 @@
 """The zones of one service: which are open, dead or about to drain, and their eligible endpoints.
 
-A zone is dead only if this entry's own last requests to each of its endpoints failed. Load reports
-alone never close a zone, and the fraction of endpoints ejected at one time is bounded.
+A zone is dead only if, by this entry's own requests, each of its open endpoints fails or has
+refused a request while it reports a drain. Load reports alone never close a zone, and the fraction
+of endpoints ejected at one time is bounded.
 """
 
 import random
--- a/packages/core/src/cardamomloft/core/requests.py
+++ b/packages/core/src/cardamomloft/core/requests.py
@@ -8,7 +8,7 @@
 from cardamomloft.core.blocks import BlockMap
 from cardamomloft.core.document import Document, ServiceRow
 from cardamomloft.core.model import Priority, Refusal, RefusalReason, Request
-from cardamomloft.core.rules import bare_path, clean_prefix, path_prefixes
+from cardamomloft.core.rules import clean_prefix, path_prefixes, path_without_query
 from expression import Error, Ok, Result
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
@@ -118,7 +118,7 @@
         return self._blocks.site_of(client)
 
     def _service_of(self, path: str) -> _Service | Refusal:
-        bare = bare_path(path)
+        bare = path_without_query(path)
         # The upstream may resolve dot segments, which would bypass rules on paths.
         if not bare.startswith("/") or _DOT_SEGMENT.search(bare):
             return Refusal(
--- a/packages/core/src/cardamomloft/core/router.py
+++ b/packages/core/src/cardamomloft/core/router.py
@@ -214,7 +214,9 @@
 
     def queued(self) -> Counter[str]:
         """Return the number of queued requests by service."""
-        return Counter(entry.ticket.req.service for entry in self._queued_requests.values())
+        return Counter(
+            queued_request.ticket.req.service for queued_request in self._queued_requests.values()
+        )
 
     def region_of(self, zone: str) -> str:
         """Return the region of a zone, or an empty string if the zone is unknown."""
@@ -233,10 +235,10 @@
     def report_wants(self) -> None:
         """Report to the shares how much more of each limit the queued requests need."""
         unmet: dict[str, float] = {}
-        for entry in self._queued_requests.values():
-            keys = _choice_limit_keys(entry.choice)
+        for queued_request in self._queued_requests.values():
+            keys = _choice_limit_keys(queued_request.choice)
             for key in keys:
-                unmet[key] = unmet.get(key, 0.0) + 1 / len(entry.choice.endpoints)
+                unmet[key] = unmet.get(key, 0.0) + 1 / len(queued_request.choice.endpoints)
         for key in self._demanded_keys - unmet.keys():
             self.shares.want(key, 0)
         for key, amount in unmet.items():
@@ -271,16 +273,16 @@
             case Result(ok=evicted):
                 self._queued_requests[ticket.number] = _QueuedRequest(ticket, choice)
         if evicted is not None:
-            entry = self._queued_requests.pop(evicted.item.number)
-            self._evictions.append(Dropped(entry.ticket, evicted.refusal))
+            queued_request = self._queued_requests.pop(evicted.item.number)
+            self._evictions.append(Dropped(queued_request.ticket, evicted.refusal))
         self.report_wants()
         return Ok(Waiting(ticket))
 
     def _pump_queue(self, queue: QueueKey) -> list[Dispatch | Dropped]:
         out: list[Dispatch | Dropped] = []
         while (item := self.admission.peek(*queue)) is not None:
-            entry = self._queued_requests[item.number]
-            outcome = self._dispatch_queued(entry)
+            queued_request = self._queued_requests[item.number]
+            outcome = self._dispatch_queued(queued_request)
             if outcome is None:
                 break
             self.admission.pop(*queue)
@@ -288,9 +290,9 @@
             out.append(outcome)
         return out
 
-    def _dispatch_queued(self, entry: _QueuedRequest) -> Dispatch | Dropped | None:
+    def _dispatch_queued(self, queued_request: _QueuedRequest) -> Dispatch | Dropped | None:
         """Repeat the choice at the request's place, since conditions may have changed."""
-        ticket, place = entry.ticket, entry.choice.place
+        ticket, place = queued_request.ticket, queued_request.choice.place
         match self.steering.choose(ticket.req, ticket.directive, ticket.excluded, place):
             case Result(tag="ok", ok=choice):
                 return self._try_dispatch(ticket, choice)
--- a/packages/core/src/cardamomloft/core/rules.py
+++ b/packages/core/src/cardamomloft/core/rules.py
@@ -45,7 +45,7 @@
     why: str
 
 
-def bare_path(path: str) -> str:
+def path_without_query(path: str) -> str:
     """Return `path` without its query."""
     return path.partition("?")[0]
 
@@ -130,7 +130,7 @@
 
 
 def _unmet_path(wanted: str, context: _RequestContext) -> str | None:
-    path = bare_path(context.req.path)
+    path = path_without_query(context.req.path)
     if is_under(path, clean_prefix(wanted)):
         return None
     return f"path {path} is not under {wanted}"
@@ -297,7 +297,7 @@
         Refusal
             RULE if that rule refuses, NO_RULE if none matches.
         """
-        path = bare_path(req.path)
+        path = path_without_query(req.path)
         for index in self._bucket(req, zone, region).candidates(path, req):
             rule = self._rules[index]
             if rule.holds(path, req):
--- a/packages/core/src/cardamomloft/core/shifting.py
+++ b/packages/core/src/cardamomloft/core/shifting.py
@@ -15,7 +15,7 @@
 from cardamomloft.core.rules import Directive, WeightedPlace
 
 DRAIN_LEAD = timedelta(seconds=1)
-"""How long before an announced drain begins its traffic should have moved."""
+"""Lead time by which traffic has moved before an announced drain begins."""
 
 _DRAIN_CAP_FRACTION = 0.8
 
@@ -41,7 +41,7 @@
     `region` and `zone` locate this entry. `slots` has the slots of the endpoints that are not
     drained, for each zone with endpoints, and `base_slots` those that belong to this entry's base
     shares. In `drained` zones every endpoint is drained or reported as leaving. In `dead` zones
-    each of the others fails or has confirmed that it is leaving.
+    every open endpoint fails or is confirmed to be draining.
     """
 
     region: str
--- a/packages/core/src/cardamomloft/core/steering.py
+++ b/packages/core/src/cardamomloft/core/steering.py
@@ -231,8 +231,8 @@
                 zone = service.zones[name]
                 traffic = max((shift.on({name}) for shift in shifts), default=0.0)
                 median = median_latency(zone.states) or _ZERO
-                drain_time = median if zone.running else _ZERO
-                ends_in = timedelta(seconds=traffic / service.cap) + drain_time
+                in_flight_time = median if zone.running else _ZERO
+                ends_in = timedelta(seconds=traffic / service.cap) + in_flight_time
                 rows.append(DrainProgress(service.name, name, traffic, zone.running, ends_in))
         return rows
 
@@ -307,7 +307,7 @@
     def _choose_probe(
         self, service: ServiceState, stream: Stream, req: Request, exclude: frozenset[str]
     ) -> Choice | None:
-        """Send this request as a probe if a dead zone of its rule is due for one."""
+        """Choose the probe of a dead zone of the rule for this request, if one is due."""
         snapshot = self._snapshot_of(service)
         for name in sorted(stream.closed & stream.target.primary & snapshot.dead):
             state = service.zones[name].probe(req, exclude, self._free, self._clock.monotonic())
--- a/packages/core/src/cardamomloft/core/zones.py
+++ b/packages/core/src/cardamomloft/core/zones.py
@@ -40,9 +40,11 @@
     """
     fair_slots = sum(slots.values()) / max(len(regions), 1)
     zones = {zone: _balance(slots.get(zone, 0), fair_slots) for zone in {*slots, *regions}}
-    shares = _zone_fractions(zones, arrival_zone, regions, fair_slots)
+    fractions = _zone_fractions(zones, arrival_zone, regions, fair_slots)
     return {
-        zone: max(FALLBACK_WEIGHT, shares[zone] / count) for zone, count in slots.items() if count
+        zone: max(FALLBACK_WEIGHT, fractions[zone] / count)
+        for zone, count in slots.items()
+        if count
     }
 
 
@@ -53,20 +55,23 @@
 def _zone_fractions(
     zones: Mapping[str, _Balance], arrival_zone: str, regions: Mapping[str, str], fair_slots: float
 ) -> Counter[str]:
-    """Return the fraction of the arriving requests that each zone gets; they add up to 1."""
-    shares: Counter[str] = Counter()
+    """Return the fraction of the arriving requests that each zone gets.
+
+    The fractions add up to 1 if every zone with slots has a region.
+    """
+    fractions: Counter[str] = Counter()
     deficit = zones[arrival_zone].deficit if arrival_zone in zones else fair_slots
     if not fair_slots:
-        return shares
-    shares[arrival_zone] = 1 - deficit / fair_slots
+        return fractions
+    fractions[arrival_zone] = 1 - deficit / fair_slots
     region = regions.get(arrival_zone, "")
-    unplaced = _distribute_in_region(shares, zones, deficit / fair_slots, region, regions)
-    _distribute_to_other_regions(shares, zones, unplaced, region, regions)
-    return shares
+    unplaced = _distribute_in_region(fractions, zones, deficit / fair_slots, region, regions)
+    _distribute_to_other_regions(fractions, zones, unplaced, region, regions)
+    return fractions
 
 
 def _distribute_in_region(
-    shares: Counter[str],
+    fractions: Counter[str],
     zones: Mapping[str, _Balance],
     fraction: float,
     region: str,
@@ -80,12 +85,12 @@
         return fraction
     placed = fraction * min(1.0, surplus / region_deficit)
     for zone in inside:
-        shares[zone] += placed * zones[zone].surplus / surplus
+        fractions[zone] += placed * zones[zone].surplus / surplus
     return fraction - placed
 
 
 def _distribute_to_other_regions(
-    shares: Counter[str],
+    fractions: Counter[str],
     zones: Mapping[str, _Balance],
     fraction: float,
     region: str,
@@ -101,4 +106,4 @@
             spare_by_zone[zone] = spare * zones[zone].surplus / surplus
     total = sum(spare_by_zone.values())
     for zone, count in spare_by_zone.items():
-        shares[zone] += fraction * count / total
+        fractions[zone] += fraction * count / total
--- a/packages/core/tests/test_rules.py
+++ b/packages/core/tests/test_rules.py
@@ -211,8 +211,8 @@
     directive = Directive("r", (), 3 * second, Priority.CRITICAL, 1, ())
     plain = with_directive(request(), directive, now)
     assert (plain.deadline, plain.priority) == (7 * second, Priority.CRITICAL)
-    asked = {"x-deadline-ms": "1000", "x-priority": "bulk"}
-    own = with_directive(request(headers=asked, priority=Priority.BULK), directive, now)
+    caller_headers = {"x-deadline-ms": "1000", "x-priority": "bulk"}
+    own = with_directive(request(headers=caller_headers, priority=Priority.BULK), directive, now)
     assert (own.deadline, own.priority) == (5 * second, Priority.BULK)
     longer = with_directive(
         request(headers={"x-deadline-ms": "9000"}, deadline=13 * second), directive, now
--- a/packages/core/tests/test_zones.py
+++ b/packages/core/tests/test_zones.py
@@ -34,22 +34,22 @@
 
 def test_zone_deficit_goes_to_its_region_first():
     slots = {"e1": 4, "e2": 12, "n1": 8, "n2": 8, "w1": 8, "w2": 8}
-    shares = _zone_fractions(slots, "e1")
-    assert shares["e1"] == pytest.approx(0.5)
-    assert shares["e2"] == pytest.approx(0.5)
+    fractions = _zone_fractions(slots, "e1")
+    assert fractions["e1"] == pytest.approx(0.5)
+    assert fractions["e2"] == pytest.approx(0.5)
 
 
 def test_region_deficit_goes_to_regions_with_surplus():
     slots = {"e1": 4, "e2": 4, "n1": 12, "n2": 12, "w1": 8, "w2": 8}
-    shares = _zone_fractions(slots, "e1")
-    assert shares["e1"] == pytest.approx(0.5)
-    assert shares["n1"] == shares["n2"] == pytest.approx(0.25)
-    assert shares["w1"] < 1e-6
+    fractions = _zone_fractions(slots, "e1")
+    assert fractions["e1"] == pytest.approx(0.5)
+    assert fractions["n1"] == fractions["n2"] == pytest.approx(0.25)
+    assert fractions["w1"] < 1e-6
 
 
 def test_zone_without_a_region_gets_only_the_fallback_weight():
-    shares = _zone_fractions({"e1": 4, "x": 20}, "e1", {"e1": "east"})
-    assert shares["e1"] == pytest.approx(1)
+    fractions = _zone_fractions({"e1": 4, "x": 20}, "e1", {"e1": "east"})
+    assert fractions["e1"] == pytest.approx(1)
 
 
 def test_every_zone_keeps_the_fallback_weight():
