--- a/packages/core/src/cardamomloft/core/checking.py
+++ b/packages/core/src/cardamomloft/core/checking.py
@@ -23,9 +23,9 @@
 
 T = t.TypeVar("T")
 Checked = Result[T, tuple[Mistake, ...]]
-_Trait = tuple[t.Any, ...]
+_IndexKey = tuple[t.Any, ...]
 
-_KIND_NAMES = {
+_JSON_TYPE_NAMES = {
     dict: "an object",
     list: "a list",
     str: "text",
@@ -35,12 +35,12 @@
     type(None): "null",
 }
 
-_PATTERN_HELP = {
+_PATTERN_MESSAGES = {
     "^[a-z0-9][a-z0-9.-]{0,62}$": "must be a name of at most 63 small letters, digits, . and -",
     r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$": "must be an address like 127.0.0.1:8080",
 }
 
-_TYPE_HELP = {
+_TYPE_MESSAGES = {
     "dict_type": "must be an object",
     "list_type": "must be a list",
     "string_type": "must be text",
@@ -50,7 +50,7 @@
     "bool_type": "must be true or false",
 }
 
-_RANGE_HELP = {
+_RANGE_MESSAGES = {
     "greater_than_equal": ("at least", "ge"),
     "greater_than": ("above", "gt"),
     "less_than_equal": ("at most", "le"),
@@ -119,10 +119,10 @@
     A rule is reported only where it provably cannot match: because of its own conditions, or
     because one earlier rule matches all that it does.
     """
-    dead = dict(_dead_rules(document))
+    unreachable = dict(_unreachable_rules(document))
     return (
-        *(Mistake(dotted("rules", name), why) for name, why in dead.items()),
-        *_unreached_services(document, dead),
+        *(Mistake(dotted("rules", name), reason) for name, reason in unreachable.items()),
+        *_unreachable_services(document, unreachable),
         *_empty_places(document),
         *_drained_services(document),
         *_zones_without_entries(document),
@@ -160,7 +160,7 @@
 
 def _mistake(error: ErrorDetails, raw: object) -> Mistake:
     parts = [part for part in error["loc"] if part != "[key]"]
-    return Mistake(dotted(*_named_rows(parts, raw)), _text(error))
+    return Mistake(dotted(*_named_rows(parts, raw)), _message(error))
 
 
 def _named_rows(parts: list[t.Any], raw: t.Any) -> Iterator[object]:
@@ -177,40 +177,46 @@
     return isinstance(raw, dict) and part in raw
 
 
-def _text(error: ErrorDetails) -> str:
+def _message(error: ErrorDetails) -> str:
     kind, value, ctx = error["type"], error["input"], error.get("ctx", {})
     if kind == "extra_forbidden":
         return "unknown key"
     if kind == "missing":
         return "missing"
-    if kind in _RANGE_HELP:
-        words, bound = _RANGE_HELP[kind]
-        return f"must be {words} {_plain(ctx[bound])}, is {value}"
+    if kind in _RANGE_MESSAGES:
+        words, bound = _RANGE_MESSAGES[kind]
+        return f"must be {words} {_int_if_whole(ctx[bound])}, is {value}"
     if kind == "literal_error":
         return f"must be {ctx['expected']}, is {value!r}"
     if kind == "string_pattern_mismatch":
-        return f"{_PATTERN_HELP.get(ctx['pattern'], 'must match ' + ctx['pattern'])}, is {value!r}"
-    if kind in _TYPE_HELP:
+        return (
+            f"{_PATTERN_MESSAGES.get(ctx['pattern'], 'must match ' + ctx['pattern'])}, is {value!r}"
+        )
+    if kind in _TYPE_MESSAGES:
         shown = (
-            value if isinstance(value, float) else _KIND_NAMES.get(type(value), "something else")
+            value
+            if isinstance(value, float)
+            else _JSON_TYPE_NAMES.get(type(value), "something else")
         )
-        return f"{_TYPE_HELP[kind]}, is {shown}"
+        return f"{_TYPE_MESSAGES[kind]}, is {shown}"
     return error["msg"]
 
 
-def _plain(bound: float) -> float:
+def _int_if_whole(bound: float) -> float:
     """Return `bound` as an integer if it is a whole number."""
     return int(bound) if bound == int(bound) else bound
 
 
-def _dead_rules(document: Document) -> Iterator[tuple[str, str]]:
-    earlier: defaultdict[_Trait, list[RuleRow]] = defaultdict(list)
+def _unreachable_rules(document: Document) -> Iterator[tuple[str, str]]:
+    earlier: defaultdict[_IndexKey, list[RuleRow]] = defaultdict(list)
     for rule in document["rules"]:
-        why = _contradiction(rule["when"], document) or _shadow(rule["when"], earlier, document)
-        if why:
-            yield rule["name"], f"can never match: {why}"
+        reason = _contradiction(rule["when"], document) or _shadowing_rule(
+            rule["when"], earlier, document
+        )
+        if reason:
+            yield rule["name"], f"can never match: {reason}"
         else:
-            earlier[_trait(rule["when"])].append(rule)
+            earlier[_index_key(rule["when"])].append(rule)
 
 
 def _contradiction(when: When, document: Document) -> str | None:
@@ -220,7 +226,7 @@
     if "service" not in when:
         return None
     service = document["services"][when["service"]]
-    if "path" in when and not _meet(when["path"], service["prefix"]):
+    if "path" in when and not _overlap(when["path"], service["prefix"]):
         return f"path {when['path']} is not one of service {when['service']}"
     # Callers may lower a priority but not raise it.
     if "priority" in when and Priority[when["priority"].upper()] < service_priority(service):
@@ -232,15 +238,17 @@
     return None
 
 
-def _shadow(when: When, earlier: Mapping[_Trait, list[RuleRow]], document: Document) -> str | None:
-    for trait in _implied_traits(when, document):
-        for other in earlier.get(trait, ()):
+def _shadowing_rule(
+    when: When, earlier: Mapping[_IndexKey, list[RuleRow]], document: Document
+) -> str | None:
+    for index_key in _covering_index_keys(when, document):
+        for other in earlier.get(index_key, ()):
             if _covers(other["when"], when, document):
                 return f"rule {other['name']} comes first and matches all that it does"
     return None
 
 
-def _trait(when: When) -> _Trait:
+def _index_key(when: When) -> _IndexKey:
     """Return one condition to file a rule under, so that few rules need to be compared."""
     if "path" in when:
         return ("path", clean_prefix(when["path"]))
@@ -251,7 +259,7 @@
     return ("service", when.get("service"))
 
 
-def _implied_traits(when: When, document: Document) -> Iterator[_Trait]:
+def _covering_index_keys(when: When, document: Document) -> Iterator[_IndexKey]:
     """Yield the traits of all rules that can match whatever `when` does."""
     yield from (("service", None), ("service", when.get("service")), ("headers",))
     for path in _implied_paths(when, document):
@@ -304,18 +312,18 @@
     return name in given and value in (ANY_VALUE, given[name])
 
 
-def _meet(path: str, prefix: str) -> bool:
+def _overlap(path: str, prefix: str) -> bool:
     """Tell whether some request path is under both prefixes."""
-    one, other = clean_prefix(path), clean_prefix(prefix)
-    return is_under(one, other) or is_under(other, one)
+    first, second = clean_prefix(path), clean_prefix(prefix)
+    return is_under(first, second) or is_under(second, first)
 
 
-def _unreached_services(document: Document, dead: Mapping[str, str]) -> Iterator[Mistake]:
+def _unreachable_services(document: Document, unreachable: Mapping[str, str]) -> Iterator[Mistake]:
     for name, service in document["services"].items():
-        alive = (rule["when"] for rule in document["rules"] if rule["name"] not in dead)
+        reachable = (rule["when"] for rule in document["rules"] if rule["name"] not in unreachable)
         if not any(
-            when.get("service", name) == name and _meet(when.get("path", "/"), service["prefix"])
-            for when in alive
+            when.get("service", name) == name and _overlap(when.get("path", "/"), service["prefix"])
+            for when in reachable
         ):
             yield Mistake(dotted("services", name), "no rule can match, so all is refused")
 
@@ -326,11 +334,15 @@
         service = rule["when"].get("service")
         for at, place in enumerate(rule["then"].get("places", ())):
             zones = _zones_of(place.get("region"), place.get("zone"), document)
-            if service is not None and place["weight"] and not zones & _homes(service, document):
+            if (
+                service is not None
+                and place["weight"]
+                and not zones & _upstream_zones(service, document)
+            ):
                 path = dotted("rules", rule["name"], "then", "places", at)
                 yield Mistake(path, f"there is no upstream of service {service} there")
     for name, move in document.get("moves", {}).items():
-        if move["target"] not in _homes(move["service"], document):
+        if move["target"] not in _upstream_zones(move["service"], document):
             text = f"there is no upstream of service {move['service']} there"
             yield Mistake(dotted("moves", name, "target"), text)
 
@@ -339,7 +351,7 @@
     return {zone} if zone is not None else set(document["regions"][t.cast(str, region)])
 
 
-def _homes(service: str, document: Document) -> set[str]:
+def _upstream_zones(service: str, document: Document) -> set[str]:
     return {upstream["zone"] for upstream in document["services"][service]["upstreams"].values()}
 
 
--- a/packages/core/src/cardamomloft/core/chunks.py
+++ b/packages/core/src/cardamomloft/core/chunks.py
@@ -1,7 +1,7 @@
-"""Chunks: the packed form in which the client-block map is stored and passed on.
+"""Chunks: the packed form in which the client-block map is stored and transferred.
 
-A chunk holds every block that starts in a range of addresses. Its bytes are taken only if they
-match their digest and do not contradict themselves.
+A chunk holds every block that starts in a range of addresses. It is accepted only if its bytes
+match its digest and its contents are consistent.
 """
 
 import hashlib
@@ -18,24 +18,24 @@
 from cardamomloft.core.addresses import HOSTMASKS, LAST_ADDRESS
 
 CHUNK_BLOCKS = 8192
-"""Most blocks in one packed chunk; below 100 kB before compression, whatever the blocks."""
+"""Maximum number of blocks in one packed chunk."""
 
 MAX_CHUNK_BYTES = 1_000_000
-"""Most bytes of a chunk, packed or unpacked."""
+"""Maximum size of a chunk, packed or unpacked."""
 
 Row = tuple[int, int, int]
 """Network, length and site of one block."""
 
 
 class Chunk(t.NamedTuple):
-    """Part of a packed map and its name: the hexadecimal SHA-256 of the bytes."""
+    """One part of a packed map and the hexadecimal SHA-256 digest that identifies it."""
 
     digest: str
     data: bytes
 
 
 class Range(t.NamedTuple):
-    """Addresses from `first` to `last`."""
+    """The addresses from `first` to `last`, both included."""
 
     first: int
     last: int
@@ -44,8 +44,8 @@
 class Payload(t.NamedTuple):
     """A chunk before compression: every block that starts in `first` to `last`.
 
-    The arrays are little-endian: 32-bit steps between starts, 8-bit lengths, 16-bit indices into
-    `names`.
+    The arrays are little-endian: `steps` has the 32-bit differences between successive network
+    addresses, `lengths` the 8-bit prefix lengths, and `sites` 16-bit indices into `names`.
     """
 
     first: int
@@ -56,19 +56,19 @@
     sites: bytes
 
     def rows(self, sites: Sequence[int]) -> Iterator[Row]:
-        """Yield the blocks; `sites` holds the map's index of each of `names`."""
+        """Yield the blocks; `sites` maps each index into `names` to the map's site index."""
         networks = itertools.accumulate(_from_bytes("I", self.steps))
         indices = map(sites.__getitem__, _from_bytes("H", self.sites))
         return zip(networks, self.lengths, indices, strict=True)
 
 
 def digest_of(data: bytes) -> str:
-    """Return the name under which a chunk is kept."""
+    """Return the hexadecimal SHA-256 digest that identifies a chunk."""
     return hashlib.sha256(data).hexdigest()
 
 
 def cut_chunks(starts: "array[int]") -> Iterator[tuple[Range, int, int]]:
-    """Yield each chunk's range of addresses and its part of `starts`."""
+    """Yield each chunk's range of addresses and the slice bounds of its blocks in `starts`."""
     todo = [(0, LAST_ADDRESS, 0, len(starts))]
     while todo:
         first, last, low, high = todo.pop()
@@ -81,13 +81,13 @@
 
 
 def overlapping(spans: Iterable[Range]) -> bool:
-    """Tell whether two of the ranges share an address."""
+    """Return whether two of the ranges share an address."""
     ordered = sorted(spans)
     return any(after.first <= before.last for before, after in itertools.pairwise(ordered))
 
 
 def pack_chunk(span: Range, rows: Sequence[Row], names: Sequence[str]) -> Chunk:
-    """Pack the sorted rows that start in `span`; `names` are the map's sites."""
+    """Pack the sorted rows that start in `span`; `names` holds the site names of the map."""
     networks, lengths, sites = zip(*rows, strict=True)
     used = sorted(set(sites), key=names.__getitem__)
     local = {site: at for at, site in enumerate(used)}
@@ -105,7 +105,7 @@
 
 
 def unpack_chunk(digest: str, data: bytes | None) -> Payload | str:
-    """Return a chunk's checked payload, or what is wrong with it."""
+    """Return a chunk's validated payload, or a message that says what is wrong with it."""
     if data is None:
         return f"chunk {digest} is missing"
     if digest_of(data) != digest:
@@ -115,9 +115,9 @@
         raw = inflate.decompress(data, MAX_CHUNK_BYTES)
         payload = msgspec.msgpack.decode(raw, type=Payload)
     except (zlib.error, msgspec.DecodeError) as exc:
-        return f"chunk {digest} cannot be read: {exc}"
+        return f"chunk {digest} cannot be decoded: {exc}"
     if not inflate.eof or not _consistent(payload):
-        return f"chunk {digest} contradicts itself"
+        return f"chunk {digest} is truncated or has inconsistent contents"
     return payload
 
 
@@ -135,7 +135,7 @@
     hosts = map(HOSTMASKS.__getitem__, payload.lengths)
     if any(map(operator.and_, networks, hosts)):
         return False
-    # Steps are not negative, so only blocks with one start can be out of order.
+    # Steps are unsigned, so only blocks with the same network address can be out of order.
     pairs = zip(networks, payload.lengths, strict=True)
     return all(one < other for one, other in itertools.pairwise(pairs))
 
--- a/packages/core/src/cardamomloft/core/difference.py
+++ b/packages/core/src/cardamomloft/core/difference.py
@@ -5,9 +5,9 @@
 import typing as t
 from collections.abc import Iterator, Mapping
 
-_PLAIN_PART = re.compile(r"[A-Za-z0-9_()-]+\Z")
-_LONG_LIST = 16
-_SHOWN = 200
+_UNQUOTED_PART = re.compile(r"[A-Za-z0-9_()-]+\Z")
+_MAX_WHOLE_LIST = 16
+_MAX_VALUE_CHARS = 200
 
 
 class Change(t.NamedTuple):
@@ -19,10 +19,10 @@
 
     def __str__(self) -> str:
         if self.old is None:
-            return f"+ {self.path}: {_shown(self.new)}"
+            return f"+ {self.path}: {_format_value(self.new)}"
         if self.new is None:
-            return f"- {self.path}: {_shown(self.old)}"
-        return f"~ {self.path}: {_shown(self.old)} -> {_shown(self.new)}"
+            return f"- {self.path}: {_format_value(self.old)}"
+        return f"~ {self.path}: {_format_value(self.old)} -> {_format_value(self.new)}"
 
 
 def dotted(*parts: object) -> str:
@@ -40,12 +40,12 @@
 
 
 def _part(text: str) -> str:
-    return text if _PLAIN_PART.match(text) else json.dumps(text, ensure_ascii=False)
+    return text if _UNQUOTED_PART.match(text) else json.dumps(text, ensure_ascii=False)
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     text = json.dumps(value, ensure_ascii=False, sort_keys=True)
-    return text if len(text) <= _SHOWN else text[: _SHOWN - 3] + "..."
+    return text if len(text) <= _MAX_VALUE_CHARS else text[: _MAX_VALUE_CHARS - 3] + "..."
 
 
 def _compare(path: tuple[str, ...], old: t.Any, new: t.Any) -> Iterator[Change]:
@@ -90,7 +90,7 @@
     labels = [_label(row) for row in rows]
     if None in labels or len(set(labels)) < len(labels):
         return None
-    if rows and isinstance(rows[0], str) and len(rows) <= _LONG_LIST:
+    if rows and isinstance(rows[0], str) and len(rows) <= _MAX_WHOLE_LIST:
         return None
     return dict(zip(t.cast(list[str], labels), rows, strict=True))
 
--- a/packages/core/src/cardamomloft/core/ledger.py
+++ b/packages/core/src/cardamomloft/core/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of one executor: what it has begun, and how that ended.
+"""The ledger of one executor: the operations it has begun, and their outcomes.
 
-An id that the ledger has begun is never begun again while it could be accepted. Answers are kept
-whole so that a repeat gets the first answer; when there is no room, new ids are refused and
-nothing that may still be asked for is forgotten.
+An operation that has been begun is not begun again while its id is accepted. The ledger stores
+complete answers, so that a repeated request gets the first answer. When the ledger is full it
+refuses new ids; it never evicts an operation that may still be presented.
 """
 
 import enum
@@ -16,17 +16,17 @@
 from .clock import Clock
 from .model import Refusal, RefusalReason, Unknown
 
-GRACE = timedelta(minutes=5)
-ANSWER_LIMIT = 16 * 1024
+EXPIRY_GRACE = timedelta(minutes=5)
+MAX_ANSWER_BYTES = 16 * 1024
 
-# Upper estimates of the memory of one entry without its id and answer, and of one header without
-# its texts; docs/design/once.md has the measurement.
-ENTRY_BYTES = 768
-HEADER_BYTES = 176
+# Upper estimates of the memory of one operation without its id and answer, and of one header
+# without its name and value.
+OPERATION_OVERHEAD_BYTES = 768
+HEADER_OVERHEAD_BYTES = 176
 
 
 class KeptAnswer(t.NamedTuple):
-    """A whole answer of an upstream."""
+    """A complete answer of an upstream."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -34,19 +34,19 @@
 
     @property
     def size(self) -> int:
-        """Bytes that keeping the answer takes."""
+        """Memory that storing the answer takes, in bytes."""
         texts = sum(len(name) + len(value) for name, value in self.headers)
-        return len(self.body) + texts + HEADER_BYTES * len(self.headers)
+        return len(self.body) + texts + HEADER_OVERHEAD_BYTES * len(self.headers)
 
 
 class AnswerNotKept(t.NamedTuple):
-    """The operation ran and completed with `status`; its answer is no longer held."""
+    """The operation completed with `status`; its answer is not stored."""
 
     status: int
 
 
 class Run(t.NamedTuple):
-    """Run the operation now, once, and tell the ledger how it ended."""
+    """Run the operation now, once, and report its outcome to the ledger."""
 
     operation: str
 
@@ -58,19 +58,19 @@
 
 
 class Answered(t.NamedTuple):
-    """The operation has completed; this is its whole answer."""
+    """The operation has completed with this answer."""
 
     answer: KeptAnswer
 
 
 class Settled(t.NamedTuple):
-    """The operation is over and there is no answer to give."""
+    """The operation is over and its answer is not available."""
 
     outcome: Unknown | AnswerNotKept
 
 
 Outcome = KeptAnswer | AnswerNotKept | Unknown | Refusal
-Standing = Join | Answered | Settled
+OperationStatus = Join | Answered | Settled
 
 
 class _State(enum.Enum):
@@ -81,21 +81,21 @@
 _Outcome = KeptAnswer | AnswerNotKept | Unknown | _State
 
 
-class _Entry:
-    """One operation; `leaves` is the second from which it may be forgotten."""
+class _Record:
+    """One operation; it may be evicted from `evict_at_s` on, in seconds of monotonic time."""
 
-    __slots__ = ("charge", "fingerprint", "leaves", "outcome", "waiters")
+    __slots__ = ("charged_bytes", "evict_at_s", "fingerprint", "outcome", "waiters")
 
-    def __init__(self, fingerprint: str, leaves: int, charge: int) -> None:
+    def __init__(self, fingerprint: str, evict_at_s: int, charged_bytes: int) -> None:
         self.fingerprint = fingerprint
-        self.leaves = leaves
-        self.charge = charge
+        self.evict_at_s = evict_at_s
+        self.charged_bytes = charged_bytes
         self.outcome: _Outcome = IN_FLIGHT
         self.waiters: list[_Waiter] = []
 
 
 class _Waiter:
-    """One joined caller; `callback` is None once it has been called or has gone."""
+    """One joined caller; `callback` is None after it was called or the caller disconnected."""
 
     __slots__ = ("callback",)
 
@@ -107,22 +107,22 @@
 
 
 class Ledger:
-    """Begins each operation at most once and keeps its outcome.
+    """Begins each operation at most once and stores its outcome.
 
     Parameters
     ----------
     clock
         Only its monotonic time is used.
     max_entries
-        Most operations held.
+        Maximum number of operations held.
     max_bytes
-        Most bytes held, each entry counted with :data:`ENTRY_BYTES`, its id and its answer. An
-        operation in flight is counted with `answer_limit`, so there is always room for it.
-    answer_limit
-        Largest :attr:`KeptAnswer.size` that is kept.
+        Maximum memory. An operation counts with :data:`OPERATION_OVERHEAD_BYTES`, its id and its
+        answer; one in flight counts with `max_answer_bytes`, so that its answer will fit.
+    max_answer_bytes
+        Largest :attr:`KeptAnswer.size` that is stored.
     grace
-        How long outcomes are held after an id has expired. Within it an expired id that is not
-        here has provably not run; later its outcome is unknown.
+        How long outcomes are held after an id has expired. During this time an expired id that
+        the ledger does not hold has provably not run; later its outcome is unknown.
     """
 
     def __init__(
@@ -131,48 +131,48 @@
         *,
         max_entries: int,
         max_bytes: int,
-        answer_limit: int = ANSWER_LIMIT,
-        grace: timedelta = GRACE,
+        max_answer_bytes: int = MAX_ANSWER_BYTES,
+        grace: timedelta = EXPIRY_GRACE,
     ) -> None:
         if grace <= timedelta(0):
-            raise ValueError("grace must be positive")
+            raise ValueError(f"grace must be positive, got {grace}")
         self._clock = clock
         self._max_entries = max_entries
         self._max_bytes = max_bytes
-        self._answer_limit = answer_limit
+        self._max_answer_bytes = max_answer_bytes
         self._grace = grace
-        self._entries: dict[str, _Entry] = {}
-        # Operations by the second in which they leave, and a heap of these seconds.
-        self._leaving: dict[int, set[str]] = {}
-        self._seconds: list[int] = []
+        self._records: dict[str, _Record] = {}
+        # Operations by the second from which they may be evicted, and a heap of these seconds.
+        self._eviction_buckets: dict[int, set[str]] = {}
+        self._eviction_heap: list[int] = []
         self._bytes = 0
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._records)
 
     @property
     def held_bytes(self) -> int:
-        """Bytes counted against the bound."""
+        """Bytes counted against `max_bytes`."""
         return self._bytes
 
-    def look(self, operation: str, fingerprint: str) -> Result[Standing | None, Refusal]:
-        """Say where an operation stands without beginning it; None if it is not held."""
-        self._forget()
-        entry = self._entries.get(operation)
-        if entry is None:
+    def look(self, operation: str, fingerprint: str) -> Result[OperationStatus | None, Refusal]:
+        """Return the status of an operation without beginning it; None if it is not held."""
+        self._evict()
+        record = self._records.get(operation)
+        if record is None:
             return Ok(None)
-        if entry.fingerprint != fingerprint:
+        if record.fingerprint != fingerprint:
             return Error(
                 Refusal(
                     RefusalReason.OPERATION_REUSED,
                     "the id belongs to another request; this request was not run",
                 )
             )
-        return Ok(_standing(operation, entry.outcome))
+        return Ok(_status_of(operation, record.outcome))
 
     def begin(
         self, operation: str, fingerprint: str, expires: timedelta
-    ) -> Result[Run | Standing, Refusal | Unknown]:
+    ) -> Result[Run | OperationStatus, Refusal | Unknown]:
         """Begin an operation unless it is held already.
 
         Parameters
@@ -180,144 +180,144 @@
         operation
             The whole id.
         fingerprint
-            What must be equal whenever the id is presented.
+            Digest of the request, which must be equal each time the id is presented.
         expires
-            The monotonic instant from which the id may no longer begin; the same at each call
-            for the same id, or earlier.
+            The monotonic time from which the operation may no longer begin. It must not be later
+            than at an earlier call for the same id.
 
         Returns
         -------
         Result
             What to do. :class:`Run` is returned to exactly one caller. After `expires` an id
-            that is not held is refused, and `grace` later its outcome is unknown, because the
-            ledger may have forgotten it.
+            that is not held is refused; `grace` later its outcome is unknown, because the ledger
+            may have evicted it.
         """
         found = self.look(operation, fingerprint)
         if found.is_error() or found.ok is not None:
             return found
         now = self._clock.monotonic()
         if now >= expires + self._grace:
-            return Error(Unknown("the id expired long ago; if it ran, that is forgotten"))
+            return Error(Unknown("the id expired long ago; whether it ran is no longer recorded"))
         if now >= expires:
             return Error(Refusal(RefusalReason.EXPIRED, "the id has expired and was not run"))
-        charge = ENTRY_BYTES + len(operation) + self._answer_limit
-        if len(self._entries) >= self._max_entries or self._bytes + charge > self._max_bytes:
-            return Error(self._full())
-        entry = _Entry(fingerprint, _second_after(expires + self._grace), charge)
-        self._entries[operation] = entry
-        self._bytes += charge
-        self._schedule(operation, entry)
+        charged_bytes = OPERATION_OVERHEAD_BYTES + len(operation) + self._max_answer_bytes
+        if len(self._records) >= self._max_entries or self._bytes + charged_bytes > self._max_bytes:
+            return Error(self._full_refusal())
+        record = _Record(fingerprint, _second_after(expires + self._grace), charged_bytes)
+        self._records[operation] = record
+        self._bytes += charged_bytes
+        self._schedule(operation, record)
         return Ok(Run(operation))
 
     def join(self, operation: str, callback: Callable[[Outcome], object]) -> Callable[[], None]:
-        """Have `callback` called once with the outcome of an operation in flight.
+        """Call `callback` once with the outcome of an operation in flight.
 
         Returns
         -------
         Callable
-            Ends the wait without an outcome, for a caller that has gone; harmless when late.
+            Cancels the callback, for a caller that disconnected; without effect after the call.
         """
         waiter = _Waiter(callback)
         self._in_flight(operation).waiters.append(waiter)
         return waiter.cancel
 
     def finish(self, operation: str, answer: KeptAnswer | AnswerNotKept) -> tuple[Exception, ...]:
-        """Keep the answer of an operation that has completed.
+        """Store the answer of an operation that has completed.
 
-        An answer may also arrive after :meth:`unknown`. One above the limit goes whole to those
-        who wait, and later repeats are told :class:`AnswerNotKept`.
+        An answer may also arrive after :meth:`unknown`. One above the size limit is passed to the
+        joined callers only, and later repeats get :class:`AnswerNotKept`.
 
         Returns
         -------
         tuple
-            What callbacks have raised; every one of them was called all the same.
+            The exceptions that callbacks raised. Each callback is called even if others raise.
         """
-        entry = self._open(operation)
-        kept = answer if self._fits(entry, answer) else AnswerNotKept(answer.status)
-        return self._settle(operation, entry, kept, answer)
+        record = self._unfinished(operation)
+        kept = answer if self._fits(record, answer) else AnswerNotKept(answer.status)
+        return self._settle(operation, record, kept, answer)
 
     def unknown(self, operation: str, detail: str) -> tuple[Exception, ...]:
         """Record that an operation in flight may or may not have run; it is not run again."""
-        entry = self._in_flight(operation)
+        record = self._in_flight(operation)
         outcome = Unknown(detail)
-        return self._settle(operation, entry, outcome, outcome)
+        return self._settle(operation, record, outcome, outcome)
 
     def not_run(self, operation: str, refusal: Refusal | None = None) -> tuple[Exception, ...]:
-        """Free an id whose operation provably has not run, so that it may be begun again.
+        """Remove an operation that provably has not run, so that its id may begin again.
 
         Parameters
         ----------
         operation
-            An operation in flight, or one that was unknown and has since been proved not run.
+            An operation in flight, or one recorded as unknown and since proved not to have run.
         refusal
-            What those who wait are told.
+            The outcome for the joined callers; by default, that the upstream was unreachable.
         """
-        entry = self._open(operation)
-        self._leaving[entry.leaves].discard(operation)
-        self._drop(operation, entry)
+        record = self._unfinished(operation)
+        self._eviction_buckets[record.evict_at_s].discard(operation)
+        self._drop(operation, record)
         default = Refusal(RefusalReason.UNREACHABLE, "the upstream has not run the request")
-        return _tell(entry, refusal or default)
+        return _notify(record, refusal or default)
 
-    def _open(self, operation: str) -> _Entry:
-        entry = self._entries.get(operation)
-        if entry is None or isinstance(entry.outcome, KeptAnswer | AnswerNotKept):
+    def _unfinished(self, operation: str) -> _Record:
+        record = self._records.get(operation)
+        if record is None or isinstance(record.outcome, KeptAnswer | AnswerNotKept):
             raise ValueError(f"not in flight: {operation}")
-        return entry
+        return record
 
-    def _in_flight(self, operation: str) -> _Entry:
-        entry = self._entries.get(operation)
-        if entry is None or entry.outcome is not IN_FLIGHT:
+    def _in_flight(self, operation: str) -> _Record:
+        record = self._records.get(operation)
+        if record is None or record.outcome is not IN_FLIGHT:
             raise ValueError(f"not in flight: {operation}")
-        return entry
+        return record
 
-    def _fits(self, entry: _Entry, answer: KeptAnswer | AnswerNotKept) -> bool:
+    def _fits(self, record: _Record, answer: KeptAnswer | AnswerNotKept) -> bool:
         if isinstance(answer, AnswerNotKept):
             return True
-        # After unknown() the room set aside is gone, so a late answer may find none.
-        if entry.outcome is not IN_FLIGHT and self._bytes + answer.size > self._max_bytes:
+        # unknown() released the memory reserved for the answer, so a late answer may not fit.
+        if record.outcome is not IN_FLIGHT and self._bytes + answer.size > self._max_bytes:
             return False
-        return answer.size <= self._answer_limit
+        return answer.size <= self._max_answer_bytes
 
     def _settle(
         self,
         operation: str,
-        entry: _Entry,
+        record: _Record,
         kept: KeptAnswer | AnswerNotKept | Unknown,
-        told: Outcome,
+        delivered: Outcome,
     ) -> tuple[Exception, ...]:
         size = kept.size if isinstance(kept, KeptAnswer) else 0
-        charge = ENTRY_BYTES + len(operation) + size
-        self._bytes += charge - entry.charge
-        entry.charge = charge
-        entry.outcome = kept
-        return _tell(entry, told)
-
-    def _schedule(self, operation: str, entry: _Entry) -> None:
-        if entry.leaves not in self._leaving:
-            self._leaving[entry.leaves] = set()
-            heapq.heappush(self._seconds, entry.leaves)
-        self._leaving[entry.leaves].add(operation)
-
-    def _forget(self) -> None:
+        charged_bytes = OPERATION_OVERHEAD_BYTES + len(operation) + size
+        self._bytes += charged_bytes - record.charged_bytes
+        record.charged_bytes = charged_bytes
+        record.outcome = kept
+        return _notify(record, delivered)
+
+    def _schedule(self, operation: str, record: _Record) -> None:
+        if record.evict_at_s not in self._eviction_buckets:
+            self._eviction_buckets[record.evict_at_s] = set()
+            heapq.heappush(self._eviction_heap, record.evict_at_s)
+        self._eviction_buckets[record.evict_at_s].add(operation)
+
+    def _evict(self) -> None:
         now = self._clock.monotonic()
-        while self._seconds and timedelta(seconds=self._seconds[0]) <= now:
-            for operation in self._leaving.pop(heapq.heappop(self._seconds)):
-                entry = self._entries[operation]
-                if entry.outcome is IN_FLIGHT:
-                    entry.leaves = _second_after(now + self._grace)
-                    self._schedule(operation, entry)
+        while self._eviction_heap and timedelta(seconds=self._eviction_heap[0]) <= now:
+            for operation in self._eviction_buckets.pop(heapq.heappop(self._eviction_heap)):
+                record = self._records[operation]
+                if record.outcome is IN_FLIGHT:
+                    record.evict_at_s = _second_after(now + self._grace)
+                    self._schedule(operation, record)
                 else:
-                    self._drop(operation, entry)
+                    self._drop(operation, record)
 
-    def _drop(self, operation: str, entry: _Entry) -> None:
-        del self._entries[operation]
-        self._bytes -= entry.charge
+    def _drop(self, operation: str, record: _Record) -> None:
+        del self._records[operation]
+        self._bytes -= record.charged_bytes
 
-    def _full(self) -> Refusal:
+    def _full_refusal(self) -> Refusal:
         retry = None
-        if self._seconds:
-            retry = timedelta(seconds=self._seconds[0]) - self._clock.monotonic()
-        detail = "there is no room to remember the outcome; the request was not run"
+        if self._eviction_heap:
+            retry = timedelta(seconds=self._eviction_heap[0]) - self._clock.monotonic()
+        detail = "the ledger is full and cannot record the outcome; the request was not run"
         return Refusal(RefusalReason.LEDGER_FULL, detail, retry)
 
 
@@ -325,7 +325,7 @@
     return -(-instant // timedelta(seconds=1))
 
 
-def _standing(operation: str, outcome: _Outcome) -> Standing:
+def _status_of(operation: str, outcome: _Outcome) -> OperationStatus:
     if isinstance(outcome, KeptAnswer):
         return Answered(outcome)
     if outcome is IN_FLIGHT:
@@ -333,9 +333,9 @@
     return Settled(outcome)
 
 
-def _tell(entry: _Entry, outcome: Outcome) -> tuple[Exception, ...]:
-    # Detached first: a callback may present the same id again.
-    waiters, entry.waiters = entry.waiters, []
+def _notify(record: _Record, outcome: Outcome) -> tuple[Exception, ...]:
+    # The list is detached first, because a callback may present the same id again.
+    waiters, record.waiters = record.waiters, []
     raised = []
     for waiter in waiters:
         callback, waiter.callback = waiter.callback, None
--- a/packages/core/src/cardamomloft/core/lending.py
+++ b/packages/core/src/cardamomloft/core/lending.py
@@ -1,7 +1,7 @@
-"""The two sides of the loans of one entry's accounts: what it answers, and what it asks for.
+"""The lender and the borrower of one entry, which exchange loan messages with other entries.
 
-Which units are lent or borrowed stands in the accounts; :mod:`cardamomloft.core.shares` says when
-each side has its turn.
+The accounts hold the state of lent and borrowed units; :mod:`cardamomloft.core.shares` calls both
+sides with messages and on each tick.
 """
 
 from collections.abc import Iterator
@@ -9,7 +9,7 @@
 
 from cardamomloft.core.accounts import Account
 from cardamomloft.core.limits import Limit, base_shares
-from cardamomloft.core.loans import Lendings, Loans, loan_numbers, longest_loan
+from cardamomloft.core.loans import Lendings, Loans, loan_numbers, max_loan_term
 from cardamomloft.core.messages import (
     LoanGrant,
     LoanRecall,
@@ -20,14 +20,14 @@
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.ownership import CoHolders
 
-MAX_ASKS = 8
-"""Requests under way at one time for one limit."""
+MAX_PENDING_REQUESTS = 8
+"""Maximum number of pending loan requests per limit."""
 
 _MILLISECOND = timedelta(milliseconds=1)
 
 
 class Lender:
-    """Answers other entries' requests for loans, and calls loans back.
+    """Answers loan requests of other entries, and recalls loans.
 
     Parameters
     ----------
@@ -47,37 +47,37 @@
         *,
         stopping: bool,
     ) -> LoanGrant | None:
-        """Return the grant or denial of a request; None if it came before and is answered."""
+        """Return the grant or denial of a request; None for a duplicate of a completed one."""
         if account.lendings is None:
             account.lendings = Lendings(self._drift)
         spare = -1 if stopping else account.spare(now)
-        longest = longest_loan(account.limit, self._drift)
-        return account.lendings.answer(borrower, req, spare, longest, now)
+        max_term = max_loan_term(account.limit, self._drift)
+        return account.lendings.answer(borrower, req, spare, max_term, now)
 
     def close(self, account: Account | None, borrower: Incarnation, msg: LoanReturn) -> None:
-        """Take units back that a borrower returns."""
+        """Add back the units that a borrower returns."""
         lendings = account.lendings if account else None
-        lending = lendings.find(borrower, msg.number) if lendings is not None else None
-        if lending:
-            lendings.close(lending)
+        loan = lendings.find(borrower, msg.number) if lendings is not None else None
+        if loan:
+            lendings.close(loan)
 
     def tick(
         self, key: str, account: Account, now: timedelta, *, stopping: bool
     ) -> Iterator[Outgoing]:
-        """Let loans run out, and call back what this entry needs itself."""
+        """Remove expired loans, and recall units that this entry needs itself."""
         lendings = account.lendings
         if lendings is None:
             return
         lendings.expire(now)
         if not lendings:
             account.lendings = None
-        short = lendings.lent if stopping else account.wanted - account.free_own()
-        for seat, number in lendings.recall(short, now):
+        shortfall = lendings.lent if stopping else account.wanted - account.free_own()
+        for seat, number in lendings.recall(shortfall, now):
             yield Outgoing(seat, LoanRecall(number, key))
 
 
 class Borrower:
-    """Asks other entries for loans, renews and returns them.
+    """Requests loans from other entries, renews and returns them.
 
     Parameters
     ----------
@@ -85,34 +85,34 @@
         This process.
     drift
         How far any entry's monotonic clock may be from true time, as a fraction.
-    others
-        What is known of the entries that hold shares of the same limits.
+    co_holders
+        The state of the other entries that hold shares of the same limits.
     """
 
-    def __init__(self, me: Incarnation, drift: float, others: CoHolders) -> None:
+    def __init__(self, me: Incarnation, drift: float, co_holders: CoHolders) -> None:
         self._me = me
         self._drift = drift
-        self._others = others
+        self._co_holders = co_holders
         self._numbers = loan_numbers(me)
-        self._turn = 0
+        self._rotation = 0
 
-    def take(
+    def on_grant(
         self, account: Account | None, lender: Incarnation, grant: LoanGrant, now: timedelta
     ) -> LoanReturn | None:
-        """Take a granted loan; return it at once if nobody waits for it any more."""
+        """Handle a grant or denial; return a message that gives back an unusable loan."""
         loans = account.loans if account else None
         if not grant.amount:
             if loans is not None:
-                loans.refuse(lender, grant, now)
+                loans.on_denial(lender, grant, now)
             return None
-        if loans is not None and loans.take(lender, grant, now):
+        if loans is not None and loans.on_grant(lender, grant, now):
             return None
         return LoanReturn(grant.number, grant.key)
 
     def tick(
         self, key: str, account: Account, now: timedelta, *, stopping: bool
     ) -> Iterator[Outgoing]:
-        """Return what is idle, renew what is in use, and ask for what is wanted."""
+        """Return idle loans, renew loans in use, and request the units that are wanted."""
         loans = account.loans
         if loans is not None:
             limit = account.limit
@@ -120,43 +120,43 @@
                 yield Outgoing(seat, LoanReturn(number, key))
             for loan in loans.due_renewals(limit.longest_use, now):
                 yield Outgoing(loan.lender.seat, self._request(limit, loan.number, loan.amount))
-            for ask, again in loans.repeat(now, give_up=stopping):
-                request = self._request(limit, ask.number, ask.amount)
-                yield Outgoing(ask.seat, request if again else LoanReturn(ask.number, key))
+            for pending, resend in loans.due_resends(now, give_up=stopping):
+                request = self._request(limit, pending.number, pending.amount)
+                yield Outgoing(pending.seat, request if resend else LoanReturn(pending.number, key))
         if account.wanted and not stopping:
             yield from self._borrow(account, now)
         elif not account.loans:
             account.loans = None
 
     def _borrow(self, account: Account, now: timedelta) -> Iterator[Outgoing]:
-        """Ask for what is wanted, and for more the more is borrowed already."""
+        """Request the missing units, but no less than half of what is already borrowed."""
         if account.loans is None:
             account.loans = Loans(self._drift)
         loans, limit = account.loans, account.limit
-        short = account.wanted - account.free(now) - loans.asked()
-        if short <= 0:
+        shortfall = account.wanted - account.free(now) - loans.pending_units()
+        if shortfall <= 0:
             return
-        short = max(short, loans.borrowed() // 2)
+        shortfall = max(shortfall, loans.borrowed() // 2)
         for seat, base in self._lenders(limit):
-            if short <= 0 or len(loans.asks) >= MAX_ASKS:
+            if shortfall <= 0 or len(loans.requests) >= MAX_PENDING_REQUESTS:
                 return
-            if loans.may_ask(seat, now):
-                amount = min(base, short)
-                short -= amount
-                number = loans.ask(next(self._numbers), seat, amount, now)
+            if loans.may_request(seat, now):
+                amount = min(base, shortfall)
+                shortfall -= amount
+                number = loans.add_request(next(self._numbers), seat, amount, now)
                 yield Outgoing(seat, self._request(limit, number, amount))
 
     def _lenders(self, limit: Limit) -> list[tuple[str, int]]:
-        """Return the other seats with a base share, another one first each time."""
+        """Return the other seats with a base share, rotated by one on each call."""
         lenders = [
             (seat, base)
             for seat, base in base_shares(limit).items()
-            if base and seat != self._me.seat and not self._others.is_gone(seat)
+            if base and seat != self._me.seat and not self._co_holders.is_gone(seat)
         ]
-        self._turn += 1
-        start = self._turn % max(len(lenders), 1)
+        self._rotation += 1
+        start = self._rotation % max(len(lenders), 1)
         return lenders[start:] + lenders[:start]
 
     def _request(self, limit: Limit, number: int, amount: int) -> LoanRequest:
-        term = longest_loan(limit, self._drift) // _MILLISECOND
+        term = max_loan_term(limit, self._drift) // _MILLISECOND
         return LoanRequest(number, limit.key, amount, term)
--- a/packages/core/src/cardamomloft/core/loans.py
+++ b/packages/core/src/cardamomloft/core/loans.py
@@ -1,13 +1,14 @@
-"""Loans of unused share between entries: the lender's and the borrower's book of one limit.
+"""Loans of unused share between entries: the lender's and the borrower's state for one limit.
 
-A lender subtracts what it grants before the grant leaves, and takes it back when the borrower
-returns it or ``term * (1 + drift)`` after granting. The borrower stops ``term * (1 - drift)``
-after it *asked*. Asking happens before granting, and no clock runs faster or slower than true
-time by more than `drift`, so the borrower always stops first, however late the grant came.
+A lender subtracts the granted units before it sends the grant, and adds them back when the
+borrower returns them or ``term * (1 + drift)`` after granting. The borrower stops using them
+``term * (1 - drift)`` after it sent the *request*. The request precedes the grant, and no clock
+deviates from true time by more than the fraction `drift`, so the borrower always stops before the
+lender resumes, however long the grant was delayed.
 
-The number of a request names the loan in its high bits and the renewal in its low bits. A grant
-counts only from the moment at which exactly its own number was asked for: a late grant of an
-earlier renewal cannot be taken for the answer to a later one.
+The number of a request holds the loan id in its high bits and a renewal counter in its low bits.
+A term starts when the request with exactly the number of the grant was sent, so a delayed grant
+of an earlier renewal does not extend a later one.
 """
 
 import hashlib
@@ -20,25 +21,25 @@
 from cardamomloft.core.model import Incarnation
 
 LOAN_MARGIN = timedelta(seconds=5)
-"""What a loan's term has over the longest use, so that there is time to use and to renew it."""
+"""How much longer than the longest use a loan's term is, to leave time for use and renewal."""
 
 IDLE_RETURN = timedelta(milliseconds=500)
-"""How long a loan may be unused before it is returned."""
+"""Idle time after which a loan is returned."""
 
-ASK_TIMEOUT = timedelta(milliseconds=250)
-"""When an unanswered request is repeated."""
+REQUEST_TIMEOUT = timedelta(milliseconds=250)
+"""Time after which an unanswered request is sent again."""
 
-MAX_TRIES = 3
-"""How often a request is sent before the borrower gives it up."""
+MAX_REQUEST_ATTEMPTS = 3
+"""How often a request is sent before the borrower cancels it."""
 
 RECALL_INTERVAL = timedelta(milliseconds=500)
-"""When a loan that did not come back is recalled again."""
+"""Interval between recalls of a loan that has not been returned."""
 
-DENIAL_PAUSE = timedelta(milliseconds=250)
-"""When a borrower may ask again whom nothing could be lent; it doubles with each denial."""
+INITIAL_DENIAL_PAUSE = timedelta(milliseconds=250)
+"""Back-off after the first denial by a lender; it doubles with each further denial."""
 
-MAX_PAUSE = timedelta(seconds=2)
-"""The longest time for which a borrower leaves a lender alone after denials."""
+MAX_DENIAL_PAUSE = timedelta(seconds=2)
+"""Upper bound of the back-off after denials."""
 
 RENEWAL_BITS = 16
 _MAX_RENEWALS = (1 << RENEWAL_BITS) - 1
@@ -46,16 +47,16 @@
 _MILLISECOND = timedelta(milliseconds=1)
 
 
-def longest_loan(limit: Limit, drift: float) -> timedelta:
+def max_loan_term(limit: Limit, drift: float) -> timedelta:
     """Return the longest term for which units of the limit are lent.
 
-    What the borrower counts of it still exceeds the longest use by the margin.
+    The borrower's term, shortened by the drift, still exceeds the longest use by the margin.
     """
     return (limit.longest_use + LOAN_MARGIN) / (1 - drift)
 
 
 def loan_numbers(me: Incarnation) -> Iterator[int]:
-    """Yield loan numbers that no other life of this seat uses, so that its grants aren't ours."""
+    """Yield loan ids that no other incarnation of this seat uses, to tell their grants apart."""
     digest = hashlib.blake2b(str(me).encode(), digest_size=8).digest()
     loan = int.from_bytes(digest, "big") >> (64 - _NUMBER_BITS)
     while True:
@@ -64,12 +65,12 @@
 
 
 def denial(req: LoanRequest) -> LoanGrant:
-    """Return the message that nothing is lent."""
-    return LoanGrant(req.number, req.key, 0, 0, DENIAL_PAUSE // _MILLISECOND)
+    """Return the message that denies a request."""
+    return LoanGrant(req.number, req.key, 0, 0, INITIAL_DENIAL_PAUSE // _MILLISECOND)
 
 
-class Lending:
-    """Units lent to one borrower; `amount` is 0 once they are back."""
+class GrantedLoan:
+    """Units lent to one borrower; `amount` is 0 after they were returned."""
 
     __slots__ = ("amount", "expires", "granted", "number", "recalled", "term")
 
@@ -82,125 +83,130 @@
         self.recalled: timedelta | None = None
 
     def grant(self, key: str) -> LoanGrant:
-        """Return the message for the last number granted."""
+        """Return the grant message for the last granted number."""
         return LoanGrant(self.number, key, self.granted, self.term // _MILLISECOND, 0)
 
 
 class Lendings:
-    """The lender's book of one limit.
+    """The loans of one limit that the lender has granted.
 
-    A lending that was returned stays in the book until its term is over, so that a late copy of
-    its request is recognised and not granted anew.
+    A returned loan is kept until its term is over, so that a delayed duplicate of its request is
+    recognised and not granted again.
     """
 
-    __slots__ = ("_book", "_drift", "lent")
+    __slots__ = ("_drift", "_loans", "lent")
 
     def __init__(self, drift: float) -> None:
         self.lent = 0
         self._drift = drift
-        self._book: dict[tuple[Incarnation, int], Lending] = {}
+        self._loans: dict[tuple[Incarnation, int], GrantedLoan] = {}
 
     def __len__(self) -> int:
-        return len(self._book)
+        return len(self._loans)
 
-    def find(self, borrower: Incarnation, number: int) -> Lending | None:
-        """Return the lending that the number belongs to."""
-        return self._book.get((borrower, number >> RENEWAL_BITS))
+    def find(self, borrower: Incarnation, number: int) -> GrantedLoan | None:
+        """Return the loan that the request number belongs to."""
+        return self._loans.get((borrower, number >> RENEWAL_BITS))
 
     def answer(
         self,
         borrower: Incarnation,
         req: LoanRequest,
         spare: int,
-        longest: timedelta,
+        max_term: timedelta,
         now: timedelta,
     ) -> LoanGrant | None:
-        """Answer a request; None if it is a late copy of one that is over.
+        """Return the grant or denial of a request; None for a duplicate of a completed one.
 
         Parameters
         ----------
         spare
-            The units that can be lent; negative if units that are lent are wanted back.
-        longest
-            The longest term.
+            The units that can be lent; negative if lent units are needed back.
+        max_term
+            The longest term to grant.
         """
-        lending = self.find(borrower, req.number)
-        term = min(req.term_ms * _MILLISECOND, longest)
-        if lending is None:
+        loan = self.find(borrower, req.number)
+        term = min(req.term_ms * _MILLISECOND, max_term)
+        if loan is None:
             amount = min(req.amount, spare)
             if amount <= 0 or req.number & _MAX_RENEWALS:
                 return denial(req)
-            lending = self._lend(borrower, req.number, amount, term, now)
-            return lending.grant(req.key)
-        if not lending.amount or req.number < lending.number:
+            loan = self._lend(borrower, req.number, amount, term, now)
+            return loan.grant(req.key)
+        if not loan.amount or req.number < loan.number:
             return None
-        if req.number > lending.number:
-            if spare < 0 or lending.recalled is not None:
+        if req.number > loan.number:
+            if spare < 0 or loan.recalled is not None:
                 return denial(req)
-            self._renew(lending, req.number, term, now)
-        return lending.grant(req.key)
+            self._renew(loan, req.number, term, now)
+        return loan.grant(req.key)
 
     def _lend(
         self, borrower: Incarnation, number: int, amount: int, term: timedelta, now: timedelta
-    ) -> Lending:
-        """Subtract `amount` and return the new lending."""
-        lending = Lending(number, amount, term)
+    ) -> GrantedLoan:
+        """Record and return a new loan of `amount` units."""
+        loan = GrantedLoan(number, amount, term)
         self.lent += amount
-        lending.expires = now + term * (1 + self._drift)
-        self._book[borrower, number >> RENEWAL_BITS] = lending
-        return lending
+        loan.expires = now + term * (1 + self._drift)
+        self._loans[borrower, number >> RENEWAL_BITS] = loan
+        return loan
 
-    def _renew(self, lending: Lending, number: int, term: timedelta, now: timedelta) -> None:
-        """Lend the same units for another term from now on."""
-        lending.number = number
-        lending.term = term
-        lending.expires = max(lending.expires, now + term * (1 + self._drift))
+    def _renew(self, loan: GrantedLoan, number: int, term: timedelta, now: timedelta) -> None:
+        """Extend the loan by another term that starts now."""
+        loan.number = number
+        loan.term = term
+        loan.expires = max(loan.expires, now + term * (1 + self._drift))
 
-    def close(self, lending: Lending) -> None:
-        """Add the units back; closing twice changes nothing."""
-        self.lent -= lending.amount
-        lending.amount = 0
+    def close(self, loan: GrantedLoan) -> None:
+        """Add the units back; calling it again has no effect."""
+        self.lent -= loan.amount
+        loan.amount = 0
 
     def expire(self, now: timedelta) -> None:
-        """Close and forget the lendings whose term is over."""
-        for name in [name for name, lending in self._book.items() if now >= lending.expires]:
-            self.close(self._book.pop(name))
+        """Close and remove the loans whose term is over."""
+        for name in [name for name, loan in self._loans.items() if now >= loan.expires]:
+            self.close(self._loans.pop(name))
 
     def recall(self, amount: int, now: timedelta) -> list[tuple[str, int]]:
-        """Choose lendings of together at least `amount`; return seat and number to recall now."""
+        """Choose loans of at least `amount` units in total; return seat and number of each.
+
+        Loans recalled less than ``RECALL_INTERVAL`` ago count, but are left out of the result.
+        """
         due = []
-        for (borrower, _), lending in self._book.items():
+        for (borrower, _), loan in self._loans.items():
             if amount <= 0:
                 break
-            if not lending.amount:
+            if not loan.amount:
                 continue
-            amount -= lending.amount
-            if lending.recalled is None or now >= lending.recalled + RECALL_INTERVAL:
-                lending.recalled = now
-                due.append((borrower.seat, lending.number))
+            amount -= loan.amount
+            if loan.recalled is None or now >= loan.recalled + RECALL_INTERVAL:
+                loan.recalled = now
+                due.append((borrower.seat, loan.number))
         return due
 
 
-class Loan:
-    """Units borrowed until `expires`, as the borrower counts it."""
+class BorrowedLoan:
+    """Units borrowed until `expires`, by the borrower's clock."""
 
     __slots__ = (
         "amount",
-        "asked",
         "expires",
         "last_used",
         "lender",
         "number",
         "recalled",
         "renewable",
+        "requested_at",
         "used",
     )
 
-    def __init__(self, lender: Incarnation, number: int, amount: int, asked: timedelta) -> None:
+    def __init__(
+        self, lender: Incarnation, number: int, amount: int, requested_at: timedelta
+    ) -> None:
         self.lender = lender
         self.number = number
         self.amount = amount
-        self.asked = asked
+        self.requested_at = requested_at
         self.expires = timedelta(0)
         self.last_used = timedelta(0)
         self.used = 0
@@ -208,49 +214,49 @@
         self.renewable = True
 
 
-class Ask:
-    """A request for a new loan that has no answer yet."""
+class PendingRequest:
+    """A request for a new loan that has not been answered."""
 
-    __slots__ = ("amount", "asked", "number", "seat", "sent", "tries")
+    __slots__ = ("amount", "attempts", "number", "requested_at", "seat", "sent_at")
 
     def __init__(self, seat: str, number: int, amount: int, now: timedelta) -> None:
         self.seat = seat
         self.number = number
         self.amount = amount
-        self.asked = now
-        self.sent = now
-        self.tries = 1
+        self.requested_at = now
+        self.sent_at = now
+        self.attempts = 1
 
 
 class _Pause(t.NamedTuple):
-    """Until when a lender is left alone, and for how long it was this time."""
+    """The back-off for one lender: until when it is paused, and the length of this pause."""
 
     until: timedelta
     length: timedelta
 
 
 class Loans:
-    """The borrower's book of one limit: loans by their number, and requests under way."""
+    """The borrower's state for one limit: its loans and pending requests, by loan id."""
 
-    __slots__ = ("_drift", "asks", "loans", "pauses")
+    __slots__ = ("_drift", "loans", "pauses", "requests")
 
     def __init__(self, drift: float) -> None:
         self._drift = drift
-        self.loans: dict[int, Loan] = {}
-        self.asks: dict[int, Ask] = {}
+        self.loans: dict[int, BorrowedLoan] = {}
+        self.requests: dict[int, PendingRequest] = {}
         self.pauses: dict[str, _Pause] = {}
 
     def __len__(self) -> int:
-        return len(self.loans) + len(self.asks)
+        return len(self.loans) + len(self.requests)
 
-    def live(self, now: timedelta) -> Iterator[tuple[int, Loan]]:
-        """Yield the loans that new uses may start under."""
+    def live(self, now: timedelta) -> Iterator[tuple[int, BorrowedLoan]]:
+        """Yield id and loan of those under which new uses may start."""
         for number, loan in self.loans.items():
             if not loan.recalled and now < loan.expires:
                 yield number, loan
 
     def free(self, now: timedelta) -> int:
-        """Return the units that new uses may take, whatever their deadline."""
+        """Return the units available for new uses, regardless of their deadline."""
         return sum(loan.amount - loan.used for _, loan in self.live(now))
 
     def borrowed(self) -> int:
@@ -258,7 +264,7 @@
         return sum(loan.amount for loan in self.loans.values())
 
     def use(self, amount: int, deadline: timedelta, now: timedelta) -> int | None:
-        """Take units of one loan for a use that ends inside it; return the loan's number."""
+        """Take units of one loan that outlasts the use; return the loan id, or None."""
         for number, loan in self.live(now):
             if loan.amount - loan.used >= amount and deadline + STOP_GRACE <= loan.expires:
                 loan.used += amount
@@ -267,57 +273,57 @@
         return None
 
     def end_use(self, number: int, amount: int, now: timedelta) -> None:
-        """Put units back into the loan, if it is still there."""
+        """Return units to the loan, if it still exists."""
         loan = self.loans.get(number)
         if loan:
             loan.used -= amount
             loan.last_used = now
 
-    def ask(self, loan: int, seat: str, amount: int, now: timedelta) -> int:
-        """Note a request for a new loan and return its number."""
+    def add_request(self, loan: int, seat: str, amount: int, now: timedelta) -> int:
+        """Record a request for a new loan and return the request number."""
         number = loan << RENEWAL_BITS
-        self.asks[loan] = Ask(seat, number, amount, now)
+        self.requests[loan] = PendingRequest(seat, number, amount, now)
         return number
 
-    def asked(self) -> int:
-        """Return the units that requests under way ask for."""
-        return sum(ask.amount for ask in self.asks.values())
+    def pending_units(self) -> int:
+        """Return the total units of pending requests."""
+        return sum(request.amount for request in self.requests.values())
 
-    def take(self, lender: Incarnation, grant: LoanGrant, now: timedelta) -> bool:
-        """Take a grant; return False if it is of no use and has to go back."""
+    def on_grant(self, lender: Incarnation, grant: LoanGrant, now: timedelta) -> bool:
+        """Handle a grant; return False if it is not usable and must be returned."""
         number = grant.number >> RENEWAL_BITS
         loan = self.loans.get(number)
         if loan:
             self._renew(loan, lender, grant)
             return True
-        ask = self.asks.get(number)
-        if ask is None or ask.seat != lender.seat:
+        request = self.requests.get(number)
+        if request is None or request.seat != lender.seat:
             return False
-        del self.asks[number]
+        del self.requests[number]
         self.pauses.pop(lender.seat, None)
-        expires = self._expiry(ask.asked, grant)
+        expires = self._expiry(request.requested_at, grant)
         if expires <= now:
             return False
-        loan = Loan(lender, grant.number, grant.amount, ask.asked)
+        loan = BorrowedLoan(lender, grant.number, grant.amount, request.requested_at)
         loan.expires = expires
         loan.last_used = now
         self.loans[number] = loan
         return True
 
-    def refuse(self, lender: Incarnation, grant: LoanGrant, now: timedelta) -> None:
-        """Take a denial: leave the lender alone for a while, or let the loan run out."""
+    def on_denial(self, lender: Incarnation, grant: LoanGrant, now: timedelta) -> None:
+        """Handle a denial: pause requests to the lender, or stop renewing the loan."""
         number = grant.number >> RENEWAL_BITS
         loan = self.loans.get(number)
         if loan and loan.number == grant.number and loan.lender == lender:
             loan.renewable = False
             return
-        ask = self.asks.get(number)
-        if ask and ask.seat == lender.seat:
-            del self.asks[number]
-            self._pause(ask.seat, timedelta(milliseconds=grant.retry_ms), now)
+        request = self.requests.get(number)
+        if request and request.seat == lender.seat:
+            del self.requests[number]
+            self._pause(request.seat, timedelta(milliseconds=grant.retry_ms), now)
 
     def mark_used(self, amount: int, now: timedelta) -> None:
-        """Note that `amount` units of a rate are in use, the oldest loans first."""
+        """Mark the oldest loans that cover `amount` units of a rate as used now."""
         for _, loan in self.live(now):
             if amount <= 0:
                 return
@@ -325,41 +331,43 @@
             amount -= loan.amount
 
     def recall(self, lender: Incarnation, number: int) -> bool:
-        """Start nothing more under the loan; return False if there is no such loan any more."""
-        self.asks.pop(number >> RENEWAL_BITS, None)
+        """Allow no new uses under the loan; return False if the loan does not exist."""
+        self.requests.pop(number >> RENEWAL_BITS, None)
         loan = self.loans.get(number >> RENEWAL_BITS)
         if loan and loan.lender == lender:
             loan.recalled = True
         return loan is not None
 
-    def due_renewals(self, longest_use: timedelta, now: timedelta) -> Iterator[Loan]:
-        """Renumber and yield the loans in use whose renewal is to be asked for now."""
+    def due_renewals(self, longest_use: timedelta, now: timedelta) -> Iterator[BorrowedLoan]:
+        """Renumber and yield the loans in use that must request a renewal now."""
         for loan in self.loans.values():
-            late = loan.expires - now < longest_use + LOAN_MARGIN / 2
-            waiting = now < loan.asked + ASK_TIMEOUT
-            if late and not waiting and self._in_demand(loan, now):
+            near_expiry = loan.expires - now < longest_use + LOAN_MARGIN / 2
+            pending = now < loan.requested_at + REQUEST_TIMEOUT
+            if near_expiry and not pending and self._in_demand(loan, now):
                 loan.number += 1
-                loan.asked = now
+                loan.requested_at = now
                 yield loan
 
-    def repeat(self, now: timedelta, *, give_up: bool) -> Iterator[tuple[Ask, bool]]:
-        """Yield the requests to send again, and those that are given up (False)."""
-        for name, ask in list(self.asks.items()):
-            if now < ask.sent + ASK_TIMEOUT and not give_up:
+    def due_resends(
+        self, now: timedelta, *, give_up: bool
+    ) -> Iterator[tuple[PendingRequest, bool]]:
+        """Yield the requests to send again (True) and those that are cancelled (False)."""
+        for name, request in list(self.requests.items()):
+            if now < request.sent_at + REQUEST_TIMEOUT and not give_up:
                 continue
-            if ask.tries == MAX_TRIES or give_up:
-                del self.asks[name]
-                self._pause(ask.seat, MAX_PAUSE, now)
-                yield ask, False
+            if request.attempts == MAX_REQUEST_ATTEMPTS or give_up:
+                del self.requests[name]
+                self._pause(request.seat, MAX_DENIAL_PAUSE, now)
+                yield request, False
                 continue
-            ask.tries += 1
-            ask.sent = now
-            yield ask, True
+            request.attempts += 1
+            request.sent_at = now
+            yield request, True
 
     def drop_idle(self, now: timedelta, *, at_once: bool) -> list[tuple[str, int]]:
-        """Forget loans that are over, and idle ones; return seat and number of the latter.
+        """Remove expired and idle loans; return seat and number of the idle ones.
 
-        A recalled loan goes back as soon as it is idle, as do all of them if `at_once`.
+        A recalled loan is returned as soon as it has no uses; with `at_once` every loan is.
         """
         returned = []
         for number, loan in list(self.loans.items()):
@@ -373,27 +381,27 @@
                 returned.append((loan.lender.seat, loan.number))
         return returned
 
-    def may_ask(self, seat: str, now: timedelta) -> bool:
-        """Tell whether the seat may be asked for a loan now."""
+    def may_request(self, seat: str, now: timedelta) -> bool:
+        """Return whether a loan may be requested from the seat now."""
         pause = self.pauses.get(seat)
         if pause and now < pause.until:
             return False
-        return all(ask.seat != seat for ask in self.asks.values())
+        return all(request.seat != seat for request in self.requests.values())
 
-    def _pause(self, seat: str, least: timedelta, now: timedelta) -> None:
+    def _pause(self, seat: str, min_length: timedelta, now: timedelta) -> None:
         last = self.pauses.get(seat)
-        length = max(least, 2 * last.length) if last else least
-        length = min(length, MAX_PAUSE)
+        length = max(min_length, 2 * last.length) if last else min_length
+        length = min(length, MAX_DENIAL_PAUSE)
         self.pauses[seat] = _Pause(now + length, length)
 
-    def _renew(self, loan: Loan, lender: Incarnation, grant: LoanGrant) -> None:
+    def _renew(self, loan: BorrowedLoan, lender: Incarnation, grant: LoanGrant) -> None:
         if loan.number == grant.number and loan.lender == lender and grant.amount == loan.amount:
-            loan.expires = max(loan.expires, self._expiry(loan.asked, grant))
+            loan.expires = max(loan.expires, self._expiry(loan.requested_at, grant))
 
-    def _expiry(self, asked: timedelta, grant: LoanGrant) -> timedelta:
-        return asked + timedelta(milliseconds=grant.term_ms) * (1 - self._drift)
+    def _expiry(self, requested_at: timedelta, grant: LoanGrant) -> timedelta:
+        return requested_at + timedelta(milliseconds=grant.term_ms) * (1 - self._drift)
 
-    def _in_demand(self, loan: Loan, now: timedelta) -> bool:
+    def _in_demand(self, loan: BorrowedLoan, now: timedelta) -> bool:
         if loan.recalled or not loan.renewable or loan.number & _MAX_RENEWALS == _MAX_RENEWALS:
             return False
         return loan.used > 0 or now < loan.last_used + IDLE_RETURN
--- a/packages/core/src/cardamomloft/core/naming.py
+++ b/packages/core/src/cardamomloft/core/naming.py
@@ -6,13 +6,13 @@
 from cardamomloft.core.entrybook import EntryBook
 from cardamomloft.core.registrations import EntryRecord
 
-MAX_NAMED = 64
+MAX_ENTRIES = 64
 """Entries in one answer at the most; callers read no more."""
 
-ENOUGH = 2
+MIN_ENTRIES = 2
 """Entries that a client needs, so that it has another one while a dead one is still named."""
 
-ANSWERS_KEPT = 1_000
+MAX_CACHED_ANSWERS = 1_000
 """Different questions whose answers are kept: callers state any zone and region they like."""
 
 
@@ -29,7 +29,7 @@
         self._entries = entries
         self._version = -1
         self._regions: Mapping[str, str] = {}
-        self._kept: dict[tuple[str, str, frozenset[str], bool], list[EntryRecord]] = {}
+        self._cache: dict[tuple[str, str, frozenset[str], bool], list[EntryRecord]] = {}
 
     def of(
         self,
@@ -46,15 +46,15 @@
         look-ups come by the hundred a second.
         """
         entries = self._entries
-        full = len(self._kept) >= ANSWERS_KEPT
+        full = len(self._cache) >= MAX_CACHED_ANSWERS
         if entries.version != self._version or regions is not self._regions or full:
             self._version, self._regions = entries.version, regions
-            self._kept.clear()
-        question = (zone, region, homes, with_own)
-        found = self._kept.get(question)
+            self._cache.clear()
+        query = (zone, region, homes, with_own)
+        found = self._cache.get(query)
         if found is None:
             records = entries.records(with_own=with_own)
-            found = self._kept[question] = entries_for(records, zone, region, homes, regions)
+            found = self._cache[query] = entries_for(records, zone, region, homes, regions)
         return found
 
 
@@ -82,15 +82,15 @@
         The region of each zone, for a client that states only its zone.
     """
     known = sorted(records)
-    here = region or regions.get(zone, "")
-    near = [record for record in known if record.region == here]
-    if not near:
-        near = [record for record in known if record.region in homes]
-        return (near or known)[:MAX_NAMED]
-    local = [record for record in near if record.zone == zone]
-    others = [record for record in near if record.zone != zone]
+    client_region = region or regions.get(zone, "")
+    in_region = [record for record in known if record.region == client_region]
+    if not in_region:
+        in_region = [record for record in known if record.region in homes]
+        return (in_region or known)[:MAX_ENTRIES]
+    in_zone = [record for record in in_region if record.zone == zone]
+    elsewhere = [record for record in in_region if record.zone != zone]
     # Each zone draws its own order, so that the same entry does not help out everywhere.
-    others.sort(key=lambda record: unit_hash(zone, record.name))
-    if not local:
-        return others[:MAX_NAMED]
-    return [*local, *others[: max(0, ENOUGH - len(local))]][:MAX_NAMED]
+    elsewhere.sort(key=lambda record: unit_hash(zone, record.name))
+    if not in_zone:
+        return elsewhere[:MAX_ENTRIES]
+    return [*in_zone, *elsewhere[: max(0, MIN_ENTRIES - len(in_zone))]][:MAX_ENTRIES]
--- a/packages/core/src/cardamomloft/core/ownership.py
+++ b/packages/core/src/cardamomloft/core/ownership.py
@@ -1,23 +1,25 @@
-"""Who owns the units of a limit while the entries go from one division to the next.
-
-On a new revision an entry at once caps what it owns of a limit at its new base share. It raises it
-to the base share only when everybody who may own units of the limit, under this division or an
-older one that it knows, has reported exactly this revision as settled. An entry reports a revision
-as settled when what it uses and lends fits its base shares, and when all older owners that *it*
-knows of are past the older divisions: they have the new one in force, and the longest use and loan
-that may have begun before are over.
-
-Why it is safe to skip revisions: let X own units under a division that A has never seen, and let A
-raise its own at revision r. X raised its units only after all whom it knew had settled X's
-revision, so each of these knows X as an older owner once it moves on. If X is among those that A
-waits for, X has reported exactly r: it has capped its units at its share of r, and raises them
-under a later division only after A has settled that one. If X is not, one of those that A waits
-for knows X, and does not report r before X is past its division. Such a one exists if any two
-successive divisions share a holder that keeps running. To make that so, holders are chosen
-by the roster alone, and a change of the roster replaces few of them. If every holder of a limit
-were replaced at once while one of the old ones is cut off, nobody would know of it.
-
-A division that did not change moves no units and waits for nobody.
+"""Ownership of the units of a limit while the entries change from one division to the next.
+
+When an entry receives a new revision, it immediately caps the units that it owns at its new base
+share. It raises them to the base share only after every seat that may own units of the limit,
+under this division or an older one that the entry knows, has reported exactly this revision as
+settled. An entry reports a revision as settled when the units that it uses and lends fit its base
+shares, and all former owners that *it* knows are past the older divisions: they have the new one
+in force, and every use and loan that may have begun before has ended.
+
+Revisions may be skipped safely. Let X own units under a division that A has never seen, and let A
+raise its units at revision r. X raised its units only after all seats that it knew had settled
+X's revision, so each of them records X as a former owner at its next revision.
+
+- If A waits for X, then X has reported exactly r. It has capped its units at its share of r, and
+  raises them under a later division only after A has settled that one.
+- Otherwise a seat that A waits for records X as a former owner, and does not report r before X is
+  past its division. Such a seat exists if any two successive divisions share a holder that keeps
+  running. Holders are therefore chosen by the roster alone, so that a change of the roster
+  replaces few of them. The guarantee does not hold if all holders of a limit are replaced at once
+  while a former one is partitioned from the others.
+
+An unchanged division moves no units and waits for no other entry.
 """
 
 import typing as t
@@ -29,16 +31,16 @@
 
 
 class _Report(t.NamedTuple):
-    """What the present life of a seat last reported, and since when that life is known."""
+    """The last report of a seat's current incarnation; `since` is when that was first seen."""
 
-    life: str
+    incarnation: str
     since: timedelta
     revision: int
     settled: int
 
 
 class CoHolders:
-    """Reports of the other entries, and which of their VMs are gone."""
+    """The last reports of the other entries, and which of their VMs are gone."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
@@ -46,10 +48,10 @@
         self._replaced: set[str] = set()
 
     def on_digest(self, sender: Incarnation, digest: Digest, now: timedelta) -> None:
-        """Take a report; an older one of the same life is ignored, a new life starts afresh."""
+        """Record a report; ignore one that is older than the last of the same incarnation."""
         last = self._reports.get(sender.seat)
         since = last.since if last else now
-        if last is None or last.life != sender.number:
+        if last is None or last.incarnation != sender.number:
             since = now
             if self._gone.pop(sender.seat, None) is not None:
                 self._replaced.add(sender.seat)
@@ -59,55 +61,62 @@
         self._reports[sender.seat] = report
 
     def on_gone(self, seat: str, now: timedelta) -> None:
-        """Note that the VM is gone; a lagging list does not count against its replacement."""
+        """Record that the VM is gone, unless its replacement has already reported.
+
+        The platform's list may lag and still show the old VM as gone.
+        """
         if seat not in self._replaced:
             self._gone.setdefault(seat, now)
 
     def on_listed(self, seat: str) -> None:
-        """Note that the list shows a VM for the seat, so that it may be gone again later."""
+        """Record that the list shows a VM for the seat; a later :meth:`on_gone` counts again."""
         self._gone.pop(seat, None)
         self._replaced.discard(seat)
 
     def is_gone(self, seat: str) -> bool:
-        """Tell whether the seat's VM is gone and nobody was heard in its place."""
+        """Return whether the seat's VM is gone and no replacement has reported."""
         return seat in self._gone
 
     def gone_before(self, seat: str, instant: timedelta) -> bool:
-        """Tell whether the seat's VM was known to be gone before `instant`."""
+        """Return whether the seat's VM was known to be gone before `instant`."""
         return self._gone.get(seat, instant) < instant
 
-    def agrees(self, seat: str, revision: int) -> bool:
-        """Tell whether the seat's present life reported exactly `revision` as settled."""
+    def settled_exactly(self, seat: str, revision: int) -> bool:
+        """Return whether the seat's current incarnation reported exactly `revision` as settled."""
         report = self._reports.get(seat)
         return report is not None and report.settled == revision
 
     def has_reached(self, seat: str, revision: int) -> bool:
-        """Tell whether the seat's present life has `revision` or a later one in force."""
+        """Return whether the seat's current incarnation has `revision` or a later one in force."""
         report = self._reports.get(seat)
         return report is not None and report.revision >= revision
 
     def has_settled(self, seat: str, revision: int, since: timedelta) -> bool:
-        """Tell whether a life known before `since` has settled `revision` or a later one."""
+        """Return whether the seat has settled `revision` or a later one.
+
+        Only an incarnation that was first seen before `since` counts.
+        """
         report = self._reports.get(seat)
         return report is not None and report.since < since and report.settled >= revision
 
 
 class Ownership:
-    """What one entry owns of a limit, and the agreement about a change of the division.
+    """The units of a limit that one entry owns, and the state of a change of its division.
 
-    `own` units are the entry's to use and lend, at most its `base` share. `before` names the seats
-    that may own units under a division older than that of the revision `changed`, each with the
-    instant at which it was first known to be past it. Uses and loans begun under an older division
-    are over `overhang` later.
+    The entry may use and lend `own` units, at most its `base` share. `former_owners` maps the
+    seats that may own units under a division older than `division_revision` to the time at which
+    each was first seen with that revision or a later one in force. Uses and loans begun under an
+    older division end at most `max_carryover` after that. The division is `settled` when this
+    entry reports it as such, and `complete` when the entry owns its base share.
     """
 
     __slots__ = (
         "base",
-        "before",
-        "changed",
-        "changed_at",
         "complete",
-        "overhang",
+        "division_at",
+        "division_revision",
+        "former_owners",
+        "max_carryover",
         "own",
         "settled",
         "wait_until",
@@ -116,21 +125,26 @@
     def __init__(self) -> None:
         self.base = 0
         self.own = 0
-        self.before: dict[str, timedelta | None] = {}
-        self.changed = 0
-        self.changed_at = timedelta(0)
-        self.overhang = timedelta(0)
+        self.former_owners: dict[str, timedelta | None] = {}
+        self.division_revision = 0
+        self.division_at = timedelta(0)
+        self.max_carryover = timedelta(0)
         self.wait_until = timedelta(0)
         self.complete = True
         self.settled = True
 
-    def divide(self, base: int, before: Iterable[str], revision: int, now: timedelta) -> None:
-        """Begin a new division, in which this entry has `base` units, after that of `before`."""
+    def begin_division(
+        self, base: int, former_owners: Iterable[str], revision: int, now: timedelta
+    ) -> None:
+        """Begin a new division in which this entry has `base` units.
+
+        `former_owners` are the other holders under the previous division.
+        """
         self.base = base
         self.own = min(self.own, base)
-        self.before = dict.fromkeys((*self.before, *before))
-        self.changed = revision
-        self.changed_at = now
+        self.former_owners = dict.fromkeys((*self.former_owners, *former_owners))
+        self.division_revision = revision
+        self.division_at = now
         self.settled = False
         self.complete = False
 
@@ -138,44 +152,44 @@
         self,
         occupied: int,
         holders: Iterable[str],
-        others: CoHolders,
+        co_holders: CoHolders,
         revision: int,
         now: timedelta,
     ) -> None:
-        """Settle the division, and own the base share, as soon as the rule allows.
+        """Settle the division, and own the base share, if the conditions are met.
 
         Parameters
         ----------
         occupied
             Own units in use or lent.
         holders
-            The other holders in the present division.
+            The other holders in the current division.
         """
         if now < self.wait_until:
             return
-        self._note_reached(others, now)
-        past = all(self._is_past(seat, others, now) for seat in self.before)
+        self._record_reached(co_holders, now)
+        past = all(self._is_past(seat, co_holders, now) for seat in self.former_owners)
         self.settled = self.settled or (past and occupied <= self.base)
         if self.complete or not past:
             return
-        long_ago = now - self.overhang
+        cutoff = now - self.max_carryover
         if all(
-            others.agrees(seat, revision) or others.gone_before(seat, long_ago)
-            for seat in (*holders, *self.before)
+            co_holders.settled_exactly(seat, revision) or co_holders.gone_before(seat, cutoff)
+            for seat in (*holders, *self.former_owners)
         ):
             self.own = self.base
-            self.before = {}
+            self.former_owners = {}
             self.complete = True
 
-    def _note_reached(self, others: CoHolders, now: timedelta) -> None:
-        for seat, reached in self.before.items():
-            if reached is None and others.has_reached(seat, self.changed):
-                self.before[seat] = now
+    def _record_reached(self, co_holders: CoHolders, now: timedelta) -> None:
+        for seat, reached in self.former_owners.items():
+            if reached is None and co_holders.has_reached(seat, self.division_revision):
+                self.former_owners[seat] = now
 
-    def _is_past(self, seat: str, others: CoHolders, now: timedelta) -> bool:
-        reached = self.before[seat]
+    def _is_past(self, seat: str, co_holders: CoHolders, now: timedelta) -> bool:
+        reached = self.former_owners[seat]
         return (
-            others.has_settled(seat, self.changed, self.changed_at)
-            or (reached is not None and now - reached > self.overhang)
-            or others.gone_before(seat, now - self.overhang)
+            co_holders.has_settled(seat, self.division_revision, self.division_at)
+            or (reached is not None and now - reached > self.max_carryover)
+            or co_holders.gone_before(seat, now - self.max_carryover)
         )
--- a/packages/core/src/cardamomloft/core/references.py
+++ b/packages/core/src/cardamomloft/core/references.py
@@ -23,7 +23,7 @@
 _PORT = re.compile(r"[1-9][0-9]{0,4}\Z")
 _MAX_PORT = 65535
 # Parts that are meant to make up the whole may miss it by a rounding error.
-_FULL_PERCENT = 100.000001
+_MAX_TOTAL_PERCENT = 100.000001
 
 
 class Names(t.NamedTuple):
@@ -75,15 +75,15 @@
     return instant if instant.tzinfo is not None else None
 
 
-def _unknown(path: str, what: str, name: str, known: Collection[str]) -> Iterator[Mistake]:
-    if name in known:
+def _unknown_name(path: str, what: str, name: str, defined: Collection[str]) -> Iterator[Mistake]:
+    if name in defined:
         return
-    close = difflib.get_close_matches(name, known, n=1)
+    close = difflib.get_close_matches(name, defined, n=1)
     hint = f", did you mean {close[0]}?" if close else ""
     yield Mistake(path, f"unknown {what} {name}{hint}")
 
 
-def _twice(path: str, what: str, names: Iterable[str]) -> Iterator[Mistake]:
+def _duplicates(path: str, what: str, names: Iterable[str]) -> Iterator[Mistake]:
     for name, count in Counter(names).items():
         if count > 1:
             yield Mistake(path, f"{what} {name} is given {count} times")
@@ -98,7 +98,7 @@
     homes: dict[str, str] = {}
     for region, zones in document["regions"].items():
         path = dotted("regions", region)
-        yield from _twice(path, "zone", zones)
+        yield from _duplicates(path, "zone", zones)
         for zone in dict.fromkeys(zones):
             if zone in homes:
                 yield Mistake(path, f"zone {zone} is in region {homes[zone]} already")
@@ -106,14 +106,14 @@
 
 
 def _address_mistakes(document: Document) -> Iterator[Mistake]:
-    users: dict[str, str] = {}
+    used_by: dict[str, str] = {}
     for path, text in _addresses(document):
         host, _, port = text.partition(":")
         if parse_address(host) is None or not _PORT.match(port) or int(port) > _MAX_PORT:
             yield Mistake(path, f"must be an IPv4 address and a port, is {text!r}")
-        elif text in users:
-            yield Mistake(path, f"address {text} is used by {users[text]} already")
-        users.setdefault(text, path)
+        elif text in used_by:
+            yield Mistake(path, f"address {text} is used by {used_by[text]} already")
+        used_by.setdefault(text, path)
 
 
 def _addresses(document: Document) -> Iterator[tuple[str, str]]:
@@ -127,7 +127,7 @@
 
 def _entry_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
     for entry, row in document["entries"].items():
-        yield from _unknown(dotted("entries", entry, "zone"), "zone", row["zone"], names.zones)
+        yield from _unknown_name(dotted("entries", entry, "zone"), "zone", row["zone"], names.zones)
 
 
 def _service_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
@@ -143,7 +143,7 @@
         yield from _service_setting_mistakes(path, row)
         for name, upstream in row["upstreams"].items():
             where = (*path, "upstreams", name)
-            yield from _unknown(dotted(*where, "zone"), "zone", upstream["zone"], names.zones)
+            yield from _unknown_name(dotted(*where, "zone"), "zone", upstream["zone"], names.zones)
             if name in homes:
                 yield Mistake(dotted(*where), f"service {homes[name]} has an upstream of this name")
             homes.setdefault(name, service)
@@ -159,7 +159,7 @@
 
 
 def _method_mistakes(path: str, methods: list[str]) -> Iterator[Mistake]:
-    yield from _twice(path, "method", methods)
+    yield from _duplicates(path, "method", methods)
     for method in dict.fromkeys(methods):
         if not _METHOD.match(method):
             yield Mistake(path, f"must be methods in capitals, has {method!r}")
@@ -176,11 +176,11 @@
     clients = document["clients"]
     blocks, chunks = clients.get("blocks", {}), clients.get("chunks", [])
     path = ("clients", "blocks")
-    yield from _unknown(dotted("clients", "default"), "site", clients["default"], names.sites)
+    yield from _unknown_name(dotted("clients", "default"), "site", clients["default"], names.sites)
     yield from block_mistakes(path, blocks)
     for block, site in blocks.items():
-        yield from _unknown(dotted(*path, block), "site", site, names.sites)
-    yield from _twice(dotted("clients", "chunks"), "chunk", chunks)
+        yield from _unknown_name(dotted(*path, block), "site", site, names.sites)
+    yield from _duplicates(dotted("clients", "chunks"), "chunk", chunks)
     for at, digest in enumerate(chunks):
         if not _DIGEST.match(digest):
             yield Mistake(dotted("clients", "chunks", at), "must be a SHA-256 in hexadecimal")
@@ -189,21 +189,21 @@
 
 
 def _rule_list_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
-    yield from _twice("rules", "rule", (rule["name"] for rule in document["rules"]))
+    yield from _duplicates("rules", "rule", (rule["name"] for rule in document["rules"]))
     for rule in document["rules"]:
-        yield from _when_mistakes(("rules", rule["name"], "when"), rule["when"], names)
-        yield from _then_mistakes(("rules", rule["name"], "then"), rule["then"], document, names)
+        yield from _condition_mistakes(("rules", rule["name"], "when"), rule["when"], names)
+        yield from _action_mistakes(("rules", rule["name"], "then"), rule["then"], document, names)
         yield from _rule_deadline_mistakes(rule, document)
 
 
-def _when_mistakes(path: tuple[str, ...], when: When, names: Names) -> Iterator[Mistake]:
-    for condition, known in (
+def _condition_mistakes(path: tuple[str, ...], when: When, names: Names) -> Iterator[Mistake]:
+    for condition, defined in (
         ("service", names.services),
         ("zone", names.zones),
         ("region", names.regions),
     ):
         if condition in when:
-            yield from _unknown(dotted(*path, condition), condition, when[condition], known)
+            yield from _unknown_name(dotted(*path, condition), condition, when[condition], defined)
     if "method" in when:
         yield from _method_mistakes(dotted(*path, "method"), when["method"])
         if not when["method"]:
@@ -217,7 +217,7 @@
             yield Mistake(dotted(*path, "headers", header), "must be a header name in lower case")
 
 
-def _then_mistakes(
+def _action_mistakes(
     path: tuple[str, ...], then: Then, document: Document, names: Names
 ) -> Iterator[Mistake]:
     if "refuse" in then:
@@ -228,9 +228,9 @@
     else:
         yield from _place_mistakes((*path, "places"), then["places"], document, names)
     spill = then.get("spill", [])
-    yield from _twice(dotted(*path, "spill"), "region", spill)
+    yield from _duplicates(dotted(*path, "spill"), "region", spill)
     for region in dict.fromkeys(spill):
-        yield from _unknown(dotted(*path, "spill"), "region", region, names.regions)
+        yield from _unknown_name(dotted(*path, "spill"), "region", region, names.regions)
 
 
 def _place_mistakes(
@@ -242,10 +242,10 @@
             yield Mistake(dotted(*path, at), "must have a region or a zone, and not both")
         elif "region" in place:
             region = place["region"]
-            yield from _unknown(dotted(*path, at, "region"), "region", region, names.regions)
+            yield from _unknown_name(dotted(*path, at, "region"), "region", region, names.regions)
             zones += document["regions"].get(region, ())
         else:
-            yield from _unknown(dotted(*path, at, "zone"), "zone", place["zone"], names.zones)
+            yield from _unknown_name(dotted(*path, at, "zone"), "zone", place["zone"], names.zones)
             zones.append(place["zone"])
     for zone, count in Counter(zones).items():
         if count > 1:
@@ -267,23 +267,29 @@
 def _link_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
     links = document.get("links", [])
     for at, link in enumerate(links):
-        yield from _unknown(dotted("links", at, "origin"), "region", link["origin"], names.regions)
-        yield from _unknown(dotted("links", at, "target"), "region", link["target"], names.regions)
+        yield from _unknown_name(
+            dotted("links", at, "origin"), "region", link["origin"], names.regions
+        )
+        yield from _unknown_name(
+            dotted("links", at, "target"), "region", link["target"], names.regions
+        )
         if link["origin"] == link["target"]:
             yield Mistake(dotted("links", at), "origin and target are the same region")
     ends = (f"from {link['origin']} to {link['target']}" for link in links)
-    yield from _twice("links", "a link", ends)
+    yield from _duplicates("links", "a link", ends)
 
 
 def _drain_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
-    known = {
+    defined = {
         "region": names.regions,
         "zone": names.zones,
         "upstream": names.upstreams,
         "entry": names.entries,
     }
     for name, drain in document.get("drains", {}).items():
-        yield from _unknown(dotted("drains", name), drain["kind"], name, known[drain["kind"]])
+        yield from _unknown_name(
+            dotted("drains", name), drain["kind"], name, defined[drain["kind"]]
+        )
         yield from _instant_mistakes(dotted("drains", name, "since"), drain["since"])
 
 
@@ -291,14 +297,16 @@
     leaving: defaultdict[tuple[str, str], float] = defaultdict(float)
     for name, move in document.get("moves", {}).items():
         path = ("moves", name)
-        yield from _unknown(dotted(*path, "service"), "service", move["service"], names.services)
-        yield from _unknown(dotted(*path, "origin"), "zone", move["origin"], names.zones)
-        yield from _unknown(dotted(*path, "target"), "zone", move["target"], names.zones)
+        yield from _unknown_name(
+            dotted(*path, "service"), "service", move["service"], names.services
+        )
+        yield from _unknown_name(dotted(*path, "origin"), "zone", move["origin"], names.zones)
+        yield from _unknown_name(dotted(*path, "target"), "zone", move["target"], names.zones)
         yield from _instant_mistakes(dotted(*path, "since"), move["since"])
         if move["origin"] == move["target"]:
             yield Mistake(dotted(*path), "origin and target are the same zone")
         leaving[move["service"], move["origin"]] += move["percent"]
     for (service, origin), percent in leaving.items():
-        if percent > _FULL_PERCENT:
+        if percent > _MAX_TOTAL_PERCENT:
             text = f"the moves of {service} from {origin} add up to {percent:g} percent"
             yield Mistake("moves", text)
--- a/packages/core/src/cardamomloft/core/shares.py
+++ b/packages/core/src/cardamomloft/core/shares.py
@@ -1,9 +1,9 @@
-"""The shares of all limits at one entry: what it may use now, lends, borrows and settles.
+"""The shares of all limits at one entry: the units it may use, lend and borrow.
 
-Every unit of a limit belongs to at most one entry at any time. It moves for a while by loan
-(:mod:`cardamomloft.core.loans`), and for good by a new division in a later revision
-(:mod:`cardamomloft.core.ownership`). A restarted entry owns nothing until the uses and loans of its
-predecessor are over (quarantine), and then only as under a new division.
+Every unit of a limit belongs to at most one entry at any time. It moves temporarily by a loan
+(:mod:`cardamomloft.core.loans`), and permanently by a new division in a later revision
+(:mod:`cardamomloft.core.ownership`). A restarted entry owns nothing until the uses and loans of
+its predecessor are over (quarantine); then it obtains its base shares as under a new division.
 """
 
 import itertools
@@ -14,7 +14,7 @@
 from cardamomloft.core.clock import Clock
 from cardamomloft.core.lending import Borrower, Lender
 from cardamomloft.core.limits import Limit, LimitKind, base_shares
-from cardamomloft.core.loans import denial, longest_loan
+from cardamomloft.core.loans import denial, max_loan_term
 from cardamomloft.core.messages import (
     Digest,
     LoanGrant,
@@ -28,7 +28,7 @@
 from expression import Error, Ok, Result
 
 REVIEW = timedelta(milliseconds=200)
-"""How often a division that is not settled is looked at without a report."""
+"""Interval at which unsettled divisions are reviewed when no digest arrives."""
 
 _ZERO = timedelta(0)
 
@@ -40,25 +40,28 @@
 
 
 _NO_LIMIT = _refused(RefusalReason.NO_PLACE, "no such limit")
-_CLOSED = _refused(RefusalReason.STOPPING, "all shares are handed over")
-_NO_SHARE = _refused(RefusalReason.OVERLOAD, "no share is free")
-_BAD_DEADLINE = _refused(RefusalReason.DEADLINE, "the deadline is past or too far off")
+_CLOSED = _refused(RefusalReason.STOPPING, "the entry is stopping and has given up its shares")
+_NO_SHARE = _refused(RefusalReason.OVERLOAD, "no units of the limit are free at this entry")
+_BAD_DEADLINE = _refused(
+    RefusalReason.DEADLINE, "the deadline is past, or later than the limit's longest use allows"
+)
 
 
 class Shares:
-    """Every limit at one entry.
+    """The accounts of all limits at one entry.
 
     Parameters
     ----------
     me
-        This process; another life of the seat never has the same number.
+        This process; another incarnation of the seat never has the same number.
     drift
         How far any entry's monotonic clock may be from true time, as a fraction.
     """
 
     def __init__(self, me: Incarnation, clock: Clock, *, drift: float = 0.01) -> None:
         self.before_rate_change: Callable[[str], None] | None = None
-        # Until this life is recorded, its successor could not know that it had been there.
+        # False until this incarnation is recorded: without the record its successor would not
+        # know that it must be quarantined.
         self.may_own = True
         self._me = me
         self._clock = clock
@@ -68,12 +71,12 @@
         self._limits: Mapping[str, Limit] = {}
         self._accounts: dict[str, Account] = {}
         self._active: set[str] = set()
-        self._open: set[str] = set()
+        self._unsettled: set[str] = set()
         self._holds: set[int] = set()
-        self._others = CoHolders()
+        self._co_holders = CoHolders()
         self._hold_numbers = itertools.count(1)
         self._lender = Lender(drift)
-        self._borrower = Borrower(me, drift, self._others)
+        self._borrower = Borrower(me, drift, self._co_holders)
         self._quarantined_at: timedelta | None = None
         self._configured = 0
         self._reviewed_at = clock.monotonic()
@@ -82,37 +85,39 @@
 
     @property
     def settled(self) -> int:
-        """The highest revision whose division this entry keeps and vouches for; 0 for none."""
+        """The highest revision whose division this entry reports as settled; 0 for none."""
         return self._settled
 
     @property
     def partners(self) -> frozenset[str]:
-        """The seats whose digests this entry waits for, or that may wait for its own."""
+        """The seats whose digests this entry needs, or that may need its digest."""
         accounts = self._accounts.values()
-        seats = {seat for a in accounts for seat in (*a.limit.holders, *a.ownership.before)}
+        seats = {seat for a in accounts for seat in (*a.limit.holders, *a.ownership.former_owners)}
         return frozenset(seats - {self._me.seat})
 
     @property
     def owns_any(self) -> bool:
-        """Whether this entry owns a unit of anything."""
+        """Whether this entry owns a unit of any limit."""
         return any(account.ownership.own for account in self._accounts.values())
 
     @property
     def awaited(self) -> frozenset[str]:
-        """The seats whose agreement keeps this entry from owning a base share."""
+        """The seats whose missing digests keep this entry from owning a base share."""
         seats = set()
-        for key in self._open:
+        for key in self._unsettled:
             account = self._accounts[key]
             if not account.ownership.complete:
-                seats.update(account.limit.holders, account.ownership.before)
+                seats.update(account.limit.holders, account.ownership.former_owners)
         seats.discard(self._me.seat)
-        return frozenset(s for s in seats if not self._others.agrees(s, self._revision))
+        return frozenset(
+            s for s in seats if not self._co_holders.settled_exactly(s, self._revision)
+        )
 
     @property
     def is_clear(self) -> bool:
-        """Whether after :meth:`hand_over` nothing is used, lent or borrowed any more.
+        """Whether nothing is used, lent or borrowed any longer after :meth:`hand_over`.
 
-        From then on nothing can be acquired, and a successor may start without quarantine.
+        Once true, nothing can be acquired, and a successor may start without quarantine.
         """
         if self._stopping and not self._holds:
             now = self._clock.monotonic()
@@ -122,13 +127,13 @@
     def configure(
         self, revision: int, limits: Mapping[str, Limit], *, quarantine: bool = False
     ) -> None:
-        """Take the limits of a higher revision; a lower or the same one changes nothing.
+        """Apply the limits of a higher revision; the same or a lower one has no effect.
 
         Parameters
         ----------
         quarantine
-            At the first call: whether an earlier life of this seat may have left uses or loans
-            behind. False only for the first life, and after a clean hand-over.
+            At the first call: whether uses or loans of an earlier incarnation of this seat may
+            still exist. False only for the first incarnation and after a clean hand-over.
         """
         if revision <= self._revision:
             return
@@ -136,16 +141,17 @@
         if not self._revision and quarantine:
             self._quarantined_at = now
         self._configured += 1
-        known, self._limits, self._revision = self._limits, limits, revision
+        previous, self._limits, self._revision = self._limits, limits, revision
         held = {key for key, limit in limits.items() if self._me.seat in limit.holders}
         for key in sorted(held | set(self._accounts)):
-            self._divide(key, known.get(key), limits.get(key), now)
+            self._apply_limit(key, previous.get(key), limits.get(key), now)
         self._review()
 
     def lift_quarantine(self) -> None:
-        """Take it that no earlier life left anything behind, which was not known at first.
+        """End the quarantine, because no uses or loans of an earlier incarnation can exist.
 
-        After a second revision it is too late: other waits may have been added to the quarantine.
+        It has no effect after a second revision, which may have extended the wait for other
+        reasons.
         """
         if self._quarantined_at is None or self._configured > 1:
             return
@@ -155,12 +161,12 @@
         self._review()
 
     def acquire(self, key: str, amount: int, deadline: timedelta) -> Result[Hold, Refusal]:
-        """Take `amount` units for a use that ends by the monotonic instant `deadline`.
+        """Take `amount` units for a use that ends by the monotonic time `deadline`.
 
-        The units come whole from the own share or whole from one loan.
+        All units come from the entry's own share, or all from one loan.
         """
         now = self._clock.monotonic()
-        account = self._accounts.get(key) or self._open_account(key)
+        account = self._accounts.get(key) or self._add_account(key)
         if account is None:
             return _NO_LIMIT
         if self._closed:
@@ -180,45 +186,45 @@
         return Ok(Hold(number, key, amount, deadline, loan))
 
     def release(self, hold: Hold) -> None:
-        """Give the units back; releasing twice changes nothing."""
+        """Return the units; calling it again has no effect."""
         if hold.number not in self._holds:
             return
         self._holds.remove(hold.number)
         account = self._accounts[hold.key]
         if hold.loan is None:
             account.used -= hold.amount
-            over = account.used + account.lent - account.ownership.base
-            if -hold.amount < over <= 0:
+            excess = account.used + account.lent - account.ownership.base
+            if -hold.amount < excess <= 0:
                 self._review()
         elif account.loans:
             account.loans.end_use(hold.loan, hold.amount, self._clock.monotonic())
 
     def free(self, key: str) -> int:
-        """Return the units that a use may take now: of the own share or, if short, of loans."""
+        """Return the units available now, of the entry's own share and of its loans."""
         account = self._accounts.get(key)
         return account.free(self._clock.monotonic()) if account else 0
 
     def has_limit(self, key: str) -> bool:
-        """Tell whether the document has a limit of this name."""
+        """Return whether the document defines a limit with this key."""
         return key in self._limits
 
     def base(self, key: str) -> int:
-        """Return this entry's base share of a limit, whether or not it owns it yet."""
+        """Return this entry's base share of a limit, even if it does not own it yet."""
         account = self._accounts.get(key)
         return account.ownership.base if account else 0
 
     def want(self, key: str, amount: int) -> None:
-        """Say how many units are wanted beyond those in use; 0 when none are any more.
+        """Set how many units are wanted beyond those in use; 0 ends the demand.
 
-        Of a RATE limit, say the whole rate that is wanted.
+        For a RATE limit, `amount` is the whole rate that is wanted.
         """
-        account = self._accounts.get(key) or self._open_account(key)
+        account = self._accounts.get(key) or self._add_account(key)
         if account:
             account.wanted = amount
             self._active.add(key)
 
     def observe(self, key: str, rate: int) -> None:
-        """Say at what rate a RATE limit is used, so that this much of it is kept."""
+        """Record the rate at which a RATE limit is used, so that it is not lent or returned."""
         account = self._accounts.get(key)
         if account:
             now = self._clock.monotonic()
@@ -227,12 +233,12 @@
                 account.loans.mark_used(rate - account.free_own(), now)
 
     def rates(self, key: str, since: timedelta) -> Iterator[tuple[timedelta, int]]:
-        """Yield the spans from `since` until now with the rate that was this entry's in each.
+        """Yield the time spans from `since` until now, each with this entry's rate during it.
 
-        Right only if nothing but loans running out has changed the rate since then; see
-        `before_rate_change`, which is called with the key before anything else does.
+        The result is valid only if nothing but the expiry of loans changed the rate since then.
+        `before_rate_change` is called with the key before any other change.
         """
-        account = self._accounts.get(key) or self._open_account(key)
+        account = self._accounts.get(key) or self._add_account(key)
         now = self._clock.monotonic()
         if account is None or now <= since:
             return
@@ -245,20 +251,20 @@
             start = end
 
     def on_digest(self, sender: Incarnation, digest: Digest) -> None:
-        """Take a peer's report of the revision that it has in force and has settled."""
-        self._others.on_digest(sender, digest, self._clock.monotonic())
+        """Apply a peer's report of the revisions that it has in force and settled."""
+        self._co_holders.on_digest(sender, digest, self._clock.monotonic())
         self._review()
 
     def on_gone(self, seat: str) -> None:
-        """Take from the platform's list that the seat's VM is gone."""
-        self._others.on_gone(seat, self._clock.monotonic())
+        """Record that the seat's VM is gone, according to the platform's list."""
+        self._co_holders.on_gone(seat, self._clock.monotonic())
 
     def on_listed(self, seat: str) -> None:
-        """Take from the platform's list that the seat has a VM that is not gone."""
-        self._others.on_listed(seat)
+        """Record that the platform's list has a VM for the seat that is not gone."""
+        self._co_holders.on_listed(seat)
 
     def hand_over(self) -> list[Outgoing]:
-        """Begin a planned stop: return and recall loans; go on with tick until `is_clear`."""
+        """Begin a planned stop: return and recall loans; call `tick` until `is_clear`."""
         self._stopping = True
         return self.tick()
 
@@ -267,40 +273,40 @@
         return [account.row(key) for key, account in sorted(self._accounts.items())]
 
     def on_message(self, sender: Incarnation, message: LoanMessage) -> list[Outgoing]:
-        """Take a loan message from another entry and return the answers."""
+        """Handle a loan message from another entry and return the answers."""
         account = self._accounts.get(message.key)
         now = self._clock.monotonic()
         if account:
-            self._touch(account)
+            self._notify_rate_change(account)
         match message:
             case LoanRequest():
                 answer = self._lend(account, sender, message, now) if account else denial(message)
             case LoanGrant():
-                answer = self._borrower.take(account, sender, message, now)
+                answer = self._borrower.on_grant(account, sender, message, now)
             case LoanReturn():
                 answer = self._lender.close(account, sender, message)
             case LoanRecall():
-                known = account and account.loans and account.loans.recall(sender, message.number)
-                answer = None if known else LoanReturn(message.number, message.key)
+                found = account and account.loans and account.loans.recall(sender, message.number)
+                answer = None if found else LoanReturn(message.number, message.key)
         return [Outgoing(sender.seat, answer)] if answer else []
 
     def tick(self) -> list[Outgoing]:
-        """Let loans run out, and send what is due; call it every 20 to 50 ms."""
+        """Expire loans and return the messages that are due; call it every 20 to 50 ms."""
         now = self._clock.monotonic()
         if now - self._reviewed_at >= REVIEW:
             self._review()
         outgoing: list[Outgoing] = []
         for key in sorted(self._active):
             account = self._accounts[key]
-            self._touch(account)
+            self._notify_rate_change(account)
             outgoing += self._lender.tick(key, account, now, stopping=self._stopping)
             outgoing += self._borrower.tick(key, account, now, stopping=self._stopping)
             if not account.wanted and not account.lendings and not account.loans:
                 self._active.discard(key)
         return outgoing
 
-    def _divide(self, key: str, old: Limit | None, new: Limit | None, now: timedelta) -> None:
-        """Move one account to the new revision's limit; `old` is the last revision's, if any."""
+    def _apply_limit(self, key: str, old: Limit | None, new: Limit | None, now: timedelta) -> None:
+        """Apply the new revision's limit to one account; `old` is the previous one, if any."""
         me = self._me.seat
         account = self._accounts.get(key)
         if account is None:
@@ -308,65 +314,70 @@
         else:
             old = account.limit
         limit = account.limit = new or old._replace(capacity=0, holders=())
-        owned = account.ownership
+        ownership = account.ownership
         holds = me in limit.holders or (old is not None and me in old.holders)
-        if not holds and owned.complete and owned.settled:
+        if not holds and ownership.complete and ownership.settled:
             if not account.is_busy:
                 self._active.discard(key)
                 del self._accounts[key]
             return
-        self._touch(account)
-        owned.overhang = max(owned.overhang, self._overhang(limit))
+        self._notify_rate_change(account)
+        ownership.max_carryover = max(ownership.max_carryover, self._carryover_bound(limit))
         if old is None or (old.capacity, old.holders) != (limit.capacity, limit.holders):
-            before = [seat for seat in old.holders if seat != me] if old else ()
-            owned.divide(base_shares(limit).get(me, 0), before, self._revision, now)
-        self._delay(account, old, now)
-        self._open.add(key)
-
-    def _delay(self, account: Account, old: Limit | None, now: timedelta) -> None:
-        """Let what may last longer than the new limit's longest use end first."""
-        owned = account.ownership
+            former_owners = [seat for seat in old.holders if seat != me] if old else ()
+            ownership.begin_division(
+                base_shares(limit).get(me, 0), former_owners, self._revision, now
+            )
+        self._extend_wait(account, old, now)
+        self._unsettled.add(key)
+
+    def _extend_wait(self, account: Account, old: Limit | None, now: timedelta) -> None:
+        """Wait for quarantined work, and for work that may outlast the new longest use."""
+        ownership = account.ownership
         if self._quarantined_at is not None:
-            until = self._quarantined_at + owned.overhang
-            owned.wait_until = max(owned.wait_until, until)
+            until = self._quarantined_at + ownership.max_carryover
+            ownership.wait_until = max(ownership.wait_until, until)
         if old and account.limit.longest_use < old.longest_use and account.is_busy:
-            owned.wait_until = max(owned.wait_until, now + owned.overhang)
-            owned.settled = False
+            ownership.wait_until = max(ownership.wait_until, now + ownership.max_carryover)
+            ownership.settled = False
 
     def _review(self) -> None:
         if not self.may_own:
             return
         now = self._reviewed_at = self._clock.monotonic()
-        still_open = set()
+        still_unsettled = set()
         settled = True
-        for key in sorted(self._open):
+        for key in sorted(self._unsettled):
             account = self._accounts[key]
-            owned = account.ownership
-            self._touch(account)
+            ownership = account.ownership
+            self._notify_rate_change(account)
             holders = [seat for seat in account.limit.holders if seat != self._me.seat]
             occupied = account.used + account.lent
-            owned.review(occupied, holders, self._others, self._revision, now)
-            settled = settled and owned.settled
-            if not (owned.settled and owned.complete):
-                still_open.add(key)
-        self._open = still_open
+            ownership.review(occupied, holders, self._co_holders, self._revision, now)
+            settled = settled and ownership.settled
+            if not (ownership.settled and ownership.complete):
+                still_unsettled.add(key)
+        self._unsettled = still_unsettled
         if settled:
             self._settled = self._revision
 
-    def _overhang(self, limit: Limit) -> timedelta:
-        """Return after what time all that began under the limit is over, by any clock."""
-        longest = limit.longest_use + longest_loan(limit, self._drift)
+    def _carryover_bound(self, limit: Limit) -> timedelta:
+        """Return the time after which all uses and loans begun under the limit have ended.
+
+        It allows for the drift of every clock involved.
+        """
+        longest = limit.longest_use + max_loan_term(limit, self._drift)
         return longest * (1 + 3 * self._drift)
 
-    def _open_account(self, key: str) -> Account | None:
-        """Return a new account of a limit of which this entry holds nothing."""
+    def _add_account(self, key: str) -> Account | None:
+        """Return a new account for a limit of which this entry holds no share."""
         limit = self._limits.get(key)
         if limit is None:
             return None
         account = self._accounts[key] = Account(limit)
         return account
 
-    def _touch(self, account: Account) -> None:
+    def _notify_rate_change(self, account: Account) -> None:
         if account.limit.kind is LimitKind.RATE and self.before_rate_change:
             self.before_rate_change(account.limit.key)
 
--- a/packages/core/tests/test_checking.py
+++ b/packages/core/tests/test_checking.py
@@ -10,10 +10,10 @@
 from cardamomloft.core.document import Document, EntryRow
 
 ROOT = Path(__file__).parents[3]
-PIMENTO = json.loads((ROOT / "examples" / "pimento.json").read_text())
+EXAMPLE = json.loads((ROOT / "examples" / "pimento.json").read_text())
 
 
-def changed(patch: str = "", document=PIMENTO) -> dict:
+def changed(patch: str = "", document=EXAMPLE) -> dict:
     """The document with changes, one a line: a dotted path and its JSON, or nothing to drop it."""
     document = copy.deepcopy(document)
     for line in filter(None, patch.splitlines()):
@@ -66,7 +66,7 @@
     assert script.PAGE.read_text() == script.page()
 
 
-WRONG_TYPES = """
+TYPE_ERRORS = """
 services.menus.upstreams.menus-kingston-a-1.slots = 0
 services.menus.upstreams.menus-kingston-a-1.slot = 3
 services.menus.deadline_ms = "1500"
@@ -105,7 +105,7 @@
 
 
 def test_all_mistakes_of_type_are_told_at_once():
-    assert mistakes(changed(WRONG_TYPES)) == lines(TYPE_MISTAKES)
+    assert mistakes(changed(TYPE_ERRORS)) == lines(TYPE_MISTAKES)
 
 
 def test_nothing_is_converted():
@@ -116,7 +116,7 @@
     assert str(check_typed(Document, []).error[0]) == "(root): must be an object, is a list"
 
 
-WRONG_NAMES = """
+NAME_ERRORS = """
 regions.coast = ["kingston-a", "x", "x"]
 entries.entry-kingston-a-1.zone = "kingston-c"
 entries.entry-kingston-a-1.callers = "127.0.11.1:9000"
@@ -176,7 +176,7 @@
 
 
 def test_names_that_lead_nowhere_and_contradictions_are_told_at_once():
-    assert mistakes(changed(WRONG_NAMES)) == lines(NAME_MISTAKES)
+    assert mistakes(changed(NAME_ERRORS)) == lines(NAME_MISTAKES)
 
 
 PLACES = [{"region": "kingston", "weight": 1}]
@@ -184,7 +184,7 @@
 
 def with_rules(*rules) -> dict:
     rows = [{"name": name, "when": when, "then": then} for name, when, then in rules]
-    return {**PIMENTO, "rules": rows}
+    return {**EXAMPLE, "rules": rows}
 
 
 RULE_MISTAKES = """
@@ -233,14 +233,14 @@
     assert mistakes(document) == lines(RULE_MISTAKES)
 
 
-def is_dead(first, second) -> bool:
+def is_unreachable(first, second) -> bool:
     document = with_rules(("a", first, {"places": PLACES}), ("b", second, {"places": PLACES}))
     assert check_document(document).is_ok()
     return any(mistake.path == "rules.b" for mistake in warnings(document))
 
 
 # Whether the second rule can never match behind the first.
-SHADOWS = """
+SHADOWED_RULES = """
 true {} {"service": "menus"}
 false {"service": "menus"} {}
 true {"path": "/menus"} {"service": "menus"}
@@ -265,13 +265,13 @@
 """
 
 
-@pytest.mark.parametrize("line", lines(SHADOWS))
+@pytest.mark.parametrize("line", lines(SHADOWED_RULES))
 def test_a_rule_is_reported_dead_only_where_it_is(line):
     expected, first, second = json.loads("[" + re.sub(r"(?<=[e}]) (?={)", ",", line) + "]")
-    assert is_dead(first, second) is expected
+    assert is_unreachable(first, second) is expected
 
 
-HARDLY_MEANT = """
+SUSPICIOUS_DOCUMENT = """
 services.media
 services.loyalty
 rules = [{"name": "all", "when": {"service": "menus"}, "then": {"places": [{"zone": "empty", "weight": 1}]}}]
@@ -284,7 +284,7 @@
 
 
 def test_warnings_of_whole_documents():
-    document = check_document(changed(HARDLY_MEANT)).ok
+    document = check_document(changed(SUSPICIOUS_DOCUMENT)).ok
     assert [str(mistake) for mistake in warnings(document)] == [
         "services.checkout: no rule can match, so all is refused",
         "rules.all.then.places.0: there is no upstream of service menus there",
--- a/packages/core/tests/test_claims.py
+++ b/packages/core/tests/test_claims.py
@@ -40,7 +40,7 @@
     again = attempt.read(None)
     assert again == attempt.step
     assert isinstance(attempt.failed(ambiguous=True), ReadClaim)
-    assert attempt.read(again.value) == Claimed(claims.keep)
+    assert attempt.read(again.value) == Claimed(claims.retention)
 
 
 @pytest.mark.parametrize("ambiguous", [True, False])
@@ -72,7 +72,7 @@
     assert attempt.failed(ambiguous=False).reason is RefusalReason.CLAIM_UNAVAILABLE
     repeat = claims.start(own_id(clock), "f").ok
     repeat.created(made=False)
-    assert repeat.read(attempt.step.value) == Claimed(claims.keep)
+    assert repeat.read(attempt.step.value) == Claimed(claims.retention)
     assert claims.start(own_id(clock), "f").error.reason is RefusalReason.CLAIM_BUDGET
     clock.advance(timedelta(seconds=0.5))
     assert claims.start(own_id(clock), "f").is_ok()
@@ -82,24 +82,24 @@
     skew = timedelta(minutes=5)
     fast, slow = ManualClock(clock.utcnow() + skew), ManualClock(clock.utcnow() - skew)
     own, claims = own_id(clock), Claims(ME, fast, writes_per_s=2, drift=0.0)
-    needed = claims.needed(fast.utcnow() - own.stamped)
+    required_lease = claims.required_lease(fast.utcnow() - own.stamped)
     request = claims.want_lease()
-    claims.on_lease(request._replace(ttl=needed), "lease")
+    claims.on_lease(request._replace(ttl=required_lease), "lease")
     attempt = claims.start(own, "f").ok
-    assert attempt.created(True) == Claimed(claims.keep)
+    assert attempt.created(True) == Claimed(claims.retention)
     record = msgspec.json.decode(attempt.step.value)
-    assert record["lease_end_ms"] == needed // TICK
+    assert record["lease_end_ms"] == required_lease // TICK
     record["lease_end_ms"] -= 1
     repeat = claims.start(own, "f").ok
     repeat.created(False)
     assert repeat.read(msgspec.json.encode(record)) == Claimed(fast.monotonic())
     # The entry whose clock is slowest looks for the claim until the lease ends, and no longer.
     judge = claims_of(slow, ME._replace(seat="mobay-1"))
-    slow.advance(needed - TICK)
+    slow.advance(required_lease - TICK)
     assert judge.start(own, "f").is_ok()
     slow.advance(TICK)
     assert isinstance(judge.start(own, "f").error, Unknown)
-    claims.on_lease(request._replace(ttl=needed - TICK), "lease")
+    claims.on_lease(request._replace(ttl=required_lease - TICK), "lease")
     assert claims.start(own, "f").error.reason is RefusalReason.CLAIM_UNAVAILABLE
 
 
--- a/packages/core/tests/test_ledger.py
+++ b/packages/core/tests/test_ledger.py
@@ -24,7 +24,7 @@
 
 
 def ledger_of(clock: ManualClock, **bounds: int) -> Ledger:
-    sizes = {"max_entries": 3, "max_bytes": 10**6, "answer_limit": 300} | bounds
+    sizes = {"max_entries": 3, "max_bytes": 10**6, "max_answer_bytes": 300} | bounds
     return Ledger(clock, grace=GRACE, **sizes)
 
 
@@ -52,19 +52,19 @@
 
 
 def test_joined_callers_are_told_once_even_if_one_raises_or_asks_again(clock) -> None:
-    ledger, told = ledger_of(clock), []
+    ledger, received = ledger_of(clock), []
     ledger.begin("a", "f", EXPIRES)
 
     def fail(outcome) -> None:
         raise OSError("caller is gone")
 
     ledger.join("a", fail)
-    ledger.join("a", lambda outcome: told.append(ledger.begin("a", "f", EXPIRES).ok))
-    ledger.join("a", told.append)()
-    ledger.join("a", told.append)
+    ledger.join("a", lambda outcome: received.append(ledger.begin("a", "f", EXPIRES).ok))
+    ledger.join("a", received.append)()
+    ledger.join("a", received.append)
     assert [type(exc) for exc in ledger.not_run("a")] == [OSError]
-    assert told[0] == Run("a") and told[1].reason is RefusalReason.UNREACHABLE
-    assert ledger.finish("a", ANSWER) == () and len(told) == 2
+    assert received[0] == Run("a") and received[1].reason is RefusalReason.UNREACHABLE
+    assert ledger.finish("a", ANSWER) == () and len(received) == 2
     for late in (ledger.not_run, lambda operation: ledger.finish(operation, ANSWER)):
         with pytest.raises(ValueError, match="not in flight"):
             late("a")
@@ -77,12 +77,12 @@
 
 
 def test_a_large_answer_goes_to_who_waits_and_only_its_status_is_kept(clock) -> None:
-    ledger, told = ledger_of(clock), []
+    ledger, received = ledger_of(clock), []
     ledger.begin("a", "f", EXPIRES)
-    ledger.join("a", told.append)
+    ledger.join("a", received.append)
     large = ANSWER._replace(body=bytes(301))
     ledger.finish("a", large)
-    assert told == [large]
+    assert received == [large]
     assert ledger.begin("a", "f", EXPIRES).ok == Settled(AnswerNotKept(201))
 
 
--- a/packages/core/tests/test_loan_protocol.py
+++ b/packages/core/tests/test_loan_protocol.py
@@ -28,7 +28,7 @@
 SETTINGS = settings(
     derandomize=True, database=None, deadline=None, max_examples=300, stateful_step_count=40
 )
-UNSHRUNK = settings(SETTINGS, phases=[Phase.generate], max_examples=1000)
+GENERATE_ONLY = settings(SETTINGS, phases=[Phase.generate], max_examples=1000)
 
 
 class Entry:
@@ -38,11 +38,11 @@
         self.seat = seat
         self.clock = ManualClock()
         self.paused = False
-        self.lives = 0
+        self.incarnations = 0
 
     def start(self, revision: int, limits: dict[str, Limit], *, quarantine: bool) -> None:
-        self.lives += 1
-        self.me = Incarnation(self.seat, str(self.lives))
+        self.incarnations += 1
+        self.me = Incarnation(self.seat, str(self.incarnations))
         self.shares = Shares(self.me, self.clock)
         self.adopt(revision, limits, quarantine=quarantine)
 
@@ -56,7 +56,7 @@
 
 class Use(t.NamedTuple):
     entry: Entry
-    life: int
+    incarnation: int
     hold: Hold
 
     def is_over(self) -> bool:
@@ -130,14 +130,14 @@
     def use_all(self, entry: Entry, seconds: float) -> None:
         deadline = entry.clock.monotonic() + timedelta(seconds=seconds)
         while not entry.paused and (result := entry.shares.acquire(KEY, 1, deadline)).is_ok():
-            self.uses.append(Use(entry, entry.lives, result.ok))
+            self.uses.append(Use(entry, entry.incarnations, result.ok))
 
     def finish(self, entry: Entry, *, over: bool) -> None:
         """End the uses of an entry that is awake: those past their deadline, or all."""
         for use in [use for use in self.uses if use.entry is entry and not entry.paused]:
             if use.is_over() or not over:
                 self.uses.remove(use)
-                if use.life == entry.lives:
+                if use.incarnation == entry.incarnations:
                     entry.shares.release(use.hold)
 
     def restart(self, entry: Entry, peer: Entry) -> None:
@@ -180,7 +180,7 @@
         more=st.integers(0, 4),
         then=st.sampled_from(["go on", "exchange", "stall"]),
     )
-    def crowd(self, at: int, seconds: float, more: int, then: str) -> None:
+    def consume_and_request(self, at: int, seconds: float, more: int, then: str) -> None:
         """Let one entry use all it can and want more; it may get an answer or stall before it."""
         entry = self.fleet.entries[at]
         self.fleet.use_all(entry, seconds)
@@ -194,7 +194,7 @@
             self.stall(at, 8.0)
 
     @rule(seconds=st.sampled_from([1.0, 2.0]))
-    def crowd_everywhere(self, seconds: float) -> None:
+    def consume_everywhere(self, seconds: float) -> None:
         for entry in self.fleet.entries:
             self.fleet.use_all(entry, seconds)
 
@@ -230,11 +230,11 @@
     def pause_or_resume(self, at: int) -> None:
         self.fleet.entries[at].paused = not self.fleet.entries[at].paused
 
-    @rule(at=at_entry, other=st.integers(1, 2), hears=st.booleans())
-    def restart(self, at: int, other: int, hears: bool) -> None:
+    @rule(at=at_entry, other=st.integers(1, 2), reports=st.booleans())
+    def restart(self, at: int, other: int, reports: bool) -> None:
         entries = self.fleet.entries
         self.fleet.restart(entries[at], entries[(at + other) % len(entries)])
-        if hears:
+        if reports:
             self.fleet.report()
             self.fleet.deliver_all()
 
@@ -254,7 +254,7 @@
 def assert_caught(fleet_type: type[Fleet] = Fleet) -> None:
     machine = type("FaultyMachine", (FleetMachine,), {"fleet_type": fleet_type})
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(machine, settings=UNSHRUNK)
+        run_state_machine_as_test(machine, settings=GENERATE_ONLY)
 
 
 def test_the_endpoint_never_runs_more_than_its_capacity() -> None:
@@ -267,30 +267,32 @@
 
 
 def test_the_machine_catches_a_borrower_that_counts_from_the_grants_arrival() -> None:
-    take = Loans.take
+    on_grant = Loans.on_grant
 
-    def take_from_now(self: Loans, lender: Incarnation, grant: t.Any, now: timedelta) -> bool:
-        for ask in self.asks.values():
-            ask.asked = now
-        return take(self, lender, grant, now)
+    def on_grant_counting_from_now(
+        self: Loans, lender: Incarnation, grant: t.Any, now: timedelta
+    ) -> bool:
+        for request in self.requests.values():
+            request.requested_at = now
+        return on_grant(self, lender, grant, now)
 
-    with mock.patch.object(Loans, "take", take_from_now):
+    with mock.patch.object(Loans, "on_grant", on_grant_counting_from_now):
         assert_caught()
 
 
 def test_the_machine_catches_a_restart_without_quarantine() -> None:
-    class Hasty(Fleet):
+    class NoQuarantine(Fleet):
         quarantine = False
 
-    assert_caught(Hasty)
+    assert_caught(NoQuarantine)
 
 
 def test_the_machine_catches_a_gain_that_does_not_wait_for_the_others() -> None:
-    divide = Ownership.divide
+    begin_division = Ownership.begin_division
 
-    def divide_and_gain(self: Ownership, base: int, *args: t.Any) -> None:
-        divide(self, base, *args)
+    def begin_division_and_gain(self: Ownership, base: int, *args: t.Any) -> None:
+        begin_division(self, base, *args)
         self.own = base
 
-    with mock.patch.object(Ownership, "divide", divide_and_gain):
+    with mock.patch.object(Ownership, "begin_division", begin_division_and_gain):
         assert_caught()
--- a/packages/core/tests/test_naming.py
+++ b/packages/core/tests/test_naming.py
@@ -4,7 +4,7 @@
 
 from cardamomloft.core import naming
 from cardamomloft.core.entrybook import EntryBook
-from cardamomloft.core.naming import ENOUGH, MAX_NAMED, Names, entries_for
+from cardamomloft.core.naming import MAX_ENTRIES, MIN_ENTRIES, Names, entries_for
 from cardamomloft.core.registrations import EntryRecord
 from hypothesis import given
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
 
 def test_a_zone_with_one_entry_is_helped_by_another_of_its_region():
     names = _names("abbbc", "a", "east")
-    assert len(names) == ENOUGH
+    assert len(names) == MIN_ENTRIES
     assert names[0] == "a0"
     assert names[1][0] == "b"
 
@@ -50,7 +50,7 @@
 
 
 def test_no_more_are_named_than_callers_read():
-    assert len(_names("a" * 100, "a", "east")) == MAX_NAMED
+    assert len(_names("a" * 100, "a", "east")) == MAX_ENTRIES
 
 
 OWN, *OTHERS = _records("aabbc")
@@ -91,6 +91,6 @@
 
 def test_no_more_answers_are_kept_than_so_many_whatever_callers_state():
     names = Names(EntryBook(OWN, ZERO))
-    for number in range(3 * naming.ANSWERS_KEPT):
+    for number in range(3 * naming.MAX_CACHED_ANSWERS):
         names.of(f"zone-{number}", "", frozenset(), REGIONS, with_own=True)
-    assert len(names._kept) <= naming.ANSWERS_KEPT
+    assert len(names._cache) <= naming.MAX_CACHED_ANSWERS
--- a/packages/core/tests/test_once_protocol.py
+++ b/packages/core/tests/test_once_protocol.py
@@ -63,7 +63,7 @@
         return False
 
 
-class Try(t.NamedTuple):
+class Presentation(t.NamedTuple):
     """One presentation of an id; its word is kept by number in the world."""
 
     number: int
@@ -73,7 +73,7 @@
 class Entry:
     """One incarnation, wired as the entry program wires it."""
 
-    ids_type, ledger_type, claims_type, resends = OperationIds, Ledger, Claims, False
+    ids_type, ledger_type, claims_type, resends_on_loss = OperationIds, Ledger, Claims, False
 
     def __init__(self, world: "OnceMachine", seat: str, number: str, skew: timedelta) -> None:
         self.world, self.me, clock = (
@@ -85,37 +85,41 @@
         self.ledger = self.ledger_type(clock, max_entries=6, max_bytes=10**6)
         self.claims = self.claims_type(self.me, clock, writes_per_s=5)
 
-    def receive(self, tried: Try) -> None:
-        operation = parse_operation(tried.text).ok
+    def receive(self, presentation: Presentation) -> None:
+        operation = parse_operation(presentation.text).ok
         if isinstance(operation, OwnId):
-            return self.claim(tried, operation)
+            return self.claim(presentation, operation)
         if operation.seat != self.me.seat:
-            return self.world.later(None, self.world.deliver, operation.seat, tried)
+            return self.world.later(None, self.world.deliver, operation.seat, presentation)
         checked = self.ids.check(operation)
-        return self.begin(tried, checked.ok) if checked.is_ok() else self.tell(tried, checked.error)
+        return (
+            self.begin(presentation, checked.ok)
+            if checked.is_ok()
+            else self.reply(presentation, checked.error)
+        )
 
-    def claim(self, tried: Try, own: OwnId) -> None:
-        found = self.ledger.look(tried.text, "f").ok
+    def claim(self, presentation: Presentation, own: OwnId) -> None:
+        found = self.ledger.look(presentation.text, "f").ok
         if found is not None:
-            return self.stand(tried, found)
+            return self.on_status(presentation, found)
         request = self.claims.want_lease()
         if request and not self.world.outage:
             self.claims.on_lease(request, self.world.store.lease(request.ttl))
         started = self.claims.start(own, "f")
         if started.is_error():
-            return self.tell(tried, started.error)
-        return self.follow(tried, started.ok, started.ok.step)
+            return self.reply(presentation, started.error)
+        return self.on_step(presentation, started.ok, started.ok.step)
 
-    def follow(self, tried: Try, attempt: Attempt, step) -> None:
+    def on_step(self, presentation: Presentation, attempt: Attempt, step) -> None:
         if isinstance(step, Claimed):
-            return self.begin(tried, step.expires)
+            return self.begin(presentation, step.expires)
         if isinstance(step, HeldBy):
-            return self.world.later(None, self.world.deliver, step.holder.seat, tried)
+            return self.world.later(None, self.world.deliver, step.holder.seat, presentation)
         if isinstance(step, Refusal | Unknown):
-            return self.tell(tried, step)
-        return self.world.later(self, self.call, tried, attempt, step)
+            return self.reply(presentation, step)
+        return self.world.later(self, self.call, presentation, attempt, step)
 
-    def call(self, tried: Try, attempt: Attempt, step, fault: str) -> None:
+    def call(self, presentation: Presentation, attempt: Attempt, step, fault: str) -> None:
         store = self.world.store
         if self.world.outage:
             fault = "away"
@@ -124,26 +128,30 @@
         if fault == "lost" and isinstance(step, CreateClaim):
             store.create(step)
         if fault != "none":
-            return self.follow(tried, attempt, attempt.failed(fault != "away"))
+            return self.on_step(presentation, attempt, attempt.failed(fault != "away"))
         if isinstance(step, ReadClaim):
-            return self.follow(tried, attempt, attempt.read(store.read(step.key)))
-        return self.follow(tried, attempt, attempt.created(store.create(step)))
-
-    def begin(self, tried: Try, expires: timedelta) -> None:
-        begun = self.ledger.begin(tried.text, "f", expires)
-        return self.stand(tried, begun.ok) if begun.is_ok() else self.tell(tried, begun.error)
+            return self.on_step(presentation, attempt, attempt.read(store.read(step.key)))
+        return self.on_step(presentation, attempt, attempt.created(store.create(step)))
+
+    def begin(self, presentation: Presentation, expires: timedelta) -> None:
+        begun = self.ledger.begin(presentation.text, "f", expires)
+        return (
+            self.on_status(presentation, begun.ok)
+            if begun.is_ok()
+            else self.reply(presentation, begun.error)
+        )
 
-    def stand(self, tried: Try, found) -> None:
+    def on_status(self, presentation: Presentation, found) -> None:
         match found:
             case Run(operation):
-                self.ledger.join(operation, lambda outcome: self.tell(tried, outcome))
+                self.ledger.join(operation, lambda outcome: self.reply(presentation, outcome))
                 self.world.later(self, self.send, operation)
             case Join(operation):
-                self.ledger.join(operation, lambda outcome: self.tell(tried, outcome))
+                self.ledger.join(operation, lambda outcome: self.reply(presentation, outcome))
             case Answered(answer):
-                self.tell(tried, answer)
+                self.reply(presentation, answer)
             case Settled(outcome):
-                self.tell(tried, outcome)
+                self.reply(presentation, outcome)
 
     def send(self, operation: str, fault: str) -> None:
         if fault == "away":
@@ -151,19 +159,23 @@
             return
         # From here on it is the upstream's, and a crash of this entry does not take it back.
         if fault == "late":
-            self.told_lost(operation)
+            self.on_answer_lost(operation)
         answer_to = None if fault == "late" else self
         self.world.later(None, self.world.upstream_run, answer_to, operation)
 
-    def told_lost(self, operation: str) -> None:
+    def on_answer_lost(self, operation: str) -> None:
         self.ledger.unknown(operation, "no answer")
-        if self.resends:
+        if self.resends_on_loss:
             self.world.later(None, self.world.upstream_run, None, operation)
 
-    def tell(self, tried: Try, word) -> None:
-        if isinstance(word, Refusal) and isinstance(parse_operation(tried.text).ok, SystemId):
-            assert self.world.runs[tried.text] == 0, f"refused as not run after a run: {word}"
-        self.world.later(self, self.world.word, tried, word)
+    def reply(self, presentation: Presentation, reply) -> None:
+        if isinstance(reply, Refusal) and isinstance(
+            parse_operation(presentation.text).ok, SystemId
+        ):
+            assert (
+                self.world.runs[presentation.text] == 0
+            ), f"refused as not run after a run: {reply}"
+        self.world.later(self, self.world.reply, presentation, reply)
 
 
 class OnceMachine(RuleBasedStateMachine):
@@ -177,7 +189,7 @@
         self.numbers = itertools.count(1)
         self.tasks: list[tuple] = []
         self.runs: Counter[str] = Counter()
-        self.words: dict[str, dict[int, t.Any]] = {}
+        self.replies: dict[str, dict[int, t.Any]] = {}
         self.entries = {seat: self.start(seat, timedelta(0)) for seat in SEATS}
 
     def start(self, seat: str, skew: timedelta) -> Entry:
@@ -186,8 +198,8 @@
     def later(self, owner: Entry | None, work, *args) -> None:
         self.tasks.append((owner, work, args))
 
-    def deliver(self, seat: str, tried: Try, _fault: str = "none") -> None:
-        self.entries[seat].receive(tried)
+    def deliver(self, seat: str, presentation: Presentation, _fault: str = "none") -> None:
+        self.entries[seat].receive(presentation)
 
     def upstream_run(self, entry: Entry | None, operation: str, fault: str) -> None:
         if fault == "away" and entry:
@@ -198,18 +210,18 @@
         if fault == "none" and entry:
             self.later(entry, lambda _fault: entry.ledger.finish(operation, ANSWER))
         elif entry:
-            self.later(entry, lambda _fault: entry.told_lost(operation))
+            self.later(entry, lambda _fault: entry.on_answer_lost(operation))
 
-    def word(self, tried: Try, word, fault: str) -> None:
+    def reply(self, presentation: Presentation, reply, fault: str) -> None:
         if fault != "lost":
-            self.words[tried.text][tried.number] = word
+            self.replies[presentation.text][presentation.number] = reply
 
     def present(self, text: str, seat: str, at_once: bool) -> None:
-        tried = Try(next(self.numbers), text)
-        self.words.setdefault(text, {})[tried.number] = None
-        self.later(None, self.deliver, seat, tried)
+        presentation = Presentation(next(self.numbers), text)
+        self.replies.setdefault(text, {})[presentation.number] = None
+        self.later(None, self.deliver, seat, presentation)
         if at_once:
-            self.work_on("none")
+            self.step_tasks_in_order("none")
 
     @rule(issuer=st.sampled_from(SEATS), seat=st.sampled_from(SEATS), at_once=st.booleans())
     def new_system_id(self, issuer: str, seat: str, at_once: bool) -> None:
@@ -223,9 +235,9 @@
         self.present(str(uuid.UUID(int=number)), seat, at_once)
 
     @rule(pick=st.sampled_from([0, 1]), seat=st.sampled_from(SEATS), at_once=st.booleans())
-    def repeat(self, pick: int, seat: str, at_once: bool) -> None:
-        if self.words:
-            self.present(list(self.words)[-1 - pick % len(self.words)], seat, at_once)
+    def present_again(self, pick: int, seat: str, at_once: bool) -> None:
+        if self.replies:
+            self.present(list(self.replies)[-1 - pick % len(self.replies)], seat, at_once)
 
     @rule(
         picks=st.lists(st.sampled_from(range(4)), min_size=1, max_size=8),
@@ -234,15 +246,15 @@
     def work(self, picks: list[int], fault: str) -> None:
         for pick in picks:
             if self.tasks:
-                self.do(pick % len(self.tasks), fault)
+                self.run_task(pick % len(self.tasks), fault)
 
     @rule(fault=st.sampled_from(["none", "none", "lost"]))
-    def work_on(self, fault: str) -> None:
+    def step_tasks_in_order(self, fault: str) -> None:
         for number in range(20):
             if self.tasks:
-                self.do(0, fault if number > 1 else "none")
+                self.run_task(0, fault if number > 1 else "none")
 
-    def do(self, index: int, fault: str) -> None:
+    def run_task(self, index: int, fault: str) -> None:
         owner, work, args = self.tasks.pop(index)
         if owner is None or self.entries[owner.me.seat] is owner:
             work(*args, fault)
@@ -267,12 +279,12 @@
 
     @invariant()
     def refused_is_not_run(self) -> None:
-        for text, words in self.words.items():
-            if all(isinstance(word, Refusal) for word in words.values()):
+        for text, replies in self.replies.items():
+            if all(isinstance(reply, Refusal) for reply in replies.values()):
                 assert self.runs[text] == 0, "every attempt was refused, and yet it ran"
 
 
-def search(machine: type[OnceMachine], examples: int) -> None:
+def run_search(machine: type[OnceMachine], examples: int) -> None:
     run_state_machine_as_test(
         machine,
         settings=settings(
@@ -288,23 +300,23 @@
     )
 
 
-class ForgetfulLedger(Ledger):
-    def _forget(self):
+class EarlyEvictingLedger(Ledger):
+    def _evict(self):
         now = self._clock.monotonic() // timedelta(seconds=1)
-        for operation, entry in list(self._entries.items()):
-            if entry.outcome is not IN_FLIGHT and entry.leaves - 19 * 60 <= now:
-                self._leaving[entry.leaves].discard(operation)
+        for operation, entry in list(self._records.items()):
+            if entry.outcome is not IN_FLIGHT and entry.evict_at_s - 19 * 60 <= now:
+                self._eviction_buckets[entry.evict_at_s].discard(operation)
                 self._drop(operation, entry)
 
 
-class AdoptingIds(OperationIds):
+class ForeignIdAcceptingIds(OperationIds):
     def check(self, operation):
         checked = super().check(operation)
         adopted = self._clock.monotonic() + self._window
         return Ok(adopted) if checked.is_error() else checked
 
 
-class HastyIds(OperationIds):
+class EarlyExpiringIds(OperationIds):
     def check(self, operation):
         expired = Refusal(RefusalReason.EXPIRED)
         checked = super().check(operation)
@@ -313,12 +325,12 @@
         return checked
 
 
-class CarelessClaims(Claims):
+class ShortLeaseClaims(Claims):
     @property
-    def keep(self):
-        return super().needed(-self._ahead)
+    def retention(self):
+        return super().required_lease(-self._max_ahead)
 
-    def needed(self, age):
+    def required_lease(self, age):
         return timedelta(0)
 
     def want_lease(self):
@@ -327,54 +339,61 @@
 
 
 class ResendingEntry(Entry):
-    resends = True
+    resends_on_loss = True
 
 
-class ForgetfulEntry(Entry):
-    ledger_type = ForgetfulLedger
+class EarlyEvictingEntry(Entry):
+    ledger_type = EarlyEvictingLedger
 
 
-class AdoptingEntry(Entry):
-    ids_type = AdoptingIds
+class ForeignIdAcceptingEntry(Entry):
+    ids_type = ForeignIdAcceptingIds
 
 
-class HastyEntry(Entry):
-    ids_type = HastyIds
+class EarlyExpiringEntry(Entry):
+    ids_type = EarlyExpiringIds
 
 
-class CarelessEntry(Entry):
-    claims_type = CarelessClaims
+class ShortLeaseEntry(Entry):
+    claims_type = ShortLeaseClaims
 
 
-class RashEntry(Entry):
-    def call(self, tried, attempt, step, fault):
+class UnverifiedClaimEntry(Entry):
+    def call(self, presentation, attempt, step, fault):
         if isinstance(step, CreateClaim) and fault in ("lost", "late"):
-            return self.begin(tried, self.ledger._clock.monotonic() + self.claims.window)
-        return super().call(tried, attempt, step, fault)
+            return self.begin(presentation, self.ledger._clock.monotonic() + self.claims.window)
+        return super().call(presentation, attempt, step, fault)
 
 
 def test_once_holds_under_lost_answers_crashes_pauses_and_outages() -> None:
-    search(OnceMachine, 400)
+    run_search(OnceMachine, 400)
 
 
 def test_a_paused_executor_is_not_overtaken() -> None:
     world, (paused, other) = OnceMachine(), SEATS
     world.new_system_id(issuer=paused, seat=paused, at_once=False)
-    world.do(0, "none")
+    world.run_task(0, "none")
     world.pass_time(21)
-    world.repeat(pick=0, seat=other, at_once=False)
-    world.do(1, "none")
+    world.present_again(pick=0, seat=other, at_once=False)
+    world.run_task(1, "none")
     assert not world.runs, "the entry that may not run it has only passed it on"
-    world.work_on("none")
-    ((text, words),) = world.words.items()
-    assert world.runs[text] == 1 and set(words.values()) == {ANSWER}
+    world.step_tasks_in_order("none")
+    ((text, replies),) = world.replies.items()
+    assert world.runs[text] == 1 and set(replies.values()) == {ANSWER}
 
 
 @pytest.mark.parametrize(
     "entry",
-    [ResendingEntry, ForgetfulEntry, AdoptingEntry, HastyEntry, CarelessEntry, RashEntry],
+    [
+        ResendingEntry,
+        EarlyEvictingEntry,
+        ForeignIdAcceptingEntry,
+        EarlyExpiringEntry,
+        ShortLeaseEntry,
+        UnverifiedClaimEntry,
+    ],
 )
 def test_a_deliberate_fault_is_caught(entry: type[Entry]) -> None:
     faulty = type("Faulty", (OnceMachine,), {"entry_type": entry})
     with pytest.raises(AssertionError, match="ran twice|refused"):
-        search(faulty, 10_000)
+        run_search(faulty, 10_000)
--- a/packages/core/tests/test_shares.py
+++ b/packages/core/tests/test_shares.py
@@ -12,7 +12,7 @@
 KEY = "slots/e"
 SECOND = timedelta(seconds=1)
 MS = timedelta(milliseconds=1)
-OVERHANG = 14 * SECOND  # above longest use and longest loan, with the drift
+MAX_CARRYOVER = 14 * SECOND  # above longest use and longest loan, with the drift
 
 
 def limits(
@@ -113,14 +113,14 @@
     for entry in (a, b):
         entry.shares.configure(3, limits("a"))
     a.shares.on_digest(b.me, digest(3, b.shares.settled))
-    clock.advance(10 * OVERHANG)
+    clock.advance(10 * MAX_CARRYOVER)
     a.shares.tick()
     b.shares.tick()
     a.shares.on_digest(b.me, digest(3, b.shares.settled))
     assert c.take() and a.take() is None
     c.shares.configure(3, limits("a"))
     b.shares.on_digest(c.me, digest(3, 2))
-    clock.advance(OVERHANG)
+    clock.advance(MAX_CARRYOVER)
     b.shares.tick()
     a.shares.on_digest(b.me, digest(3, b.shares.settled))
     a.shares.on_digest(c.me, digest(3, c.shares.settled))
@@ -148,7 +148,7 @@
     fleet.clock.advance(SECOND)
     a.shares.tick()
     assert a.shares.settled == 1
-    fleet.clock.advance(OVERHANG)
+    fleet.clock.advance(MAX_CARRYOVER)
     a.shares.release(hold)
     a.shares.tick()
     assert a.shares.settled == 2
@@ -164,7 +164,7 @@
     a = fleet["a"]
     a.shares.configure(2, limits("a", capacity=2))
     a.shares.on_gone("b")
-    fleet.clock.advance(OVERHANG - 2 * SECOND)
+    fleet.clock.advance(MAX_CARRYOVER - 2 * SECOND)
     a.shares.tick()
     assert a.shares.free(KEY) == 1
     fleet.clock.advance(2 * SECOND)
@@ -177,7 +177,7 @@
     a.shares.configure(2, limits("a", capacity=2))
     a.shares.on_digest(Incarnation("b", "2"), digest(2))
     assert a.shares.free(KEY) == 1
-    fleet.clock.advance(OVERHANG)
+    fleet.clock.advance(MAX_CARRYOVER)
     a.shares.tick()
     assert a.shares.free(KEY) == 2
 
@@ -188,7 +188,7 @@
     a.shares.on_gone("b")
     a.shares.on_digest(Incarnation("b", "2"), digest(1))
     a.shares.on_gone("b")
-    fleet.clock.advance(2 * OVERHANG)
+    fleet.clock.advance(2 * MAX_CARRYOVER)
     a.shares.tick()
     assert a.shares.free(KEY) == 1
 
@@ -198,7 +198,7 @@
     a = Entry("a", clock)
     a.shares.configure(1, limits("a", "b", capacity=2), quarantine=True)
     a.shares.on_digest(Incarnation("b", "1"), digest(1))
-    clock.advance(OVERHANG - 2 * SECOND)
+    clock.advance(MAX_CARRYOVER - 2 * SECOND)
     a.shares.tick()
     assert a.take() is None and a.shares.settled == 0
     a.shares.hand_over()
@@ -339,7 +339,7 @@
 
 
 def test_all_entries_together_keep_the_rate_of_a_link_while_they_lend_it() -> None:
-    capacity, piece = 12_000_000, 65_536
+    capacity, chunk = 12_000_000, 65_536
     fleet = Fleet("abc", capacity=capacity, kind=LimitKind.RATE)
     pacers = {seat: Pacer(entry.shares, fleet.clock) for seat, entry in fleet.entries.items()}
     sent: list[int] = []
@@ -347,14 +347,14 @@
         busy = "abc" if step // 1000 % 2 else "a"
         sent.append(0)
         for seat in busy:
-            while pacers[seat].reserve(KEY, piece) == timedelta(0):
-                sent[-1] += piece
+            while pacers[seat].reserve(KEY, chunk) == timedelta(0):
+                sent[-1] += chunk
         if step % 5 == 0:
             fleet.tick()
         fleet.clock.advance(5 * MS)
     for window in (1, 20, 200, 1000):
-        most = max(sum(sent[at : at + window]) for at in range(0, len(sent), 5))
-        assert most <= capacity * (window * 5 * MS + BURST) / SECOND + 3 * piece
+        max_sent = max(sum(sent[at : at + window]) for at in range(0, len(sent), 5))
+        assert max_sent <= capacity * (window * 5 * MS + BURST) / SECOND + 3 * chunk
     assert sum(sent[200:1000]) >= 0.95 * capacity * 4
 
 
