--- a/packages/core/src/cardamomloft/core/checking.py
+++ b/packages/core/src/cardamomloft/core/checking.py
@@ -1,7 +1,7 @@
-"""The check of documents and settings: all mistakes at once, each with its path.
+"""Validation of documents and settings, which reports all mistakes at once with their paths.
 
-Types come first; names and contradictions are looked at once the types are right, as they could
-not be read before. Warnings are about documents that are valid but hardly meant.
+References and contradictions are checked only after all types are valid. Warnings concern
+documents that are valid but probably not intended.
 """
 
 import functools
@@ -59,12 +59,12 @@
 
 
 def load_json(text: str | bytes) -> Checked[t.Any]:
-    """Read JSON strictly: no key twice in one object, no NaN or Infinity.
+    """Parse JSON strictly: no duplicate keys in an object, no NaN or Infinity.
 
     Errors
     ------
     Mistake
-        With line and column where the text is not JSON.
+        The text is not JSON, with line and column if known, or a key is duplicated.
     """
     repeated: list[tuple[dict[str, t.Any], list[str]]] = []
 
@@ -88,9 +88,10 @@
 
 
 def check_typed(type_: type[T], raw: object) -> Checked[T]:
-    """Check `raw` against a type of strict TypedDicts.
+    """Validate `raw` against a type of strict TypedDicts.
 
-    Nothing is filled in or converted, but for whole numbers where any number is allowed.
+    Defaults are not filled in and values not converted; an integer is valid where a float is
+    expected.
     """
     try:
         return Ok(_adapter(type_).validate_python(raw))
@@ -99,12 +100,12 @@
 
 
 def load_typed(type_: type[T], text: str | bytes) -> Checked[T]:
-    """Read JSON strictly and check it against a type of strict TypedDicts."""
+    """Parse JSON strictly and validate it against a type of strict TypedDicts."""
     return load_json(text).bind(lambda raw: check_typed(type_, raw))
 
 
 def check_document(raw: object) -> Checked[Document]:
-    """Check a whole configuration document; what is returned is `raw` itself."""
+    """Validate a whole configuration document and return `raw` itself if it is valid."""
     typed = check_typed(Document, raw)
     if typed.is_error():
         return typed
@@ -114,10 +115,10 @@
 
 
 def warnings(document: Document) -> tuple[Mistake, ...]:
-    """Return what a checked document says that can hardly be meant.
+    """Return the parts of a valid document that are probably not intended.
 
-    A rule is reported only where it provably cannot match: because of its own conditions, or
-    because one earlier rule matches all that it does.
+    A rule is reported only if it provably cannot match, either because of its own conditions or
+    because one earlier rule matches every request that it matches.
     """
     unreachable = dict(_unreachable_rules(document))
     return (
@@ -141,7 +142,7 @@
 def _repeated_keys(
     raw: object, repeated: list[tuple[dict[str, t.Any], list[str]]]
 ) -> Iterator[Mistake]:
-    """Yield the keys given twice; an object that a later one replaced has no path."""
+    """Yield the duplicate keys; an object that a later duplicate replaced has no path."""
     paths = {id(value): path for path, value in _objects((), raw)}
     for built, keys in repeated:
         for key in keys:
@@ -164,7 +165,7 @@
 
 
 def _named_rows(parts: list[t.Any], raw: t.Any) -> Iterator[object]:
-    """Yield the path with the names of rules in place of their positions, where they have one."""
+    """Yield the parts of the path, with the names of list rows in place of their indices."""
     for part in parts:
         raw = raw[part] if _has_part(raw, part) else None
         named = isinstance(part, int) and isinstance(raw, dict) and isinstance(raw.get("name"), str)
@@ -203,7 +204,7 @@
 
 
 def _int_if_whole(bound: float) -> float:
-    """Return `bound` as an integer if it is a whole number."""
+    """Convert `bound` to an integer if it is a whole number."""
     return int(bound) if bound == int(bound) else bound
 
 
@@ -249,7 +250,7 @@
 
 
 def _index_key(when: When) -> _IndexKey:
-    """Return one condition to file a rule under, so that few rules need to be compared."""
+    """Return the condition under which a rule is indexed, to limit pairwise comparisons."""
     if "path" in when:
         return ("path", clean_prefix(when["path"]))
     if "block" in when:
@@ -260,7 +261,7 @@
 
 
 def _covering_index_keys(when: When, document: Document) -> Iterator[_IndexKey]:
-    """Yield the traits of all rules that can match whatever `when` does."""
+    """Yield the index keys of all rules that may match every request that `when` matches."""
     yield from (("service", None), ("service", when.get("service")), ("headers",))
     for path in _implied_paths(when, document):
         yield from (("path", prefix) for prefix in path_prefixes(path, path.count("/")))
@@ -273,7 +274,7 @@
 
 
 def _covers(outer: When, inner: When, document: Document) -> bool:
-    """Tell whether `inner` provably implies `outer`, condition by condition."""
+    """Return whether `inner` provably implies every condition of `outer`."""
     return all(_implied(condition, wanted, inner, document) for condition, wanted in outer.items())
 
 
@@ -301,7 +302,7 @@
 
 
 def _implied_paths(when: When, document: Document) -> list[str]:
-    """Return prefixes that every path under `when` has."""
+    """Return the prefixes that every path matched by `when` has."""
     prefixes = [when["path"]] if "path" in when else []
     if "service" in when:
         prefixes.append(document["services"][when["service"]]["prefix"])
@@ -313,7 +314,7 @@
 
 
 def _overlap(path: str, prefix: str) -> bool:
-    """Tell whether some request path is under both prefixes."""
+    """Return whether a request path can be under both prefixes."""
     first, second = clean_prefix(path), clean_prefix(prefix)
     return is_under(first, second) or is_under(second, first)
 
@@ -329,7 +330,7 @@
 
 
 def _empty_places(document: Document) -> Iterator[Mistake]:
-    """Yield the places that rules and moves send a service to and that have none of it."""
+    """Yield the targets of rules and moves where the service has no upstream."""
     for rule in document["rules"]:
         service = rule["when"].get("service")
         for at, place in enumerate(rule["then"].get("places", ())):
--- a/packages/core/src/cardamomloft/core/difference.py
+++ b/packages/core/src/cardamomloft/core/difference.py
@@ -1,4 +1,4 @@
-"""What differs between two configuration documents, for plans and for the audit trail."""
+"""Differences between two configuration documents, for plans and for the audit trail."""
 
 import json
 import re
@@ -26,15 +26,15 @@
 
 
 def dotted(*parts: object) -> str:
-    """Join `parts` to a dotted path; a part that holds dots or the like is put in quotes."""
+    """Join `parts` to a dotted path, quoting parts with dots or other special characters."""
     return ".".join(_part(str(part)) for part in parts)
 
 
 def difference(old: object, new: object) -> tuple[Change, ...]:
-    """Return what changes from `old` to `new`, sorted by path.
+    """Return the changes from `old` to `new`, sorted by path.
 
-    Rules are compared by name and links by their ends, so that one rule put at the top is one
-    added rule and one changed order instead of a change of every rule below it.
+    Rules are compared by name, and links by origin and target. A rule inserted at the top is
+    therefore one added rule and one change of order, not a change of each rule below it.
     """
     return tuple(sorted(_compare((), old, new), key=lambda change: change.path))
 
@@ -58,7 +58,7 @@
 
 
 def _equal(old: t.Any, new: t.Any) -> bool:
-    # In Python 1 == True and 1 == 1.0; in JSON only the former are different values.
+    # Python's 1 == True is a difference in JSON, 1 == 1.0 is not.
     return old == new and isinstance(old, bool) == isinstance(new, bool)
 
 
@@ -81,12 +81,12 @@
 
 
 def _has_order(rows: list[t.Any]) -> bool:
-    """Tell whether the rows are rules, the only labelled rows whose order counts."""
+    """Return whether the rows are rules, the only labelled rows whose order matters."""
     return bool(rows) and isinstance(rows[0], dict) and "name" in rows[0]
 
 
 def _labelled(rows: list[t.Any]) -> dict[str, t.Any] | None:
-    """Return the rows by their labels, or None if they are only comparable as a whole."""
+    """Return the rows by label, or None if the list must be compared as a whole."""
     labels = [_label(row) for row in rows]
     if None in labels or len(set(labels)) < len(labels):
         return None
--- a/packages/core/src/cardamomloft/core/document.py
+++ b/packages/core/src/cardamomloft/core/document.py
@@ -1,7 +1,8 @@
-"""The configuration document: its types, and the strict check that every reader applies.
+"""The types of the configuration document.
 
-The document is plain JSON so that operators can keep it in version control. Types carry their
-ranges; :func:`check_document` reports every mistake at once, each with its path.
+The document is plain JSON, which operators can keep in version control. The types declare the
+valid ranges; :func:`cardamomloft.core.checking.check_document` reports all mistakes of a document
+at once, each with its path.
 """
 
 import typing as t
@@ -23,7 +24,7 @@
 
 @_strict
 class EntryRow(TypedDict):
-    """One seat of the roster: where callers, peers and operators reach it."""
+    """One seat of the roster, with the addresses for callers, peers and operators."""
 
     zone: Name
     site: NotRequired[Name]
@@ -34,7 +35,7 @@
 
 @_strict
 class UpstreamRow(TypedDict):
-    """One upstream endpoint and what it can bear."""
+    """One upstream endpoint with its limits on concurrent requests and connections."""
 
     zone: Name
     address: Address
@@ -44,11 +45,11 @@
 
 @_strict
 class ServiceRow(TypedDict):
-    """One service; durations in milliseconds, `prefix` is the path that selects it.
+    """One service; requests whose path is under `prefix` belong to it.
 
-    `shift_cap_percent_per_s` bounds how fast the service's traffic may move between places, in
-    percentage points of its traffic per second. `spill_percent` bounds how much of one region's
-    slots the entries of other regions may use together.
+    `shift_cap_percent_per_s` limits how fast traffic of the service may move between places, in
+    percentage points per second. `spill_percent` limits which percentage of a region's slots the
+    entries of all other regions may use together.
     """
 
     prefix: t.Annotated[str, Field(pattern=r"^/[A-Za-z0-9._~/-]*$")]
@@ -65,7 +66,7 @@
 
 @_strict
 class LinkRow(TypedDict):
-    """A link from the entries of one region to the upstreams of another, with its hard limit."""
+    """The bandwidth limit from the entries of one region to the upstreams of another."""
 
     origin: Name
     target: Name
@@ -74,7 +75,7 @@
 
 @_strict
 class ClientsRow(TypedDict):
-    """Which site serves which client block; `chunks` names packed parts kept beside this."""
+    """The site of each client block; `chunks` lists the digests of a packed map instead."""
 
     default: Name
     blocks: NotRequired[dict[str, Name]]
@@ -83,7 +84,7 @@
 
 @_strict
 class When(TypedDict):
-    """Conditions of a rule; all that are given must hold, and an empty one matches everything."""
+    """The conditions of a rule; all given ones must hold, and without any it always matches."""
 
     service: NotRequired[Name]
     method: NotRequired[list[str]]
@@ -98,7 +99,7 @@
 
 @_strict
 class PlaceRow(TypedDict):
-    """A region or a zone (exactly one) with its weight."""
+    """Exactly one of a region and a zone, with its weight."""
 
     region: NotRequired[Name]
     zone: NotRequired[Name]
@@ -107,7 +108,7 @@
 
 @_strict
 class Then(TypedDict):
-    """What a rule does: refuse with a text, or choose places and policies."""
+    """The action of a rule: refuse with a text, or set places and policies."""
 
     refuse: NotRequired[str]
     places: NotRequired[list[PlaceRow]]
@@ -119,7 +120,7 @@
 
 @_strict
 class RuleRow(TypedDict):
-    """One when-then rule; the first that matches counts."""
+    """One rule; the first rule whose conditions match a request applies to it."""
 
     name: Name
     when: When
@@ -137,7 +138,7 @@
 
 @_strict
 class MoveRow(TypedDict):
-    """A planned move of part of a service's traffic from one zone to another.
+    """A planned move of a fraction of a service's traffic from one zone to another.
 
     `percent` of the traffic that the rules send to `origin` goes to `target` instead.
     """
@@ -172,14 +173,14 @@
 
 
 class Revision(t.NamedTuple):
-    """A document that the store has recorded under `number`; numbers only go up."""
+    """A document recorded in the store under `number`, which increases with each revision."""
 
     number: int
     document: Document
 
 
 class Mistake(t.NamedTuple):
-    """One fault of a document or settings file; `path` is dotted, from the root."""
+    """One validation error of a document or settings file; `path` is dotted, from the root."""
 
     path: str
     text: str
--- a/packages/core/src/cardamomloft/core/lending.py
+++ b/packages/core/src/cardamomloft/core/lending.py
@@ -9,7 +9,7 @@
 
 from cardamomloft.core.accounts import Account
 from cardamomloft.core.limits import Limit, base_shares
-from cardamomloft.core.loans import Lendings, Loans, loan_numbers, max_loan_term
+from cardamomloft.core.loans import Lendings, Loans, loan_ids, max_loan_term
 from cardamomloft.core.messages import (
     LoanGrant,
     LoanRecall,
@@ -93,7 +93,7 @@
         self._me = me
         self._drift = drift
         self._co_holders = co_holders
-        self._numbers = loan_numbers(me)
+        self._loan_ids = loan_ids(me)
         self._rotation = 0
 
     def on_grant(
@@ -143,7 +143,7 @@
             if loans.may_request(seat, now):
                 amount = min(base, shortfall)
                 shortfall -= amount
-                number = loans.add_request(next(self._numbers), seat, amount, now)
+                number = loans.add_request(next(self._loan_ids), seat, amount, now)
                 yield Outgoing(seat, self._request(limit, number, amount))
 
     def _lenders(self, limit: Limit) -> list[tuple[str, int]]:
--- a/packages/core/src/cardamomloft/core/loans.py
+++ b/packages/core/src/cardamomloft/core/loans.py
@@ -43,7 +43,7 @@
 
 RENEWAL_BITS = 16
 _MAX_RENEWALS = (1 << RENEWAL_BITS) - 1
-_NUMBER_BITS = 46
+_LOAN_ID_BITS = 46
 _MILLISECOND = timedelta(milliseconds=1)
 
 
@@ -55,13 +55,13 @@
     return (limit.longest_use + LOAN_MARGIN) / (1 - drift)
 
 
-def loan_numbers(me: Incarnation) -> Iterator[int]:
+def loan_ids(me: Incarnation) -> Iterator[int]:
     """Yield loan ids that no other incarnation of this seat uses, to tell their grants apart."""
     digest = hashlib.blake2b(str(me).encode(), digest_size=8).digest()
-    loan = int.from_bytes(digest, "big") >> (64 - _NUMBER_BITS)
+    loan_id = int.from_bytes(digest, "big") >> (64 - _LOAN_ID_BITS)
     while True:
-        loan += 1
-        yield loan
+        loan_id += 1
+        yield loan_id
 
 
 def denial(req: LoanRequest) -> LoanGrant:
@@ -164,8 +164,8 @@
 
     def expire(self, now: timedelta) -> None:
         """Close and remove the loans whose term is over."""
-        for name in [name for name, loan in self._loans.items() if now >= loan.expires]:
-            self.close(self._loans.pop(name))
+        for key in [key for key, loan in self._loans.items() if now >= loan.expires]:
+            self.close(self._loans.pop(key))
 
     def recall(self, amount: int, now: timedelta) -> list[tuple[str, int]]:
         """Choose loans of at least `amount` units in total; return seat and number of each.
@@ -251,9 +251,9 @@
 
     def live(self, now: timedelta) -> Iterator[tuple[int, BorrowedLoan]]:
         """Yield id and loan of those under which new uses may start."""
-        for number, loan in self.loans.items():
+        for loan_id, loan in self.loans.items():
             if not loan.recalled and now < loan.expires:
-                yield number, loan
+                yield loan_id, loan
 
     def free(self, now: timedelta) -> int:
         """Return the units available for new uses, regardless of their deadline."""
@@ -265,24 +265,24 @@
 
     def use(self, amount: int, deadline: timedelta, now: timedelta) -> int | None:
         """Take units of one loan that outlasts the use; return the loan id, or None."""
-        for number, loan in self.live(now):
+        for loan_id, loan in self.live(now):
             if loan.amount - loan.used >= amount and deadline + STOP_GRACE <= loan.expires:
                 loan.used += amount
                 loan.last_used = now
-                return number
+                return loan_id
         return None
 
-    def end_use(self, number: int, amount: int, now: timedelta) -> None:
+    def end_use(self, loan_id: int, amount: int, now: timedelta) -> None:
         """Return units to the loan, if it still exists."""
-        loan = self.loans.get(number)
+        loan = self.loans.get(loan_id)
         if loan:
             loan.used -= amount
             loan.last_used = now
 
-    def add_request(self, loan: int, seat: str, amount: int, now: timedelta) -> int:
+    def add_request(self, loan_id: int, seat: str, amount: int, now: timedelta) -> int:
         """Record a request for a new loan and return the request number."""
-        number = loan << RENEWAL_BITS
-        self.requests[loan] = PendingRequest(seat, number, amount, now)
+        number = loan_id << RENEWAL_BITS
+        self.requests[loan_id] = PendingRequest(seat, number, amount, now)
         return number
 
     def pending_units(self) -> int:
@@ -291,15 +291,15 @@
 
     def on_grant(self, lender: Incarnation, grant: LoanGrant, now: timedelta) -> bool:
         """Handle a grant; return False if it is not usable and must be returned."""
-        number = grant.number >> RENEWAL_BITS
-        loan = self.loans.get(number)
+        loan_id = grant.number >> RENEWAL_BITS
+        loan = self.loans.get(loan_id)
         if loan:
             self._renew(loan, lender, grant)
             return True
-        request = self.requests.get(number)
+        request = self.requests.get(loan_id)
         if request is None or request.seat != lender.seat:
             return False
-        del self.requests[number]
+        del self.requests[loan_id]
         self.pauses.pop(lender.seat, None)
         expires = self._expiry(request.requested_at, grant)
         if expires <= now:
@@ -307,19 +307,19 @@
         loan = BorrowedLoan(lender, grant.number, grant.amount, request.requested_at)
         loan.expires = expires
         loan.last_used = now
-        self.loans[number] = loan
+        self.loans[loan_id] = loan
         return True
 
     def on_denial(self, lender: Incarnation, grant: LoanGrant, now: timedelta) -> None:
         """Handle a denial: pause requests to the lender, or stop renewing the loan."""
-        number = grant.number >> RENEWAL_BITS
-        loan = self.loans.get(number)
+        loan_id = grant.number >> RENEWAL_BITS
+        loan = self.loans.get(loan_id)
         if loan and loan.number == grant.number and loan.lender == lender:
             loan.renewable = False
             return
-        request = self.requests.get(number)
+        request = self.requests.get(loan_id)
         if request and request.seat == lender.seat:
-            del self.requests[number]
+            del self.requests[loan_id]
             self._pause(request.seat, timedelta(milliseconds=grant.retry_ms), now)
 
     def mark_used(self, amount: int, now: timedelta) -> None:
@@ -352,11 +352,11 @@
         self, now: timedelta, *, give_up: bool
     ) -> Iterator[tuple[PendingRequest, bool]]:
         """Yield the requests to send again (True) and those that are cancelled (False)."""
-        for name, request in list(self.requests.items()):
+        for loan_id, request in list(self.requests.items()):
             if now < request.sent_at + REQUEST_TIMEOUT and not give_up:
                 continue
             if request.attempts == MAX_REQUEST_ATTEMPTS or give_up:
-                del self.requests[name]
+                del self.requests[loan_id]
                 self._pause(request.seat, MAX_DENIAL_PAUSE, now)
                 yield request, False
                 continue
@@ -370,13 +370,13 @@
         A recalled loan is returned as soon as it has no uses; with `at_once` every loan is.
         """
         returned = []
-        for number, loan in list(self.loans.items()):
+        for loan_id, loan in list(self.loans.items()):
             over = now >= loan.expires
             idle = not loan.used and (
                 at_once or loan.recalled or now >= loan.last_used + IDLE_RETURN
             )
             if over or idle:
-                del self.loans[number]
+                del self.loans[loan_id]
             if idle and not over:
                 returned.append((loan.lender.seat, loan.number))
         return returned
--- a/packages/core/src/cardamomloft/core/model.py
+++ b/packages/core/src/cardamomloft/core/model.py
@@ -1,4 +1,4 @@
-"""The shared vocabulary of every package: requests, places, refusals and outcomes."""
+"""Types shared by all packages: requests, endpoints, refusals and outcomes."""
 
 import enum
 import typing as t
@@ -7,7 +7,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Order of service when capacity is short; the lower value goes first."""
+    """Priority of a request when capacity is short; a lower value is served first."""
 
     CRITICAL = 0
     NORMAL = 1
@@ -15,9 +15,9 @@
 
 
 class Incarnation(t.NamedTuple):
-    """One life of an entry: a seat in the roster and the process that holds it.
+    """One incarnation of an entry: a seat of the roster and the process that holds it.
 
-    `number` is drawn anew by each process; two lives of one seat never share it.
+    Each process draws a new random `number`, which no other incarnation of the seat has.
     """
 
     seat: str
@@ -28,10 +28,11 @@
 
 
 class Request(t.NamedTuple):
-    """What the decisions need to know about one caller's request.
+    """The attributes of one caller's request that routing decisions use.
 
-    `deadline` is a monotonic instant of this entry's clock. `client` is the caller's IPv4 address
-    as an integer. `headers` holds lower-case names. `operation` is the raw Idempotency-Key.
+    `deadline` is a time of this entry's monotonic clock. `client` is the caller's IPv4 address as
+    an integer. The names in `headers` are in lower case. `operation` is the raw value of the
+    Idempotency-Key header. `size` is the length of the body in bytes, if known.
     """
 
     service: str
@@ -60,7 +61,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request was refused. Every one of these means that it was not run."""
+    """Why a request was refused; with each of these reasons it has not been run."""
 
     RULE = "refused-by-rule"
     NO_RULE = "no-rule-matches"
@@ -85,7 +86,7 @@
 
 
 class Refusal(t.NamedTuple):
-    """A definite "not run", with when to come back and, if known, another entry to try."""
+    """The definite statement that a request was not run; `retry_after` is when to retry."""
 
     reason: RefusalReason
     detail: str = ""
@@ -93,13 +94,16 @@
 
 
 class Unknown(t.NamedTuple):
-    """The request may or may not have run, and it will not be repeated by us."""
+    """The request may or may not have run, and is not retried here."""
 
     detail: str
 
 
 class Hold(t.NamedTuple):
-    """Permission to use `amount` of one limit until `deadline` (monotonic) at the latest."""
+    """The right to use `amount` units of one limit, until the monotonic time `deadline`.
+
+    `loan` is the id of the loan that the units come from; None for the entry's own share.
+    """
 
     number: int
     key: str
--- a/packages/core/src/cardamomloft/core/naming.py
+++ b/packages/core/src/cardamomloft/core/naming.py
@@ -1,4 +1,4 @@
-"""Which entries a client is told to use."""
+"""Selection of the entries that a look-up names to a client."""
 
 from collections.abc import Iterable, Mapping
 
@@ -7,22 +7,22 @@
 from cardamomloft.core.registrations import EntryRecord
 
 MAX_ENTRIES = 64
-"""Entries in one answer at the most; callers read no more."""
+"""Maximum number of entries in one answer; callers ignore further ones."""
 
 MIN_ENTRIES = 2
-"""Entries that a client needs, so that it has another one while a dead one is still named."""
+"""Entries that a client needs, to have an alternative while a failed one is still listed."""
 
 MAX_CACHED_ANSWERS = 1_000
-"""Different questions whose answers are kept: callers state any zone and region they like."""
+"""Bound on cached answers, needed because callers can send any zone and region."""
 
 
 class Names:
-    """The entries that clients should use; each answer is kept until the entries change.
+    """Selects entries for clients and caches each answer until the entries change.
 
     Parameters
     ----------
     entries
-        The entries that are there.
+        The registered entries.
     """
 
     def __init__(self, entries: EntryBook) -> None:
@@ -40,10 +40,9 @@
         *,
         with_own: bool,
     ) -> list[EntryRecord]:
-        """Return what :func:`entries_for` does; `with_own` if this entry itself may be named.
+        """Return the cached result of :func:`entries_for`.
 
-        Worked out anew it takes 0.43 us for each entry there is (scripts/slopes_gateway.py), and
-        look-ups come by the hundred a second.
+        `with_own` says whether this entry itself may be in the answer.
         """
         entries = self._entries
         full = len(self._cache) >= MAX_CACHED_ANSWERS
@@ -65,21 +64,22 @@
     homes: frozenset[str],
     regions: Mapping[str, str],
 ) -> list[EntryRecord]:
-    """Return the entries that a client should use: those of its zone, if they are enough.
+    """Return the entries that a client should use: those of its zone, if there are enough.
 
-    Entries of other zones place the client's objects elsewhere, so no more of them are named than
-    are needed. Without one in the region, all in the homes are named, or else all.
+    Entries of other zones prefer other primary endpoints for the same affinity key, so they only
+    fill up the answer to ``MIN_ENTRIES``. If the client's region has no entry, all entries of the
+    `homes` regions are returned, or else all entries.
 
     Parameters
     ----------
     records
-        The entries that are there.
+        The registered entries.
     zone, region
-        Where the client is; either may be empty if it is not known.
+        The location of the client; each may be empty if unknown.
     homes
-        Regions that the name's requests are bound to; empty: none.
+        The regions that may serve requests for the looked-up name; empty: all.
     regions
-        The region of each zone, for a client that states only its zone.
+        The region of each zone, for a client that sends only its zone.
     """
     known = sorted(records)
     client_region = region or regions.get(zone, "")
@@ -88,9 +88,9 @@
         in_region = [record for record in known if record.region in homes]
         return (in_region or known)[:MAX_ENTRIES]
     in_zone = [record for record in in_region if record.zone == zone]
-    elsewhere = [record for record in in_region if record.zone != zone]
-    # Each zone draws its own order, so that the same entry does not help out everywhere.
-    elsewhere.sort(key=lambda record: unit_hash(zone, record.name))
+    in_other_zones = [record for record in in_region if record.zone != zone]
+    # The order depends on the client's zone, so that the zones do not all use the same entry.
+    in_other_zones.sort(key=lambda record: unit_hash(zone, record.name))
     if not in_zone:
-        return elsewhere[:MAX_ENTRIES]
-    return [*in_zone, *elsewhere[: max(0, MIN_ENTRIES - len(in_zone))]][:MAX_ENTRIES]
+        return in_other_zones[:MAX_ENTRIES]
+    return [*in_zone, *in_other_zones[: max(0, MIN_ENTRIES - len(in_zone))]][:MAX_ENTRIES]
--- a/packages/core/src/cardamomloft/core/references.py
+++ b/packages/core/src/cardamomloft/core/references.py
@@ -1,7 +1,7 @@
-"""Mistakes that types cannot show: names that lead nowhere and values that contradict each other.
+"""Validation of a document beyond its types: undefined names and contradictory values.
 
-Everything here takes a document whose types have been checked. Each function yields the mistakes
-of one part, each with its path.
+All functions take a document whose types have been checked. Each yields the mistakes of one
+section, with their paths.
 """
 
 import difflib
@@ -22,11 +22,11 @@
 _DIGEST = re.compile(r"[0-9a-f]{64}\Z")
 _PORT = re.compile(r"[1-9][0-9]{0,4}\Z")
 _MAX_PORT = 65535
-# Parts that are meant to make up the whole may miss it by a rounding error.
+# 100 percent, plus a tolerance for the rounding error of a sum.
 _MAX_TOTAL_PERCENT = 100.000001
 
 
-class Names(t.NamedTuple):
+class DefinedNames(t.NamedTuple):
     """The names that a document defines."""
 
     regions: Collection[str]
@@ -37,8 +37,8 @@
     sites: Collection[str]
 
     @classmethod
-    def of(cls, document: Document) -> "Names":
-        """Collect the names; a site is one that entries name, or any zone or region."""
+    def of(cls, document: Document) -> "DefinedNames":
+        """Collect the names; sites are those that entries name, and all zones and regions."""
         zones = {zone for listed in document["regions"].values() for zone in listed}
         return cls(
             regions=document["regions"].keys(),
@@ -53,8 +53,8 @@
 
 
 def reference_mistakes(document: Document) -> Iterator[Mistake]:
-    """Yield every mistake that the types of `document` do not show."""
-    names = Names.of(document)
+    """Yield every mistake of `document` that its types do not exclude."""
+    names = DefinedNames.of(document)
     yield from _region_mistakes(document)
     yield from _address_mistakes(document)
     yield from _entry_mistakes(document, names)
@@ -67,7 +67,7 @@
 
 
 def parse_instant(text: str) -> datetime | None:
-    """Return the ISO 8601 instant in `text`, or None if it is none or lacks its UTC offset."""
+    """Return the ISO 8601 instant in `text`, or None if it is invalid or has no UTC offset."""
     try:
         instant = datetime.fromisoformat(text)
     except ValueError:
@@ -95,14 +95,14 @@
 
 
 def _region_mistakes(document: Document) -> Iterator[Mistake]:
-    homes: dict[str, str] = {}
+    region_of: dict[str, str] = {}
     for region, zones in document["regions"].items():
         path = dotted("regions", region)
         yield from _duplicates(path, "zone", zones)
         for zone in dict.fromkeys(zones):
-            if zone in homes:
-                yield Mistake(path, f"zone {zone} is in region {homes[zone]} already")
-            homes.setdefault(zone, region)
+            if zone in region_of:
+                yield Mistake(path, f"zone {zone} is in region {region_of[zone]} already")
+            region_of.setdefault(zone, region)
 
 
 def _address_mistakes(document: Document) -> Iterator[Mistake]:
@@ -125,14 +125,14 @@
             yield dotted("services", service, "upstreams", name, "address"), upstream["address"]
 
 
-def _entry_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _entry_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     for entry, row in document["entries"].items():
         yield from _unknown_name(dotted("entries", entry, "zone"), "zone", row["zone"], names.zones)
 
 
-def _service_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _service_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     prefixes: dict[str, str] = {}
-    homes: dict[str, str] = {}
+    service_of: dict[str, str] = {}
     for service, row in document["services"].items():
         path = ("services", service)
         prefix = row["prefix"].rstrip("/")
@@ -144,9 +144,11 @@
         for name, upstream in row["upstreams"].items():
             where = (*path, "upstreams", name)
             yield from _unknown_name(dotted(*where, "zone"), "zone", upstream["zone"], names.zones)
-            if name in homes:
-                yield Mistake(dotted(*where), f"service {homes[name]} has an upstream of this name")
-            homes.setdefault(name, service)
+            if name in service_of:
+                yield Mistake(
+                    dotted(*where), f"service {service_of[name]} has an upstream of this name"
+                )
+            service_of.setdefault(name, service)
 
 
 def _service_setting_mistakes(path: tuple[str, ...], row: ServiceRow) -> Iterator[Mistake]:
@@ -172,7 +174,7 @@
         yield Mistake(path, f"must have no dot segments, is {text!r}")
 
 
-def _client_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _client_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     clients = document["clients"]
     blocks, chunks = clients.get("blocks", {}), clients.get("chunks", [])
     path = ("clients", "blocks")
@@ -188,7 +190,7 @@
         yield Mistake("clients", "has both blocks and chunks; only one of them can count")
 
 
-def _rule_list_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _rule_list_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     yield from _duplicates("rules", "rule", (rule["name"] for rule in document["rules"]))
     for rule in document["rules"]:
         yield from _condition_mistakes(("rules", rule["name"], "when"), rule["when"], names)
@@ -196,7 +198,9 @@
         yield from _rule_deadline_mistakes(rule, document)
 
 
-def _condition_mistakes(path: tuple[str, ...], when: When, names: Names) -> Iterator[Mistake]:
+def _condition_mistakes(
+    path: tuple[str, ...], when: When, names: DefinedNames
+) -> Iterator[Mistake]:
     for condition, defined in (
         ("service", names.services),
         ("zone", names.zones),
@@ -218,7 +222,7 @@
 
 
 def _action_mistakes(
-    path: tuple[str, ...], then: Then, document: Document, names: Names
+    path: tuple[str, ...], then: Then, document: Document, names: DefinedNames
 ) -> Iterator[Mistake]:
     if "refuse" in then:
         for key in sorted(then.keys() - {"refuse"}):
@@ -234,7 +238,7 @@
 
 
 def _place_mistakes(
-    path: tuple[str, ...], places: list[PlaceRow], document: Document, names: Names
+    path: tuple[str, ...], places: list[PlaceRow], document: Document, names: DefinedNames
 ) -> Iterator[Mistake]:
     zones: list[str] = []
     for at, place in enumerate(places):
@@ -255,7 +259,7 @@
 
 
 def _rule_deadline_mistakes(rule: RuleRow, document: Document) -> Iterator[Mistake]:
-    """Compare the rule's deadline with that of each service that it names, or of all."""
+    """Yield the services that the rule applies to and whose maximum deadline it exceeds."""
     deadline = rule["then"].get("deadline_ms", 0)
     named = rule["when"].get("service")
     for service, row in document["services"].items():
@@ -264,7 +268,7 @@
             yield Mistake(dotted("rules", rule["name"], "then", "deadline_ms"), text)
 
 
-def _link_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _link_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     links = document.get("links", [])
     for at, link in enumerate(links):
         yield from _unknown_name(
@@ -279,7 +283,7 @@
     yield from _duplicates("links", "a link", ends)
 
 
-def _drain_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _drain_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     defined = {
         "region": names.regions,
         "zone": names.zones,
@@ -293,7 +297,7 @@
         yield from _instant_mistakes(dotted("drains", name, "since"), drain["since"])
 
 
-def _move_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _move_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     leaving: defaultdict[tuple[str, str], float] = defaultdict(float)
     for name, move in document.get("moves", {}).items():
         path = ("moves", name)
--- a/packages/core/tests/test_checking.py
+++ b/packages/core/tests/test_checking.py
@@ -14,7 +14,7 @@
 
 
 def changed(patch: str = "", document=EXAMPLE) -> dict:
-    """The document with changes, one a line: a dotted path and its JSON, or nothing to drop it."""
+    """Apply changes, one per line: ``path = JSON`` sets a value, a path alone deletes it."""
     document = copy.deepcopy(document)
     for line in filter(None, patch.splitlines()):
         path, _, value = line.partition(" = ")
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("name", ["pimento", "anwani"])
-def test_examples_are_clean_and_of_todays_size(name):
+def test_examples_have_no_warnings_and_the_expected_size(name):
     text = (ROOT / "examples" / f"{name}.json").read_text()
     document = load_json(text).bind(check_document).ok
     assert warnings(document) == ()
@@ -49,7 +49,7 @@
     assert len(document["entries"]) == 12
 
 
-def test_json_blocks_of_the_manual_are_checked_documents():
+def test_json_blocks_of_the_manual_are_valid_documents():
     text = (ROOT / "docs" / "rules-file.md").read_text()
     blocks = [load_json(block).ok for block in re.findall(r"```json\n(.*?)```", text, re.S)]
     assert len(blocks) == 4
@@ -58,7 +58,7 @@
     assert warnings(blocks[0]) == ()
 
 
-def test_the_reference_page_is_the_generated_one():
+def test_reference_page_is_up_to_date():
     path = ROOT / "scripts" / "rules_reference.py"
     spec = importlib.util.spec_from_file_location("rules_reference", path)
     script = importlib.util.module_from_spec(spec)
@@ -104,11 +104,11 @@
 """  # noqa: E501
 
 
-def test_all_mistakes_of_type_are_told_at_once():
+def test_all_type_mistakes_are_reported_at_once():
     assert mistakes(changed(TYPE_ERRORS)) == lines(TYPE_MISTAKES)
 
 
-def test_nothing_is_converted():
+def test_values_are_not_converted():
     row = {"zone": "a", "callers": "127.0.0.1:1", "peers": "127.0.0.1:2", "operators": 3}
     assert [str(mistake) for mistake in check_typed(EntryRow, row).error] == [
         "operators: must be text, is a number"
@@ -175,7 +175,7 @@
 """  # noqa: E501
 
 
-def test_names_that_lead_nowhere_and_contradictions_are_told_at_once():
+def test_undefined_names_and_contradictions_are_reported_at_once():
     assert mistakes(changed(NAME_ERRORS)) == lines(NAME_MISTAKES)
 
 
@@ -214,7 +214,7 @@
 """  # noqa: E501
 
 
-def test_mistakes_of_rules_are_told_at_once():
+def test_rule_mistakes_are_reported_at_once():
     when = {"service": "menu", "zone": "x1", "region": "y1", "method": [], "path": "menus"}
     when |= {"block": "10.0.0.1/8", "headers": {"X-Kiosk": "1"}}
     zone, region = {"zone": "kingston-a", "weight": 0}, {"region": "kingston", "weight": 0}
@@ -239,7 +239,7 @@
     return any(mistake.path == "rules.b" for mistake in warnings(document))
 
 
-# Whether the second rule can never match behind the first.
+# Whether the second rule can never match because of the first one.
 SHADOWED_RULES = """
 true {} {"service": "menus"}
 false {"service": "menus"} {}
@@ -266,7 +266,7 @@
 
 
 @pytest.mark.parametrize("line", lines(SHADOWED_RULES))
-def test_a_rule_is_reported_dead_only_where_it_is(line):
+def test_rule_is_reported_unreachable_only_if_it_is(line):
     expected, first, second = json.loads("[" + re.sub(r"(?<=[e}]) (?={)", ",", line) + "]")
     assert is_unreachable(first, second) is expected
 
@@ -283,7 +283,7 @@
 """  # noqa: E501
 
 
-def test_warnings_of_whole_documents():
+def test_warnings_of_a_document():
     document = check_document(changed(SUSPICIOUS_DOCUMENT)).ok
     assert [str(mistake) for mistake in warnings(document)] == [
         "services.checkout: no rule can match, so all is refused",
@@ -307,5 +307,5 @@
         (b"\xff", "(root): is not JSON: 'utf-8' codec can't decode"),
     ],
 )
-def test_bad_json_is_told_with_its_place(text, expected):
+def test_invalid_json_is_reported_with_its_position(text, expected):
     assert str(load_json(text).error[0]).startswith(expected)
--- a/packages/core/tests/test_claims.py
+++ b/packages/core/tests/test_claims.py
@@ -33,7 +33,7 @@
     return claims_of(clock, me).start(own_id(clock), fingerprint).ok.step.value
 
 
-def test_an_ambiguous_claim_is_read_back_before_anything_runs(clock) -> None:
+def test_ambiguous_claim_write_is_read_back_before_the_operation_runs(clock) -> None:
     claims = claims_of(clock)
     attempt = claims.start(own_id(clock), "f").ok
     assert isinstance(attempt.failed(ambiguous=True), ReadClaim)
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("ambiguous", [True, False])
-def test_the_loser_passes_on_and_never_says_not_run_once_it_has_lost(clock, ambiguous) -> None:
+def test_entry_that_lost_the_claim_forwards_and_never_refuses_as_not_run(clock, ambiguous) -> None:
     other, before = Incarnation("mobay-1", "x"), ME._replace(number="zero")
     for holder, verdict in ((other, HeldBy(other)), (before, Unknown)):
         attempt = claims_of(clock).start(own_id(clock), "f").ok
@@ -65,7 +65,7 @@
     assert step.reason is RefusalReason.OPERATION_REUSED
 
 
-def test_a_claim_refused_in_an_outage_is_run_later_by_the_same_life(clock) -> None:
+def test_claim_refused_in_a_store_outage_can_run_later_in_the_same_incarnation(clock) -> None:
     claims = claims_of(clock)
     attempt = claims.start(own_id(clock), "f").ok
     attempt.failed(ambiguous=True)
@@ -78,7 +78,7 @@
     assert claims.start(own_id(clock), "f").is_ok()
 
 
-def test_a_claim_runs_only_if_its_lease_lasts_as_long_as_anyone_may_accept_the_id(clock) -> None:
+def test_claim_runs_only_if_its_lease_outlasts_acceptance_of_the_id_at_any_entry(clock) -> None:
     skew = timedelta(minutes=5)
     fast, slow = ManualClock(clock.utcnow() + skew), ManualClock(clock.utcnow() - skew)
     own, claims = own_id(clock), Claims(ME, fast, writes_per_s=2, drift=0.0)
@@ -93,17 +93,17 @@
     repeat = claims.start(own, "f").ok
     repeat.created(False)
     assert repeat.read(msgspec.json.encode(record)) == Claimed(fast.monotonic())
-    # The entry whose clock is slowest looks for the claim until the lease ends, and no longer.
-    judge = claims_of(slow, ME._replace(seat="mobay-1"))
+    # The entry with the slowest clock reads the claim until the lease ends, and no longer.
+    slow_entry = claims_of(slow, ME._replace(seat="mobay-1"))
     slow.advance(required_lease - TICK)
-    assert judge.start(own, "f").is_ok()
+    assert slow_entry.start(own, "f").is_ok()
     slow.advance(TICK)
-    assert isinstance(judge.start(own, "f").error, Unknown)
+    assert isinstance(slow_entry.start(own, "f").error, Unknown)
     claims.on_lease(request._replace(ttl=required_lease - TICK), "lease")
     assert claims.start(own, "f").error.reason is RefusalReason.CLAIM_UNAVAILABLE
 
 
-def test_winning_after_the_window_does_not_run(clock) -> None:
+def test_claim_created_after_the_window_does_not_run(clock) -> None:
     claims = claims_of(clock)
     for late, runs in ((WINDOW - TICK, True), (WINDOW, False)):
         at = clock.utcnow() + late
@@ -111,7 +111,7 @@
         assert (step.expires > clock.monotonic()) is runs
 
 
-def test_ids_outside_the_window_are_judged_without_a_claim(clock) -> None:
+def test_ids_outside_the_window_are_refused_without_a_claim_write(clock) -> None:
     claims, minute = claims_of(clock), timedelta(minutes=1)
     ahead = claims.start(own_id(clock, -5 * minute - TICK), "f").error
     assert ahead.reason is RefusalReason.BAD_OPERATION
--- a/packages/core/tests/test_difference.py
+++ b/packages/core/tests/test_difference.py
@@ -13,7 +13,7 @@
     assert difference(new, new) == ()
 
 
-def test_a_rule_put_first_is_one_rule_and_one_order():
+def test_rule_inserted_first_is_one_added_rule_and_one_order_change():
     one, two = {"name": "one", "when": {}}, {"name": "two", "when": {}}
     assert difference({"rules": [one]}, {"rules": [two, one]}) == (
         Change("rules.(order)", ["one"], ["two", "one"]),
@@ -28,7 +28,7 @@
     )
 
 
-def test_links_have_no_order_and_digests_are_told_one_by_one():
+def test_order_of_links_is_ignored_and_digests_are_compared_one_by_one():
     ab, ba = ({"origin": o, "target": t, "bytes_per_s": 1} for o, t in ("ab", "ba"))
     assert difference([ab, ba], [ba, ab]) == ()
     assert difference([ab], [{**ab, "bytes_per_s": 2}]) == (Change('"a:b".bytes_per_s', 1, 2),)
@@ -39,11 +39,11 @@
     )
 
 
-def test_values_that_python_takes_for_equal_differ():
+def test_true_and_1_are_different_values():
     assert difference({"idempotent": True}, {"idempotent": 1}) == (Change("idempotent", True, 1),)
 
 
-def test_short_lists_and_repeated_labels_are_compared_whole():
+def test_short_lists_and_duplicate_labels_are_compared_as_a_whole():
     assert difference({"method": ["GET"]}, {"method": ["PUT", "GET"]}) == (
         Change("method", ["GET"], ["PUT", "GET"]),
     )
--- a/packages/core/tests/test_ledger.py
+++ b/packages/core/tests/test_ledger.py
@@ -28,7 +28,7 @@
     return Ledger(clock, grace=GRACE, **sizes)
 
 
-def test_outcomes_outlive_the_window_by_the_grace_and_are_never_run_again(clock) -> None:
+def test_outcomes_are_kept_for_the_grace_after_expiry_and_not_run_again(clock) -> None:
     ledger = ledger_of(clock)
     assert ledger.begin("a", "f", EXPIRES).ok == Run("a")
     ledger.finish("a", ANSWER)
@@ -40,7 +40,7 @@
     assert (len(ledger), ledger.held_bytes) == (0, 0)
 
 
-def test_an_operation_in_flight_stays_and_its_late_answer_can_still_be_had(clock) -> None:
+def test_operation_in_flight_is_not_evicted_and_its_late_answer_is_stored(clock) -> None:
     ledger = ledger_of(clock)
     ledger.begin("a", "f", EXPIRES)
     clock.advance(4 * EXPIRES)
@@ -51,7 +51,7 @@
     assert ledger.begin("a", "f", EXPIRES).ok == Answered(ANSWER)
 
 
-def test_joined_callers_are_told_once_even_if_one_raises_or_asks_again(clock) -> None:
+def test_joined_callers_are_notified_once_even_if_one_raises_or_begins_again(clock) -> None:
     ledger, received = ledger_of(clock), []
     ledger.begin("a", "f", EXPIRES)
 
@@ -76,7 +76,7 @@
     assert ledger.begin("a", "g", EXPIRES).error.reason is RefusalReason.OPERATION_REUSED
 
 
-def test_a_large_answer_goes_to_who_waits_and_only_its_status_is_kept(clock) -> None:
+def test_large_answer_goes_to_joined_callers_and_only_its_status_is_stored(clock) -> None:
     ledger, received = ledger_of(clock), []
     ledger.begin("a", "f", EXPIRES)
     ledger.join("a", received.append)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("bounds", [{"max_entries": 1}, {"max_bytes": 1500}])
-def test_a_full_ledger_refuses_new_ids_and_forgets_nothing(clock, bounds) -> None:
+def test_full_ledger_refuses_new_ids_and_evicts_nothing(clock, bounds) -> None:
     ledger = ledger_of(clock, **bounds)
     ledger.begin("a", "f", EXPIRES)
     refusal = ledger.begin("b", "f", EXPIRES).error
--- a/packages/core/tests/test_loan_protocol.py
+++ b/packages/core/tests/test_loan_protocol.py
@@ -1,7 +1,7 @@
-"""Three entries share four units under losses, pauses, restarts and new revisions.
+"""Stateful test of three entries that share four units of a limit.
 
-The invariant is the promise itself: the endpoint never runs more than its capacity. Four
-deliberate faults show that the same machine would notice if a rule of the protocol were dropped.
+Messages get lost, entries pause and restart, and revisions change; the endpoint must never run
+more than its capacity. Deliberate faults show that the search detects violations.
 """
 
 import typing as t
@@ -32,7 +32,7 @@
 
 
 class Entry:
-    """One seat: its clock goes on through pauses and restarts."""
+    """One seat, whose clock continues through pauses and restarts."""
 
     def __init__(self, seat: str) -> None:
         self.seat = seat
@@ -64,7 +64,7 @@
 
 
 class Fleet:
-    """The entries, the messages on their way and the endpoint, which ends a use by its deadline."""
+    """The entries, the messages in transit, and an endpoint that ends uses at their deadline."""
 
     quarantine = True
 
@@ -112,7 +112,7 @@
             self.send(entry, entry.shares.on_message(sender, message))
 
     def deliver_all(self) -> None:
-        """Deliver what is on its way; what is sent in answer stays on its way."""
+        """Deliver the messages in transit, but not the answers to them."""
         for at in reversed(range(len(self.sent))):
             self.deliver(at)
 
@@ -133,7 +133,7 @@
             self.uses.append(Use(entry, entry.incarnations, result.ok))
 
     def finish(self, entry: Entry, *, over: bool) -> None:
-        """End the uses of an entry that is awake: those past their deadline, or all."""
+        """End all uses of an entry that is not paused; with `over` only those past deadline."""
         for use in [use for use in self.uses if use.entry is entry and not entry.paused]:
             if use.is_over() or not over:
                 self.uses.remove(use)
@@ -141,7 +141,7 @@
                     entry.shares.release(use.hold)
 
     def restart(self, entry: Entry, peer: Entry) -> None:
-        """Replace the process; what it started runs on at the endpoint until its deadline."""
+        """Replace the process; its uses continue at the endpoint until their deadline."""
         entry.paused = False
         limits = self.revisions[peer.revision - 1]
         entry.start(peer.revision, limits, quarantine=self.quarantine)
@@ -151,7 +151,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Draws what may happen; `fleet_type` is replaced to plant a fault."""
+    """The actions of the search; `fleet_type` is replaced to inject a fault."""
 
     fleet_type = Fleet
 
@@ -160,7 +160,7 @@
         self.fleet = self.fleet_type()
 
     def stall(self, at: int, seconds: float) -> None:
-        """Pause one entry while the others go on; then it reads what they sent meanwhile."""
+        """Pause one entry while the others continue, then deliver what they sent to it."""
         self.fleet.entries[at].paused = True
         self.fleet.deliver_all()
         self.fleet.advance(seconds)
@@ -178,10 +178,10 @@
         at=at_entry,
         seconds=st.sampled_from([0.3, 1.0, 2.0]),
         more=st.integers(0, 4),
-        then=st.sampled_from(["go on", "exchange", "stall"]),
+        then=st.sampled_from(["continue", "exchange", "stall"]),
     )
     def consume_and_request(self, at: int, seconds: float, more: int, then: str) -> None:
-        """Let one entry use all it can and want more; it may get an answer or stall before it."""
+        """Let one entry use all it can and request more, and then exchange messages or stall."""
         entry = self.fleet.entries[at]
         self.fleet.use_all(entry, seconds)
         if entry.paused:
@@ -251,22 +251,22 @@
         assert self.fleet.running() <= CAPACITY
 
 
-def assert_caught(fleet_type: type[Fleet] = Fleet) -> None:
+def assert_fault_detected(fleet_type: type[Fleet] = Fleet) -> None:
     machine = type("FaultyMachine", (FleetMachine,), {"fleet_type": fleet_type})
     with pytest.raises(AssertionError):
         run_state_machine_as_test(machine, settings=GENERATE_ONLY)
 
 
-def test_the_endpoint_never_runs_more_than_its_capacity() -> None:
+def test_endpoint_never_runs_more_than_its_capacity() -> None:
     run_state_machine_as_test(FleetMachine, settings=SETTINGS)
 
 
-def test_the_machine_catches_a_lender_that_does_not_subtract() -> None:
+def test_search_detects_a_lender_that_does_not_subtract() -> None:
     with mock.patch.object(Lendings, "lent", property(lambda _: 0, lambda *_: None)):
-        assert_caught()
+        assert_fault_detected()
 
 
-def test_the_machine_catches_a_borrower_that_counts_from_the_grants_arrival() -> None:
+def test_search_detects_a_borrower_that_starts_the_term_at_the_grants_arrival() -> None:
     on_grant = Loans.on_grant
 
     def on_grant_counting_from_now(
@@ -277,17 +277,17 @@
         return on_grant(self, lender, grant, now)
 
     with mock.patch.object(Loans, "on_grant", on_grant_counting_from_now):
-        assert_caught()
+        assert_fault_detected()
 
 
-def test_the_machine_catches_a_restart_without_quarantine() -> None:
+def test_search_detects_a_restart_without_quarantine() -> None:
     class NoQuarantine(Fleet):
         quarantine = False
 
-    assert_caught(NoQuarantine)
+    assert_fault_detected(NoQuarantine)
 
 
-def test_the_machine_catches_a_gain_that_does_not_wait_for_the_others() -> None:
+def test_search_detects_a_share_increase_that_does_not_wait_for_other_holders() -> None:
     begin_division = Ownership.begin_division
 
     def begin_division_and_gain(self: Ownership, base: int, *args: t.Any) -> None:
@@ -295,4 +295,4 @@
         self.own = base
 
     with mock.patch.object(Ownership, "begin_division", begin_division_and_gain):
-        assert_caught()
+        assert_fault_detected()
--- a/packages/core/tests/test_naming.py
+++ b/packages/core/tests/test_naming.py
@@ -1,4 +1,4 @@
-"""Which entries a client is told to use."""
+"""Tests of the selection of entries that clients should use."""
 
 from datetime import timedelta
 
@@ -13,7 +13,7 @@
 
 
 def _records(zones: str) -> list[EntryRecord]:
-    """Return an entry for each letter, which is its zone."""
+    """Return one entry per letter of `zones`; the letter is its zone."""
     return [
         EntryRecord(f"{zone}{number}", f"10.0.0.{number}:80", zone, REGIONS[zone])
         for number, zone in enumerate(zones)
@@ -24,12 +24,12 @@
     return [row.name for row in entries_for(_records(zones), zone, region, homes, REGIONS)]
 
 
-def test_a_client_uses_the_entries_of_its_zone():
+def test_client_uses_the_entries_of_its_zone():
     assert _names("aabbc", "a", "east") == ["a0", "a1"]
     assert _names("ccabb", "c") == ["c0", "c1"]
 
 
-def test_a_zone_with_one_entry_is_helped_by_another_of_its_region():
+def test_zone_with_one_entry_gets_another_one_of_its_region():
     names = _names("abbbc", "a", "east")
     assert len(names) == MIN_ENTRIES
     assert names[0] == "a0"
@@ -40,16 +40,16 @@
     assert sorted(_names("bbcc", "a", "east")) == ["b0", "b1"]
 
 
-def test_no_entry_of_another_region_is_named_while_the_own_has_one():
+def test_no_entry_of_another_region_is_returned_while_the_own_region_has_one():
     assert _names("bccc", "a", "east") == ["b0"]
 
 
-def test_without_entries_in_the_region_it_uses_those_of_the_homes_and_else_all():
+def test_without_entries_in_the_region_the_home_regions_are_used_or_else_all():
     assert _names("abc", region="north", homes=frozenset({"west"})) == ["c2"]
     assert _names("abc", region="north") == ["a0", "b1", "c2"]
 
 
-def test_no_more_are_named_than_callers_read():
+def test_answers_are_limited_to_max_entries():
     assert len(_names("a" * 100, "a", "east")) == MAX_ENTRIES
 
 
@@ -61,7 +61,7 @@
 
 
 @given(MOVES, st.sampled_from(["", "a", "b", "c"]), st.booleans())
-def test_kept_answers_are_those_of_the_entries_that_are_there(moves, zone, with_own):
+def test_cached_answers_match_the_registered_entries(moves, zone, with_own):
     book = EntryBook(OWN, ZERO)
     names = Names(book)
     for kind, record in moves:
@@ -69,27 +69,27 @@
             book.withdraw(record.name, ZERO)
         else:
             book.add(record._replace(address="10.9.9.9:80") if kind == "move" else record, ZERO)
-        kept = names.of(zone, "", frozenset(), REGIONS, with_own=with_own)
-        there = book.records(with_own=with_own)
-        assert kept == entries_for(there, zone, "", frozenset(), REGIONS)
+        cached = names.of(zone, "", frozenset(), REGIONS, with_own=with_own)
+        registered = book.records(with_own=with_own)
+        assert cached == entries_for(registered, zone, "", frozenset(), REGIONS)
 
 
-def test_an_answer_is_worked_out_once_until_something_changes(monkeypatch):
-    worked = []
-    monkeypatch.setattr(naming, "entries_for", lambda *_: worked.append(1) or [])
+def test_answer_is_computed_once_until_the_entries_change(monkeypatch):
+    computed = []
+    monkeypatch.setattr(naming, "entries_for", lambda *_: computed.append(1) or [])
     book = EntryBook(OWN, ZERO)
     names, zones = Names(book), dict(REGIONS)
     for _ in range(3):
         names.of("a", "", frozenset(), zones, with_own=True)
-    assert len(worked) == 1
+    assert len(computed) == 1
     book.add(OTHERS[0], ZERO)
     names.of("a", "", frozenset(), zones, with_own=True)
-    assert len(worked) == 2
+    assert len(computed) == 2
     names.of("a", "", frozenset(), dict(REGIONS), with_own=True)
-    assert len(worked) == 3
+    assert len(computed) == 3
 
 
-def test_no_more_answers_are_kept_than_so_many_whatever_callers_state():
+def test_answer_cache_stays_bounded_for_arbitrary_zones():
     names = Names(EntryBook(OWN, ZERO))
     for number in range(3 * naming.MAX_CACHED_ANSWERS):
         names.of(f"zone-{number}", "", frozenset(), REGIONS, with_own=True)
--- a/packages/core/tests/test_once_protocol.py
+++ b/packages/core/tests/test_once_protocol.py
@@ -1,7 +1,9 @@
-"""At most once, as one machine: two entries, a store, an upstream that counts its runs.
+"""Stateful test of at-most-once execution with two entries, a store and an upstream.
 
-Every piece of work is a task that the search may do at any later time, in any order, or, after a
-crash, never: so every entry may be paused at every point, for longer than every window.
+Each step is a task that the search runs at any later time and in any order, or never after a
+crash, so an entry may be paused at any point for longer than any window. A task may run with a
+fault: "lost" loses the response of a call that took effect, "late" reports an ambiguous failure
+whose effect comes later or never, and "away" is a definite failure.
 """
 
 import itertools
@@ -26,7 +28,7 @@
 
 
 class SkewedClock(ManualClock):
-    """The true clock seen with a wall clock that is off, within what the claims allow."""
+    """The true clock with a wall clock that deviates by `skew`."""
 
     def __init__(self, true: ManualClock, skew: timedelta) -> None:
         self.true, self.skew = true, skew
@@ -39,7 +41,7 @@
 
 
 class Store:
-    """Keys that go with their leases; taking a key again under its own lease succeeds."""
+    """A store whose keys expire with their leases; recreating a key under its lease succeeds."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
@@ -63,15 +65,15 @@
         return False
 
 
-class Presentation(t.NamedTuple):
-    """One presentation of an id; its word is kept by number in the world."""
+class Submission(t.NamedTuple):
+    """One submission of an operation id; the machine records its reply by `number`."""
 
     number: int
     text: str
 
 
 class Entry:
-    """One incarnation, wired as the entry program wires it."""
+    """One incarnation of an entry, with the components connected as in the entry program."""
 
     ids_type, ledger_type, claims_type, resends_on_loss = OperationIds, Ledger, Claims, False
 
@@ -85,97 +87,93 @@
         self.ledger = self.ledger_type(clock, max_entries=6, max_bytes=10**6)
         self.claims = self.claims_type(self.me, clock, writes_per_s=5)
 
-    def receive(self, presentation: Presentation) -> None:
-        operation = parse_operation(presentation.text).ok
+    def receive(self, submission: Submission) -> None:
+        operation = parse_operation(submission.text).ok
         if isinstance(operation, OwnId):
-            return self.claim(presentation, operation)
+            return self.claim(submission, operation)
         if operation.seat != self.me.seat:
-            return self.world.later(None, self.world.deliver, operation.seat, presentation)
+            return self.world.schedule(None, self.world.deliver, operation.seat, submission)
         checked = self.ids.check(operation)
         return (
-            self.begin(presentation, checked.ok)
+            self.begin(submission, checked.ok)
             if checked.is_ok()
-            else self.reply(presentation, checked.error)
+            else self.reply(submission, checked.error)
         )
 
-    def claim(self, presentation: Presentation, own: OwnId) -> None:
-        found = self.ledger.look(presentation.text, "f").ok
+    def claim(self, submission: Submission, own: OwnId) -> None:
+        found = self.ledger.look(submission.text, "f").ok
         if found is not None:
-            return self.on_status(presentation, found)
+            return self.on_status(submission, found)
         request = self.claims.want_lease()
         if request and not self.world.outage:
             self.claims.on_lease(request, self.world.store.lease(request.ttl))
         started = self.claims.start(own, "f")
         if started.is_error():
-            return self.reply(presentation, started.error)
-        return self.on_step(presentation, started.ok, started.ok.step)
+            return self.reply(submission, started.error)
+        return self.on_step(submission, started.ok, started.ok.step)
 
-    def on_step(self, presentation: Presentation, attempt: Attempt, step) -> None:
+    def on_step(self, submission: Submission, attempt: Attempt, step) -> None:
         if isinstance(step, Claimed):
-            return self.begin(presentation, step.expires)
+            return self.begin(submission, step.expires)
         if isinstance(step, HeldBy):
-            return self.world.later(None, self.world.deliver, step.holder.seat, presentation)
+            return self.world.schedule(None, self.world.deliver, step.holder.seat, submission)
         if isinstance(step, Refusal | Unknown):
-            return self.reply(presentation, step)
-        return self.world.later(self, self.call, presentation, attempt, step)
+            return self.reply(submission, step)
+        return self.world.schedule(self, self.call, submission, attempt, step)
 
-    def call(self, presentation: Presentation, attempt: Attempt, step, fault: str) -> None:
+    def call(self, submission: Submission, attempt: Attempt, step, fault: str) -> None:
         store = self.world.store
         if self.world.outage:
             fault = "away"
         if fault == "late" and isinstance(step, CreateClaim):
-            self.world.later(None, lambda _fault: store.create(step))
+            self.world.schedule(None, lambda _fault: store.create(step))
         if fault == "lost" and isinstance(step, CreateClaim):
             store.create(step)
         if fault != "none":
-            return self.on_step(presentation, attempt, attempt.failed(fault != "away"))
+            return self.on_step(submission, attempt, attempt.failed(fault != "away"))
         if isinstance(step, ReadClaim):
-            return self.on_step(presentation, attempt, attempt.read(store.read(step.key)))
-        return self.on_step(presentation, attempt, attempt.created(store.create(step)))
+            return self.on_step(submission, attempt, attempt.read(store.read(step.key)))
+        return self.on_step(submission, attempt, attempt.created(store.create(step)))
 
-    def begin(self, presentation: Presentation, expires: timedelta) -> None:
-        begun = self.ledger.begin(presentation.text, "f", expires)
+    def begin(self, submission: Submission, expires: timedelta) -> None:
+        begun = self.ledger.begin(submission.text, "f", expires)
         return (
-            self.on_status(presentation, begun.ok)
+            self.on_status(submission, begun.ok)
             if begun.is_ok()
-            else self.reply(presentation, begun.error)
+            else self.reply(submission, begun.error)
         )
 
-    def on_status(self, presentation: Presentation, found) -> None:
+    def on_status(self, submission: Submission, found) -> None:
         match found:
             case Run(operation):
-                self.ledger.join(operation, lambda outcome: self.reply(presentation, outcome))
-                self.world.later(self, self.send, operation)
+                self.ledger.join(operation, lambda outcome: self.reply(submission, outcome))
+                self.world.schedule(self, self.send, operation)
             case Join(operation):
-                self.ledger.join(operation, lambda outcome: self.reply(presentation, outcome))
+                self.ledger.join(operation, lambda outcome: self.reply(submission, outcome))
             case Answered(answer):
-                self.reply(presentation, answer)
+                self.reply(submission, answer)
             case Settled(outcome):
-                self.reply(presentation, outcome)
+                self.reply(submission, outcome)
 
     def send(self, operation: str, fault: str) -> None:
         if fault == "away":
             self.ledger.not_run(operation)
             return
-        # From here on it is the upstream's, and a crash of this entry does not take it back.
+        # The upstream has received the request, so a crash of this entry does not cancel it.
         if fault == "late":
             self.on_answer_lost(operation)
         answer_to = None if fault == "late" else self
-        self.world.later(None, self.world.upstream_run, answer_to, operation)
+        self.world.schedule(None, self.world.upstream_run, answer_to, operation)
 
     def on_answer_lost(self, operation: str) -> None:
         self.ledger.unknown(operation, "no answer")
         if self.resends_on_loss:
-            self.world.later(None, self.world.upstream_run, None, operation)
+            self.world.schedule(None, self.world.upstream_run, None, operation)
 
-    def reply(self, presentation: Presentation, reply) -> None:
-        if isinstance(reply, Refusal) and isinstance(
-            parse_operation(presentation.text).ok, SystemId
-        ):
-            assert (
-                self.world.runs[presentation.text] == 0
-            ), f"refused as not run after a run: {reply}"
-        self.world.later(self, self.world.reply, presentation, reply)
+    def reply(self, submission: Submission, reply) -> None:
+        if isinstance(reply, Refusal) and isinstance(parse_operation(submission.text).ok, SystemId):
+            assert self.world.runs[submission.text] == 0, f"refused as not run after a run: {reply}"
+        self.world.schedule(self, self.world.reply, submission, reply)
 
 
 class OnceMachine(RuleBasedStateMachine):
@@ -195,55 +193,55 @@
     def start(self, seat: str, skew: timedelta) -> Entry:
         return self.entry_type(self, seat, f"i{next(self.numbers)}", skew)
 
-    def later(self, owner: Entry | None, work, *args) -> None:
-        self.tasks.append((owner, work, args))
+    def schedule(self, owner: Entry | None, task, *args) -> None:
+        self.tasks.append((owner, task, args))
 
-    def deliver(self, seat: str, presentation: Presentation, _fault: str = "none") -> None:
-        self.entries[seat].receive(presentation)
+    def deliver(self, seat: str, submission: Submission, _fault: str = "none") -> None:
+        self.entries[seat].receive(submission)
 
     def upstream_run(self, entry: Entry | None, operation: str, fault: str) -> None:
         if fault == "away" and entry:
-            self.later(entry, lambda _fault: entry.ledger.not_run(operation))
+            self.schedule(entry, lambda _fault: entry.ledger.not_run(operation))
             return
         if fault != "late":
             self.runs[operation] += 1
         if fault == "none" and entry:
-            self.later(entry, lambda _fault: entry.ledger.finish(operation, ANSWER))
+            self.schedule(entry, lambda _fault: entry.ledger.finish(operation, ANSWER))
         elif entry:
-            self.later(entry, lambda _fault: entry.on_answer_lost(operation))
+            self.schedule(entry, lambda _fault: entry.on_answer_lost(operation))
 
-    def reply(self, presentation: Presentation, reply, fault: str) -> None:
+    def reply(self, submission: Submission, reply, fault: str) -> None:
         if fault != "lost":
-            self.replies[presentation.text][presentation.number] = reply
+            self.replies[submission.text][submission.number] = reply
 
-    def present(self, text: str, seat: str, at_once: bool) -> None:
-        presentation = Presentation(next(self.numbers), text)
-        self.replies.setdefault(text, {})[presentation.number] = None
-        self.later(None, self.deliver, seat, presentation)
+    def submit(self, text: str, seat: str, at_once: bool) -> None:
+        submission = Submission(next(self.numbers), text)
+        self.replies.setdefault(text, {})[submission.number] = None
+        self.schedule(None, self.deliver, seat, submission)
         if at_once:
             self.step_tasks_in_order("none")
 
     @rule(issuer=st.sampled_from(SEATS), seat=st.sampled_from(SEATS), at_once=st.booleans())
     def new_system_id(self, issuer: str, seat: str, at_once: bool) -> None:
         prefix = self.entries[issuer].ids.prefix().text
-        self.present(f"{prefix}.{next(self.numbers):0>16}", seat, at_once)
+        self.submit(f"{prefix}.{next(self.numbers):0>16}", seat, at_once)
 
     @rule(seat=st.sampled_from(SEATS), ahead=st.sampled_from([-840, 0, 240]), at_once=st.booleans())
     def new_own_id(self, seat: str, ahead: int, at_once: bool) -> None:
         stamp = int(self.clock.utcnow().timestamp() + ahead) * 1000
         number = stamp << 80 | 7 << 76 | 2 << 62 | next(self.numbers)
-        self.present(str(uuid.UUID(int=number)), seat, at_once)
+        self.submit(str(uuid.UUID(int=number)), seat, at_once)
 
     @rule(pick=st.sampled_from([0, 1]), seat=st.sampled_from(SEATS), at_once=st.booleans())
-    def present_again(self, pick: int, seat: str, at_once: bool) -> None:
+    def resubmit(self, pick: int, seat: str, at_once: bool) -> None:
         if self.replies:
-            self.present(list(self.replies)[-1 - pick % len(self.replies)], seat, at_once)
+            self.submit(list(self.replies)[-1 - pick % len(self.replies)], seat, at_once)
 
     @rule(
         picks=st.lists(st.sampled_from(range(4)), min_size=1, max_size=8),
         fault=st.sampled_from(["none", "none", "lost", "late", "away"]),
     )
-    def work(self, picks: list[int], fault: str) -> None:
+    def step_tasks(self, picks: list[int], fault: str) -> None:
         for pick in picks:
             if self.tasks:
                 self.run_task(pick % len(self.tasks), fault)
@@ -255,9 +253,9 @@
                 self.run_task(0, fault if number > 1 else "none")
 
     def run_task(self, index: int, fault: str) -> None:
-        owner, work, args = self.tasks.pop(index)
+        owner, task, args = self.tasks.pop(index)
         if owner is None or self.entries[owner.me.seat] is owner:
-            work(*args, fault)
+            task(*args, fault)
 
     @rule(seat=st.sampled_from([*SEATS, None, None]), skew=st.sampled_from([-5, 0, 5]))
     def crash_and_restart(self, seat: str | None, skew: int) -> None:
@@ -359,22 +357,22 @@
 
 
 class UnverifiedClaimEntry(Entry):
-    def call(self, presentation, attempt, step, fault):
+    def call(self, submission, attempt, step, fault):
         if isinstance(step, CreateClaim) and fault in ("lost", "late"):
-            return self.begin(presentation, self.ledger._clock.monotonic() + self.claims.window)
-        return super().call(presentation, attempt, step, fault)
+            return self.begin(submission, self.ledger._clock.monotonic() + self.claims.window)
+        return super().call(submission, attempt, step, fault)
 
 
-def test_once_holds_under_lost_answers_crashes_pauses_and_outages() -> None:
+def test_operations_run_at_most_once_under_lost_answers_crashes_pauses_and_outages() -> None:
     run_search(OnceMachine, 400)
 
 
-def test_a_paused_executor_is_not_overtaken() -> None:
+def test_no_other_entry_runs_an_operation_of_a_paused_executor() -> None:
     world, (paused, other) = OnceMachine(), SEATS
     world.new_system_id(issuer=paused, seat=paused, at_once=False)
     world.run_task(0, "none")
     world.pass_time(21)
-    world.present_again(pick=0, seat=other, at_once=False)
+    world.resubmit(pick=0, seat=other, at_once=False)
     world.run_task(1, "none")
     assert not world.runs, "the entry that may not run it has only passed it on"
     world.step_tasks_in_order("none")
@@ -393,7 +391,7 @@
         UnverifiedClaimEntry,
     ],
 )
-def test_a_deliberate_fault_is_caught(entry: type[Entry]) -> None:
+def test_search_detects_a_deliberate_fault(entry: type[Entry]) -> None:
     faulty = type("Faulty", (OnceMachine,), {"entry_type": entry})
     with pytest.raises(AssertionError, match="ran twice|refused"):
         run_search(faulty, 10_000)
--- a/packages/core/tests/test_shares.py
+++ b/packages/core/tests/test_shares.py
@@ -12,7 +12,7 @@
 KEY = "slots/e"
 SECOND = timedelta(seconds=1)
 MS = timedelta(milliseconds=1)
-MAX_CARRYOVER = 14 * SECOND  # above longest use and longest loan, with the drift
+MAX_CARRYOVER = 14 * SECOND  # above the longest use plus the longest loan, with drift
 
 
 def limits(
@@ -79,7 +79,7 @@
 
 
 def borrow(fleet: Fleet) -> tuple[Entry, Entry, LoanRequest, LoanGrant]:
-    """Let a ask b for its unit; the grant is on its way."""
+    """Let a request b's unit; return the request and the undelivered grant."""
     a, b = fleet["a"], fleet["b"]
     assert a.take()
     a.shares.want(KEY, 1)
@@ -87,19 +87,19 @@
     return a, b, request, message(b.shares.on_message(a.me, request), LoanGrant)
 
 
-def test_a_share_rises_only_when_the_other_holders_settled_exactly_this_revision() -> None:
+def test_share_grows_only_when_the_other_holders_settled_exactly_this_revision() -> None:
     a = Entry("a", ManualClock())
     a.shares.configure(2, limits("a", "b", capacity=2))
     b = Incarnation("b", "1")
     for report in (digest(1), digest(2, 1), digest(3)):
-        a.shares.on_digest(Incarnation("b", f"life{report.revision}"), report)
+        a.shares.on_digest(Incarnation("b", f"incarnation{report.revision}"), report)
         assert a.take() is None
     a.shares.on_digest(b, digest(2))
     assert a.take()
 
 
 def test_a_skipped_revision_cannot_hide_an_owner() -> None:
-    """The unit went from b to c in revision 2, which a never saw; c is cut off at revision 2."""
+    """Revision 2, which a never received, moves the unit from b to c; c is partitioned at 2."""
     clock = ManualClock()
     a, b, c = (Entry(seat, clock) for seat in "abc")
     for entry in (a, b, c):
@@ -154,13 +154,15 @@
     assert a.shares.settled == 2
 
 
-def test_an_unchanged_division_waits_for_nobody(fleet: Fleet) -> None:
+def test_unchanged_division_waits_for_no_other_entry(fleet: Fleet) -> None:
     a = fleet["a"]
     a.shares.configure(2, limits("a", "b", capacity=2))
     assert a.shares.settled == 2 and a.take()
 
 
-def test_a_gone_holder_is_waited_for_until_its_work_is_over(fleet: Fleet) -> None:
+def test_share_of_a_gone_holder_is_reassigned_only_after_its_uses_and_loans_ended(
+    fleet: Fleet,
+) -> None:
     a = fleet["a"]
     a.shares.configure(2, limits("a", capacity=2))
     a.shares.on_gone("b")
@@ -172,7 +174,7 @@
     assert a.shares.free(KEY) == 2
 
 
-def test_a_life_first_heard_of_after_the_change_may_have_left_work_behind(fleet: Fleet) -> None:
+def test_incarnation_first_seen_after_the_change_delays_reassignment(fleet: Fleet) -> None:
     a = fleet["a"]
     a.shares.configure(2, limits("a", capacity=2))
     a.shares.on_digest(Incarnation("b", "2"), digest(2))
@@ -182,7 +184,7 @@
     assert a.shares.free(KEY) == 2
 
 
-def test_a_lagging_list_does_not_count_against_the_replacement(fleet: Fleet) -> None:
+def test_stale_platform_list_does_not_mark_the_replacement_as_gone(fleet: Fleet) -> None:
     a = fleet["a"]
     a.shares.configure(2, limits("a", capacity=2))
     a.shares.on_gone("b")
@@ -193,7 +195,7 @@
     assert a.shares.free(KEY) == 1
 
 
-def test_a_restarted_entry_owns_nothing_until_its_predecessors_work_is_over() -> None:
+def test_restarted_entry_owns_nothing_during_quarantine() -> None:
     clock = ManualClock()
     a = Entry("a", clock)
     a.shares.configure(1, limits("a", "b", capacity=2), quarantine=True)
@@ -208,7 +210,7 @@
     assert a.take() and a.shares.settled == 1
 
 
-def test_a_repeated_request_gets_the_same_answer_and_is_subtracted_once(fleet: Fleet) -> None:
+def test_duplicate_loan_request_gets_the_same_grant_and_is_subtracted_once(fleet: Fleet) -> None:
     a, b, request, grant = borrow(fleet)
     assert message(b.shares.on_message(a.me, request), LoanGrant) == grant
     assert b.shares.rows()[0].lent == 1
@@ -218,7 +220,7 @@
     assert b.shares.on_message(a.me, request) == [] and b.shares.free(KEY) == 1
 
 
-def test_a_grant_counts_from_before_the_request(fleet: Fleet) -> None:
+def test_loan_term_starts_when_the_request_was_sent(fleet: Fleet) -> None:
     a, b, _, grant = borrow(fleet)
     fleet.clock.advance(grant.term_ms * MS)
     assert message(a.shares.on_message(b.me, grant), LoanReturn).number == grant.number
@@ -244,7 +246,7 @@
     assert a.take(1)
 
 
-def test_a_late_grant_of_an_earlier_renewal_does_not_lengthen_the_loan(fleet: Fleet) -> None:
+def test_late_grant_of_an_earlier_renewal_does_not_extend_the_loan(fleet: Fleet) -> None:
     a, b, _, grant = borrow(fleet)
     a.shares.on_message(b.me, grant)
     hold = t.cast(Hold, a.take())
@@ -258,7 +260,7 @@
     assert a.take(0.1) is None
 
 
-def test_a_recall_that_overtakes_the_grant_ends_the_request(fleet: Fleet) -> None:
+def test_recall_that_overtakes_the_grant_cancels_the_request(fleet: Fleet) -> None:
     a, b, _, grant = borrow(fleet)
     b.shares.want(KEY, 1)
     recall = message(b.shares.tick(), LoanRecall)
@@ -268,7 +270,7 @@
     assert a.shares.free(KEY) == 0
 
 
-def test_a_grant_to_an_earlier_life_is_not_taken(fleet: Fleet) -> None:
+def test_grant_to_an_earlier_incarnation_is_returned(fleet: Fleet) -> None:
     _, b, _, grant = borrow(fleet)
     later = Shares(Incarnation("a", "2"), fleet.clock)
     later.configure(1, limits("a", "b", capacity=2), quarantine=True)
@@ -278,7 +280,7 @@
     assert later.free(KEY) == 0
 
 
-def test_an_idle_loan_goes_back_and_a_wanted_one_is_recalled(fleet: Fleet) -> None:
+def test_recalled_loan_is_returned_when_its_use_ends(fleet: Fleet) -> None:
     a, b, _, grant = borrow(fleet)
     a.shares.on_message(b.me, grant)
     hold = t.cast(Hold, a.take())
@@ -290,7 +292,7 @@
     assert b.take()
 
 
-def test_lent_units_return_only_from_their_borrower(fleet: Fleet) -> None:
+def test_loan_return_of_another_incarnation_is_ignored(fleet: Fleet) -> None:
     _, b, request, _ = borrow(fleet)
     b.shares.on_message(Incarnation("a", "2"), LoanReturn(request.number, KEY))
     assert b.take() is None
@@ -314,8 +316,8 @@
     assert result.is_error() and result.error.reason is RefusalReason.DEADLINE
 
 
-def test_one_entry_with_all_the_demand_gets_the_whole_limit() -> None:
-    """Twelve entries, uses of 50 ms; counted from the end of the first second."""
+def test_entry_with_all_the_demand_gets_the_whole_limit() -> None:
+    """One of twelve entries uses nearly the whole limit, with few messages, after warm-up."""
     fleet = Fleet("abcdefghijkl", capacity=36)
     a = fleet["a"]
     running: list[Hold] = []
@@ -338,7 +340,7 @@
     assert fleet.messages / uses < 0.1
 
 
-def test_all_entries_together_keep_the_rate_of_a_link_while_they_lend_it() -> None:
+def test_entries_together_stay_within_a_link_rate_while_lending_it() -> None:
     capacity, chunk = 12_000_000, 65_536
     fleet = Fleet("abc", capacity=capacity, kind=LimitKind.RATE)
     pacers = {seat: Pacer(entry.shares, fleet.clock) for seat, entry in fleet.entries.items()}
