--- a/packages/core/src/cardamomloft/core/checking.py
+++ b/packages/core/src/cardamomloft/core/checking.py
@@ -1,7 +1,7 @@
-"""The check of documents and settings: all mistakes at once, each with its path.
+"""Validation of documents and settings, which reports all mistakes at once with their paths.
 
-Types come first; names and contradictions are looked at once the types are right, as they could
-not be read before. Warnings are about documents that are valid but hardly meant.
+References and contradictions are checked only after all types are valid. Warnings concern
+documents that are valid but probably not intended.
 """
 
 import functools
@@ -23,9 +23,9 @@
 
 T = t.TypeVar("T")
 Checked = Result[T, tuple[Mistake, ...]]
-_Trait = tuple[t.Any, ...]
+_IndexKey = tuple[t.Any, ...]
 
-_KIND_NAMES = {
+_JSON_TYPE_NAMES = {
     dict: "an object",
     list: "a list",
     str: "text",
@@ -35,12 +35,12 @@
     type(None): "null",
 }
 
-_PATTERN_HELP = {
+_PATTERN_MESSAGES = {
     "^[a-z0-9][a-z0-9.-]{0,62}$": "must be a name of at most 63 small letters, digits, . and -",
     r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$": "must be an address like 127.0.0.1:8080",
 }
 
-_TYPE_HELP = {
+_TYPE_MESSAGES = {
     "dict_type": "must be an object",
     "list_type": "must be a list",
     "string_type": "must be text",
@@ -50,7 +50,7 @@
     "bool_type": "must be true or false",
 }
 
-_RANGE_HELP = {
+_RANGE_MESSAGES = {
     "greater_than_equal": ("at least", "ge"),
     "greater_than": ("above", "gt"),
     "less_than_equal": ("at most", "le"),
@@ -59,12 +59,12 @@
 
 
 def load_json(text: str | bytes) -> Checked[t.Any]:
-    """Read JSON strictly: no key twice in one object, no NaN or Infinity.
+    """Parse JSON strictly: no duplicate keys in an object, no NaN or Infinity.
 
     Errors
     ------
     Mistake
-        With line and column where the text is not JSON.
+        The text is not JSON, with line and column if known, or a key is duplicated.
     """
     repeated: list[tuple[dict[str, t.Any], list[str]]] = []
 
@@ -88,9 +88,10 @@
 
 
 def check_typed(type_: type[T], raw: object) -> Checked[T]:
-    """Check `raw` against a type of strict TypedDicts.
+    """Validate `raw` against a type of strict TypedDicts.
 
-    Nothing is filled in or converted, but for whole numbers where any number is allowed.
+    Defaults are not filled in and values not converted; an integer is valid where a float is
+    expected.
     """
     try:
         return Ok(_adapter(type_).validate_python(raw))
@@ -99,12 +100,12 @@
 
 
 def load_typed(type_: type[T], text: str | bytes) -> Checked[T]:
-    """Read JSON strictly and check it against a type of strict TypedDicts."""
+    """Parse JSON strictly and validate it against a type of strict TypedDicts."""
     return load_json(text).bind(lambda raw: check_typed(type_, raw))
 
 
 def check_document(raw: object) -> Checked[Document]:
-    """Check a whole configuration document; what is returned is `raw` itself."""
+    """Validate a whole configuration document and return `raw` itself if it is valid."""
     typed = check_typed(Document, raw)
     if typed.is_error():
         return typed
@@ -114,15 +115,15 @@
 
 
 def warnings(document: Document) -> tuple[Mistake, ...]:
-    """Return what a checked document says that can hardly be meant.
+    """Return the parts of a valid document that are probably not intended.
 
-    A rule is reported only where it provably cannot match: because of its own conditions, or
-    because one earlier rule matches all that it does.
+    A rule is reported only if it provably cannot match, either because of its own conditions or
+    because one earlier rule matches every request that it matches.
     """
-    dead = dict(_dead_rules(document))
+    unreachable = dict(_unreachable_rules(document))
     return (
-        *(Mistake(dotted("rules", name), why) for name, why in dead.items()),
-        *_unreached_services(document, dead),
+        *(Mistake(dotted("rules", name), reason) for name, reason in unreachable.items()),
+        *_unreachable_services(document, unreachable),
         *_empty_places(document),
         *_drained_services(document),
         *_zones_without_entries(document),
@@ -141,7 +142,7 @@
 def _repeated_keys(
     raw: object, repeated: list[tuple[dict[str, t.Any], list[str]]]
 ) -> Iterator[Mistake]:
-    """Yield the keys given twice; an object that a later one replaced has no path."""
+    """Yield the duplicate keys; an object that a later duplicate replaced has no path."""
     paths = {id(value): path for path, value in _objects((), raw)}
     for built, keys in repeated:
         for key in keys:
@@ -160,11 +161,11 @@
 
 def _mistake(error: ErrorDetails, raw: object) -> Mistake:
     parts = [part for part in error["loc"] if part != "[key]"]
-    return Mistake(dotted(*_named_rows(parts, raw)), _text(error))
+    return Mistake(dotted(*_named_rows(parts, raw)), _message(error))
 
 
 def _named_rows(parts: list[t.Any], raw: t.Any) -> Iterator[object]:
-    """Yield the path with the names of rules in place of their positions, where they have one."""
+    """Yield the parts of the path, with the names of list rows in place of their indices."""
     for part in parts:
         raw = raw[part] if _has_part(raw, part) else None
         named = isinstance(part, int) and isinstance(raw, dict) and isinstance(raw.get("name"), str)
@@ -177,40 +178,46 @@
     return isinstance(raw, dict) and part in raw
 
 
-def _text(error: ErrorDetails) -> str:
+def _message(error: ErrorDetails) -> str:
     kind, value, ctx = error["type"], error["input"], error.get("ctx", {})
     if kind == "extra_forbidden":
         return "unknown key"
     if kind == "missing":
         return "missing"
-    if kind in _RANGE_HELP:
-        words, bound = _RANGE_HELP[kind]
-        return f"must be {words} {_plain(ctx[bound])}, is {value}"
+    if kind in _RANGE_MESSAGES:
+        words, bound = _RANGE_MESSAGES[kind]
+        return f"must be {words} {_int_if_whole(ctx[bound])}, is {value}"
     if kind == "literal_error":
         return f"must be {ctx['expected']}, is {value!r}"
     if kind == "string_pattern_mismatch":
-        return f"{_PATTERN_HELP.get(ctx['pattern'], 'must match ' + ctx['pattern'])}, is {value!r}"
-    if kind in _TYPE_HELP:
+        return (
+            f"{_PATTERN_MESSAGES.get(ctx['pattern'], 'must match ' + ctx['pattern'])}, is {value!r}"
+        )
+    if kind in _TYPE_MESSAGES:
         shown = (
-            value if isinstance(value, float) else _KIND_NAMES.get(type(value), "something else")
+            value
+            if isinstance(value, float)
+            else _JSON_TYPE_NAMES.get(type(value), "something else")
         )
-        return f"{_TYPE_HELP[kind]}, is {shown}"
+        return f"{_TYPE_MESSAGES[kind]}, is {shown}"
     return error["msg"]
 
 
-def _plain(bound: float) -> float:
-    """Return `bound` as an integer if it is a whole number."""
+def _int_if_whole(bound: float) -> float:
+    """Convert `bound` to an integer if it is a whole number."""
     return int(bound) if bound == int(bound) else bound
 
 
-def _dead_rules(document: Document) -> Iterator[tuple[str, str]]:
-    earlier: defaultdict[_Trait, list[RuleRow]] = defaultdict(list)
+def _unreachable_rules(document: Document) -> Iterator[tuple[str, str]]:
+    earlier: defaultdict[_IndexKey, list[RuleRow]] = defaultdict(list)
     for rule in document["rules"]:
-        why = _contradiction(rule["when"], document) or _shadow(rule["when"], earlier, document)
-        if why:
-            yield rule["name"], f"can never match: {why}"
+        reason = _contradiction(rule["when"], document) or _shadowing_rule(
+            rule["when"], earlier, document
+        )
+        if reason:
+            yield rule["name"], f"can never match: {reason}"
         else:
-            earlier[_trait(rule["when"])].append(rule)
+            earlier[_index_key(rule["when"])].append(rule)
 
 
 def _contradiction(when: When, document: Document) -> str | None:
@@ -220,7 +227,7 @@
     if "service" not in when:
         return None
     service = document["services"][when["service"]]
-    if "path" in when and not _meet(when["path"], service["prefix"]):
+    if "path" in when and not _overlap(when["path"], service["prefix"]):
         return f"path {when['path']} is not one of service {when['service']}"
     # Callers may lower a priority but not raise it.
     if "priority" in when and Priority[when["priority"].upper()] < service_priority(service):
@@ -232,16 +239,18 @@
     return None
 
 
-def _shadow(when: When, earlier: Mapping[_Trait, list[RuleRow]], document: Document) -> str | None:
-    for trait in _implied_traits(when, document):
-        for other in earlier.get(trait, ()):
+def _shadowing_rule(
+    when: When, earlier: Mapping[_IndexKey, list[RuleRow]], document: Document
+) -> str | None:
+    for index_key in _covering_index_keys(when, document):
+        for other in earlier.get(index_key, ()):
             if _covers(other["when"], when, document):
                 return f"rule {other['name']} comes first and matches all that it does"
     return None
 
 
-def _trait(when: When) -> _Trait:
-    """Return one condition to file a rule under, so that few rules need to be compared."""
+def _index_key(when: When) -> _IndexKey:
+    """Return the condition under which a rule is indexed, to limit pairwise comparisons."""
     if "path" in when:
         return ("path", clean_prefix(when["path"]))
     if "block" in when:
@@ -251,8 +260,8 @@
     return ("service", when.get("service"))
 
 
-def _implied_traits(when: When, document: Document) -> Iterator[_Trait]:
-    """Yield the traits of all rules that can match whatever `when` does."""
+def _covering_index_keys(when: When, document: Document) -> Iterator[_IndexKey]:
+    """Yield the index keys of all rules that may match every request that `when` matches."""
     yield from (("service", None), ("service", when.get("service")), ("headers",))
     for path in _implied_paths(when, document):
         yield from (("path", prefix) for prefix in path_prefixes(path, path.count("/")))
@@ -265,7 +274,7 @@
 
 
 def _covers(outer: When, inner: When, document: Document) -> bool:
-    """Tell whether `inner` provably implies `outer`, condition by condition."""
+    """Return whether `inner` provably implies every condition of `outer`."""
     return all(_implied(condition, wanted, inner, document) for condition, wanted in outer.items())
 
 
@@ -293,7 +302,7 @@
 
 
 def _implied_paths(when: When, document: Document) -> list[str]:
-    """Return prefixes that every path under `when` has."""
+    """Return the prefixes that every path matched by `when` has."""
     prefixes = [when["path"]] if "path" in when else []
     if "service" in when:
         prefixes.append(document["services"][when["service"]]["prefix"])
@@ -304,33 +313,37 @@
     return name in given and value in (ANY_VALUE, given[name])
 
 
-def _meet(path: str, prefix: str) -> bool:
-    """Tell whether some request path is under both prefixes."""
-    one, other = clean_prefix(path), clean_prefix(prefix)
-    return is_under(one, other) or is_under(other, one)
+def _overlap(path: str, prefix: str) -> bool:
+    """Return whether a request path can be under both prefixes."""
+    first, second = clean_prefix(path), clean_prefix(prefix)
+    return is_under(first, second) or is_under(second, first)
 
 
-def _unreached_services(document: Document, dead: Mapping[str, str]) -> Iterator[Mistake]:
+def _unreachable_services(document: Document, unreachable: Mapping[str, str]) -> Iterator[Mistake]:
     for name, service in document["services"].items():
-        alive = (rule["when"] for rule in document["rules"] if rule["name"] not in dead)
+        reachable = (rule["when"] for rule in document["rules"] if rule["name"] not in unreachable)
         if not any(
-            when.get("service", name) == name and _meet(when.get("path", "/"), service["prefix"])
-            for when in alive
+            when.get("service", name) == name and _overlap(when.get("path", "/"), service["prefix"])
+            for when in reachable
         ):
             yield Mistake(dotted("services", name), "no rule can match, so all is refused")
 
 
 def _empty_places(document: Document) -> Iterator[Mistake]:
-    """Yield the places that rules and moves send a service to and that have none of it."""
+    """Yield the targets of rules and moves where the service has no upstream."""
     for rule in document["rules"]:
         service = rule["when"].get("service")
         for at, place in enumerate(rule["then"].get("places", ())):
             zones = _zones_of(place.get("region"), place.get("zone"), document)
-            if service is not None and place["weight"] and not zones & _homes(service, document):
+            if (
+                service is not None
+                and place["weight"]
+                and not zones & _upstream_zones(service, document)
+            ):
                 path = dotted("rules", rule["name"], "then", "places", at)
                 yield Mistake(path, f"there is no upstream of service {service} there")
     for name, move in document.get("moves", {}).items():
-        if move["target"] not in _homes(move["service"], document):
+        if move["target"] not in _upstream_zones(move["service"], document):
             text = f"there is no upstream of service {move['service']} there"
             yield Mistake(dotted("moves", name, "target"), text)
 
@@ -339,7 +352,7 @@
     return {zone} if zone is not None else set(document["regions"][t.cast(str, region)])
 
 
-def _homes(service: str, document: Document) -> set[str]:
+def _upstream_zones(service: str, document: Document) -> set[str]:
     return {upstream["zone"] for upstream in document["services"][service]["upstreams"].values()}
 
 
--- a/packages/core/src/cardamomloft/core/difference.py
+++ b/packages/core/src/cardamomloft/core/difference.py
@@ -1,13 +1,13 @@
-"""What differs between two configuration documents, for plans and for the audit trail."""
+"""Differences between two configuration documents, for plans and for the audit trail."""
 
 import json
 import re
 import typing as t
 from collections.abc import Iterator, Mapping
 
-_PLAIN_PART = re.compile(r"[A-Za-z0-9_()-]+\Z")
-_LONG_LIST = 16
-_SHOWN = 200
+_UNQUOTED_PART = re.compile(r"[A-Za-z0-9_()-]+\Z")
+_MAX_WHOLE_LIST = 16
+_MAX_VALUE_CHARS = 200
 
 
 class Change(t.NamedTuple):
@@ -19,33 +19,33 @@
 
     def __str__(self) -> str:
         if self.old is None:
-            return f"+ {self.path}: {_shown(self.new)}"
+            return f"+ {self.path}: {_format_value(self.new)}"
         if self.new is None:
-            return f"- {self.path}: {_shown(self.old)}"
-        return f"~ {self.path}: {_shown(self.old)} -> {_shown(self.new)}"
+            return f"- {self.path}: {_format_value(self.old)}"
+        return f"~ {self.path}: {_format_value(self.old)} -> {_format_value(self.new)}"
 
 
 def dotted(*parts: object) -> str:
-    """Join `parts` to a dotted path; a part that holds dots or the like is put in quotes."""
+    """Join `parts` to a dotted path, quoting parts with dots or other special characters."""
     return ".".join(_part(str(part)) for part in parts)
 
 
 def difference(old: object, new: object) -> tuple[Change, ...]:
-    """Return what changes from `old` to `new`, sorted by path.
+    """Return the changes from `old` to `new`, sorted by path.
 
-    Rules are compared by name and links by their ends, so that one rule put at the top is one
-    added rule and one changed order instead of a change of every rule below it.
+    Rules are compared by name, and links by origin and target. A rule inserted at the top is
+    therefore one added rule and one change of order, not a change of each rule below it.
     """
     return tuple(sorted(_compare((), old, new), key=lambda change: change.path))
 
 
 def _part(text: str) -> str:
-    return text if _PLAIN_PART.match(text) else json.dumps(text, ensure_ascii=False)
+    return text if _UNQUOTED_PART.match(text) else json.dumps(text, ensure_ascii=False)
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     text = json.dumps(value, ensure_ascii=False, sort_keys=True)
-    return text if len(text) <= _SHOWN else text[: _SHOWN - 3] + "..."
+    return text if len(text) <= _MAX_VALUE_CHARS else text[: _MAX_VALUE_CHARS - 3] + "..."
 
 
 def _compare(path: tuple[str, ...], old: t.Any, new: t.Any) -> Iterator[Change]:
@@ -58,7 +58,7 @@
 
 
 def _equal(old: t.Any, new: t.Any) -> bool:
-    # In Python 1 == True and 1 == 1.0; in JSON only the former are different values.
+    # Python's 1 == True is a difference in JSON, 1 == 1.0 is not.
     return old == new and isinstance(old, bool) == isinstance(new, bool)
 
 
@@ -81,16 +81,16 @@
 
 
 def _has_order(rows: list[t.Any]) -> bool:
-    """Tell whether the rows are rules, the only labelled rows whose order counts."""
+    """Return whether the rows are rules, the only labelled rows whose order matters."""
     return bool(rows) and isinstance(rows[0], dict) and "name" in rows[0]
 
 
 def _labelled(rows: list[t.Any]) -> dict[str, t.Any] | None:
-    """Return the rows by their labels, or None if they are only comparable as a whole."""
+    """Return the rows by label, or None if the list must be compared as a whole."""
     labels = [_label(row) for row in rows]
     if None in labels or len(set(labels)) < len(labels):
         return None
-    if rows and isinstance(rows[0], str) and len(rows) <= _LONG_LIST:
+    if rows and isinstance(rows[0], str) and len(rows) <= _MAX_WHOLE_LIST:
         return None
     return dict(zip(t.cast(list[str], labels), rows, strict=True))
 
--- a/packages/core/src/cardamomloft/core/references.py
+++ b/packages/core/src/cardamomloft/core/references.py
@@ -1,7 +1,7 @@
-"""Mistakes that types cannot show: names that lead nowhere and values that contradict each other.
+"""Validation of a document beyond its types: undefined names and contradictory values.
 
-Everything here takes a document whose types have been checked. Each function yields the mistakes
-of one part, each with its path.
+All functions take a document whose types have been checked. Each yields the mistakes of one
+section, with their paths.
 """
 
 import difflib
@@ -22,11 +22,11 @@
 _DIGEST = re.compile(r"[0-9a-f]{64}\Z")
 _PORT = re.compile(r"[1-9][0-9]{0,4}\Z")
 _MAX_PORT = 65535
-# Parts that are meant to make up the whole may miss it by a rounding error.
-_FULL_PERCENT = 100.000001
+# 100 percent, plus a tolerance for the rounding error of a sum.
+_MAX_TOTAL_PERCENT = 100.000001
 
 
-class Names(t.NamedTuple):
+class DefinedNames(t.NamedTuple):
     """The names that a document defines."""
 
     regions: Collection[str]
@@ -37,8 +37,8 @@
     sites: Collection[str]
 
     @classmethod
-    def of(cls, document: Document) -> "Names":
-        """Collect the names; a site is one that entries name, or any zone or region."""
+    def of(cls, document: Document) -> "DefinedNames":
+        """Collect the names; sites are those that entries name, and all zones and regions."""
         zones = {zone for listed in document["regions"].values() for zone in listed}
         return cls(
             regions=document["regions"].keys(),
@@ -53,8 +53,8 @@
 
 
 def reference_mistakes(document: Document) -> Iterator[Mistake]:
-    """Yield every mistake that the types of `document` do not show."""
-    names = Names.of(document)
+    """Yield every mistake of `document` that its types do not exclude."""
+    names = DefinedNames.of(document)
     yield from _region_mistakes(document)
     yield from _address_mistakes(document)
     yield from _entry_mistakes(document, names)
@@ -67,7 +67,7 @@
 
 
 def parse_instant(text: str) -> datetime | None:
-    """Return the ISO 8601 instant in `text`, or None if it is none or lacks its UTC offset."""
+    """Return the ISO 8601 instant in `text`, or None if it is invalid or has no UTC offset."""
     try:
         instant = datetime.fromisoformat(text)
     except ValueError:
@@ -75,15 +75,15 @@
     return instant if instant.tzinfo is not None else None
 
 
-def _unknown(path: str, what: str, name: str, known: Collection[str]) -> Iterator[Mistake]:
-    if name in known:
+def _unknown_name(path: str, what: str, name: str, defined: Collection[str]) -> Iterator[Mistake]:
+    if name in defined:
         return
-    close = difflib.get_close_matches(name, known, n=1)
+    close = difflib.get_close_matches(name, defined, n=1)
     hint = f", did you mean {close[0]}?" if close else ""
     yield Mistake(path, f"unknown {what} {name}{hint}")
 
 
-def _twice(path: str, what: str, names: Iterable[str]) -> Iterator[Mistake]:
+def _duplicates(path: str, what: str, names: Iterable[str]) -> Iterator[Mistake]:
     for name, count in Counter(names).items():
         if count > 1:
             yield Mistake(path, f"{what} {name} is given {count} times")
@@ -95,25 +95,25 @@
 
 
 def _region_mistakes(document: Document) -> Iterator[Mistake]:
-    homes: dict[str, str] = {}
+    region_of: dict[str, str] = {}
     for region, zones in document["regions"].items():
         path = dotted("regions", region)
-        yield from _twice(path, "zone", zones)
+        yield from _duplicates(path, "zone", zones)
         for zone in dict.fromkeys(zones):
-            if zone in homes:
-                yield Mistake(path, f"zone {zone} is in region {homes[zone]} already")
-            homes.setdefault(zone, region)
+            if zone in region_of:
+                yield Mistake(path, f"zone {zone} is in region {region_of[zone]} already")
+            region_of.setdefault(zone, region)
 
 
 def _address_mistakes(document: Document) -> Iterator[Mistake]:
-    users: dict[str, str] = {}
+    used_by: dict[str, str] = {}
     for path, text in _addresses(document):
         host, _, port = text.partition(":")
         if parse_address(host) is None or not _PORT.match(port) or int(port) > _MAX_PORT:
             yield Mistake(path, f"must be an IPv4 address and a port, is {text!r}")
-        elif text in users:
-            yield Mistake(path, f"address {text} is used by {users[text]} already")
-        users.setdefault(text, path)
+        elif text in used_by:
+            yield Mistake(path, f"address {text} is used by {used_by[text]} already")
+        used_by.setdefault(text, path)
 
 
 def _addresses(document: Document) -> Iterator[tuple[str, str]]:
@@ -125,14 +125,14 @@
             yield dotted("services", service, "upstreams", name, "address"), upstream["address"]
 
 
-def _entry_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _entry_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     for entry, row in document["entries"].items():
-        yield from _unknown(dotted("entries", entry, "zone"), "zone", row["zone"], names.zones)
+        yield from _unknown_name(dotted("entries", entry, "zone"), "zone", row["zone"], names.zones)
 
 
-def _service_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _service_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     prefixes: dict[str, str] = {}
-    homes: dict[str, str] = {}
+    service_of: dict[str, str] = {}
     for service, row in document["services"].items():
         path = ("services", service)
         prefix = row["prefix"].rstrip("/")
@@ -143,10 +143,12 @@
         yield from _service_setting_mistakes(path, row)
         for name, upstream in row["upstreams"].items():
             where = (*path, "upstreams", name)
-            yield from _unknown(dotted(*where, "zone"), "zone", upstream["zone"], names.zones)
-            if name in homes:
-                yield Mistake(dotted(*where), f"service {homes[name]} has an upstream of this name")
-            homes.setdefault(name, service)
+            yield from _unknown_name(dotted(*where, "zone"), "zone", upstream["zone"], names.zones)
+            if name in service_of:
+                yield Mistake(
+                    dotted(*where), f"service {service_of[name]} has an upstream of this name"
+                )
+            service_of.setdefault(name, service)
 
 
 def _service_setting_mistakes(path: tuple[str, ...], row: ServiceRow) -> Iterator[Mistake]:
@@ -159,7 +161,7 @@
 
 
 def _method_mistakes(path: str, methods: list[str]) -> Iterator[Mistake]:
-    yield from _twice(path, "method", methods)
+    yield from _duplicates(path, "method", methods)
     for method in dict.fromkeys(methods):
         if not _METHOD.match(method):
             yield Mistake(path, f"must be methods in capitals, has {method!r}")
@@ -172,15 +174,15 @@
         yield Mistake(path, f"must have no dot segments, is {text!r}")
 
 
-def _client_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _client_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     clients = document["clients"]
     blocks, chunks = clients.get("blocks", {}), clients.get("chunks", [])
     path = ("clients", "blocks")
-    yield from _unknown(dotted("clients", "default"), "site", clients["default"], names.sites)
+    yield from _unknown_name(dotted("clients", "default"), "site", clients["default"], names.sites)
     yield from block_mistakes(path, blocks)
     for block, site in blocks.items():
-        yield from _unknown(dotted(*path, block), "site", site, names.sites)
-    yield from _twice(dotted("clients", "chunks"), "chunk", chunks)
+        yield from _unknown_name(dotted(*path, block), "site", site, names.sites)
+    yield from _duplicates(dotted("clients", "chunks"), "chunk", chunks)
     for at, digest in enumerate(chunks):
         if not _DIGEST.match(digest):
             yield Mistake(dotted("clients", "chunks", at), "must be a SHA-256 in hexadecimal")
@@ -188,22 +190,24 @@
         yield Mistake("clients", "has both blocks and chunks; only one of them can count")
 
 
-def _rule_list_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
-    yield from _twice("rules", "rule", (rule["name"] for rule in document["rules"]))
+def _rule_list_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
+    yield from _duplicates("rules", "rule", (rule["name"] for rule in document["rules"]))
     for rule in document["rules"]:
-        yield from _when_mistakes(("rules", rule["name"], "when"), rule["when"], names)
-        yield from _then_mistakes(("rules", rule["name"], "then"), rule["then"], document, names)
+        yield from _condition_mistakes(("rules", rule["name"], "when"), rule["when"], names)
+        yield from _action_mistakes(("rules", rule["name"], "then"), rule["then"], document, names)
         yield from _rule_deadline_mistakes(rule, document)
 
 
-def _when_mistakes(path: tuple[str, ...], when: When, names: Names) -> Iterator[Mistake]:
-    for condition, known in (
+def _condition_mistakes(
+    path: tuple[str, ...], when: When, names: DefinedNames
+) -> Iterator[Mistake]:
+    for condition, defined in (
         ("service", names.services),
         ("zone", names.zones),
         ("region", names.regions),
     ):
         if condition in when:
-            yield from _unknown(dotted(*path, condition), condition, when[condition], known)
+            yield from _unknown_name(dotted(*path, condition), condition, when[condition], defined)
     if "method" in when:
         yield from _method_mistakes(dotted(*path, "method"), when["method"])
         if not when["method"]:
@@ -217,8 +221,8 @@
             yield Mistake(dotted(*path, "headers", header), "must be a header name in lower case")
 
 
-def _then_mistakes(
-    path: tuple[str, ...], then: Then, document: Document, names: Names
+def _action_mistakes(
+    path: tuple[str, ...], then: Then, document: Document, names: DefinedNames
 ) -> Iterator[Mistake]:
     if "refuse" in then:
         for key in sorted(then.keys() - {"refuse"}):
@@ -228,13 +232,13 @@
     else:
         yield from _place_mistakes((*path, "places"), then["places"], document, names)
     spill = then.get("spill", [])
-    yield from _twice(dotted(*path, "spill"), "region", spill)
+    yield from _duplicates(dotted(*path, "spill"), "region", spill)
     for region in dict.fromkeys(spill):
-        yield from _unknown(dotted(*path, "spill"), "region", region, names.regions)
+        yield from _unknown_name(dotted(*path, "spill"), "region", region, names.regions)
 
 
 def _place_mistakes(
-    path: tuple[str, ...], places: list[PlaceRow], document: Document, names: Names
+    path: tuple[str, ...], places: list[PlaceRow], document: Document, names: DefinedNames
 ) -> Iterator[Mistake]:
     zones: list[str] = []
     for at, place in enumerate(places):
@@ -242,10 +246,10 @@
             yield Mistake(dotted(*path, at), "must have a region or a zone, and not both")
         elif "region" in place:
             region = place["region"]
-            yield from _unknown(dotted(*path, at, "region"), "region", region, names.regions)
+            yield from _unknown_name(dotted(*path, at, "region"), "region", region, names.regions)
             zones += document["regions"].get(region, ())
         else:
-            yield from _unknown(dotted(*path, at, "zone"), "zone", place["zone"], names.zones)
+            yield from _unknown_name(dotted(*path, at, "zone"), "zone", place["zone"], names.zones)
             zones.append(place["zone"])
     for zone, count in Counter(zones).items():
         if count > 1:
@@ -255,7 +259,7 @@
 
 
 def _rule_deadline_mistakes(rule: RuleRow, document: Document) -> Iterator[Mistake]:
-    """Compare the rule's deadline with that of each service that it names, or of all."""
+    """Yield the services that the rule applies to and whose maximum deadline it exceeds."""
     deadline = rule["then"].get("deadline_ms", 0)
     named = rule["when"].get("service")
     for service, row in document["services"].items():
@@ -264,41 +268,49 @@
             yield Mistake(dotted("rules", rule["name"], "then", "deadline_ms"), text)
 
 
-def _link_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _link_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     links = document.get("links", [])
     for at, link in enumerate(links):
-        yield from _unknown(dotted("links", at, "origin"), "region", link["origin"], names.regions)
-        yield from _unknown(dotted("links", at, "target"), "region", link["target"], names.regions)
+        yield from _unknown_name(
+            dotted("links", at, "origin"), "region", link["origin"], names.regions
+        )
+        yield from _unknown_name(
+            dotted("links", at, "target"), "region", link["target"], names.regions
+        )
         if link["origin"] == link["target"]:
             yield Mistake(dotted("links", at), "origin and target are the same region")
     ends = (f"from {link['origin']} to {link['target']}" for link in links)
-    yield from _twice("links", "a link", ends)
+    yield from _duplicates("links", "a link", ends)
 
 
-def _drain_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
-    known = {
+def _drain_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
+    defined = {
         "region": names.regions,
         "zone": names.zones,
         "upstream": names.upstreams,
         "entry": names.entries,
     }
     for name, drain in document.get("drains", {}).items():
-        yield from _unknown(dotted("drains", name), drain["kind"], name, known[drain["kind"]])
+        yield from _unknown_name(
+            dotted("drains", name), drain["kind"], name, defined[drain["kind"]]
+        )
         yield from _instant_mistakes(dotted("drains", name, "since"), drain["since"])
 
 
-def _move_mistakes(document: Document, names: Names) -> Iterator[Mistake]:
+def _move_mistakes(document: Document, names: DefinedNames) -> Iterator[Mistake]:
     leaving: defaultdict[tuple[str, str], float] = defaultdict(float)
     for name, move in document.get("moves", {}).items():
         path = ("moves", name)
-        yield from _unknown(dotted(*path, "service"), "service", move["service"], names.services)
-        yield from _unknown(dotted(*path, "origin"), "zone", move["origin"], names.zones)
-        yield from _unknown(dotted(*path, "target"), "zone", move["target"], names.zones)
+        yield from _unknown_name(
+            dotted(*path, "service"), "service", move["service"], names.services
+        )
+        yield from _unknown_name(dotted(*path, "origin"), "zone", move["origin"], names.zones)
+        yield from _unknown_name(dotted(*path, "target"), "zone", move["target"], names.zones)
         yield from _instant_mistakes(dotted(*path, "since"), move["since"])
         if move["origin"] == move["target"]:
             yield Mistake(dotted(*path), "origin and target are the same zone")
         leaving[move["service"], move["origin"]] += move["percent"]
     for (service, origin), percent in leaving.items():
-        if percent > _FULL_PERCENT:
+        if percent > _MAX_TOTAL_PERCENT:
             text = f"the moves of {service} from {origin} add up to {percent:g} percent"
             yield Mistake("moves", text)
--- a/packages/core/tests/test_ledger.py
+++ b/packages/core/tests/test_ledger.py
@@ -24,11 +24,11 @@
 
 
 def ledger_of(clock: ManualClock, **bounds: int) -> Ledger:
-    sizes = {"max_entries": 3, "max_bytes": 10**6, "answer_limit": 300} | bounds
+    sizes = {"max_entries": 3, "max_bytes": 10**6, "max_answer_bytes": 300} | bounds
     return Ledger(clock, grace=GRACE, **sizes)
 
 
-def test_outcomes_outlive_the_window_by_the_grace_and_are_never_run_again(clock) -> None:
+def test_outcomes_are_kept_for_the_grace_after_expiry_and_not_run_again(clock) -> None:
     ledger = ledger_of(clock)
     assert ledger.begin("a", "f", EXPIRES).ok == Run("a")
     ledger.finish("a", ANSWER)
@@ -40,7 +40,7 @@
     assert (len(ledger), ledger.held_bytes) == (0, 0)
 
 
-def test_an_operation_in_flight_stays_and_its_late_answer_can_still_be_had(clock) -> None:
+def test_operation_in_flight_is_not_evicted_and_its_late_answer_is_stored(clock) -> None:
     ledger = ledger_of(clock)
     ledger.begin("a", "f", EXPIRES)
     clock.advance(4 * EXPIRES)
@@ -51,20 +51,20 @@
     assert ledger.begin("a", "f", EXPIRES).ok == Answered(ANSWER)
 
 
-def test_joined_callers_are_told_once_even_if_one_raises_or_asks_again(clock) -> None:
-    ledger, told = ledger_of(clock), []
+def test_joined_callers_are_notified_once_even_if_one_raises_or_begins_again(clock) -> None:
+    ledger, received = ledger_of(clock), []
     ledger.begin("a", "f", EXPIRES)
 
     def fail(outcome) -> None:
         raise OSError("caller is gone")
 
     ledger.join("a", fail)
-    ledger.join("a", lambda outcome: told.append(ledger.begin("a", "f", EXPIRES).ok))
-    ledger.join("a", told.append)()
-    ledger.join("a", told.append)
+    ledger.join("a", lambda outcome: received.append(ledger.begin("a", "f", EXPIRES).ok))
+    ledger.join("a", received.append)()
+    ledger.join("a", received.append)
     assert [type(exc) for exc in ledger.not_run("a")] == [OSError]
-    assert told[0] == Run("a") and told[1].reason is RefusalReason.UNREACHABLE
-    assert ledger.finish("a", ANSWER) == () and len(told) == 2
+    assert received[0] == Run("a") and received[1].reason is RefusalReason.UNREACHABLE
+    assert ledger.finish("a", ANSWER) == () and len(received) == 2
     for late in (ledger.not_run, lambda operation: ledger.finish(operation, ANSWER)):
         with pytest.raises(ValueError, match="not in flight"):
             late("a")
@@ -76,18 +76,18 @@
     assert ledger.begin("a", "g", EXPIRES).error.reason is RefusalReason.OPERATION_REUSED
 
 
-def test_a_large_answer_goes_to_who_waits_and_only_its_status_is_kept(clock) -> None:
-    ledger, told = ledger_of(clock), []
+def test_large_answer_goes_to_joined_callers_and_only_its_status_is_stored(clock) -> None:
+    ledger, received = ledger_of(clock), []
     ledger.begin("a", "f", EXPIRES)
-    ledger.join("a", told.append)
+    ledger.join("a", received.append)
     large = ANSWER._replace(body=bytes(301))
     ledger.finish("a", large)
-    assert told == [large]
+    assert received == [large]
     assert ledger.begin("a", "f", EXPIRES).ok == Settled(AnswerNotKept(201))
 
 
 @pytest.mark.parametrize("bounds", [{"max_entries": 1}, {"max_bytes": 1500}])
-def test_a_full_ledger_refuses_new_ids_and_forgets_nothing(clock, bounds) -> None:
+def test_full_ledger_refuses_new_ids_and_evicts_nothing(clock, bounds) -> None:
     ledger = ledger_of(clock, **bounds)
     ledger.begin("a", "f", EXPIRES)
     refusal = ledger.begin("b", "f", EXPIRES).error
--- a/packages/core/tests/test_loan_protocol.py
+++ b/packages/core/tests/test_loan_protocol.py
@@ -1,7 +1,7 @@
-"""Three entries share four units under losses, pauses, restarts and new revisions.
+"""Stateful test of three entries that share four units of a limit.
 
-The invariant is the promise itself: the endpoint never runs more than its capacity. Four
-deliberate faults show that the same machine would notice if a rule of the protocol were dropped.
+Messages get lost, entries pause and restart, and revisions change; the endpoint must never run
+more than its capacity. Deliberate faults show that the search detects violations.
 """
 
 import typing as t
@@ -28,21 +28,21 @@
 SETTINGS = settings(
     derandomize=True, database=None, deadline=None, max_examples=300, stateful_step_count=40
 )
-UNSHRUNK = settings(SETTINGS, phases=[Phase.generate], max_examples=1000)
+GENERATE_ONLY = settings(SETTINGS, phases=[Phase.generate], max_examples=1000)
 
 
 class Entry:
-    """One seat: its clock goes on through pauses and restarts."""
+    """One seat, whose clock continues through pauses and restarts."""
 
     def __init__(self, seat: str) -> None:
         self.seat = seat
         self.clock = ManualClock()
         self.paused = False
-        self.lives = 0
+        self.incarnations = 0
 
     def start(self, revision: int, limits: dict[str, Limit], *, quarantine: bool) -> None:
-        self.lives += 1
-        self.me = Incarnation(self.seat, str(self.lives))
+        self.incarnations += 1
+        self.me = Incarnation(self.seat, str(self.incarnations))
         self.shares = Shares(self.me, self.clock)
         self.adopt(revision, limits, quarantine=quarantine)
 
@@ -56,7 +56,7 @@
 
 class Use(t.NamedTuple):
     entry: Entry
-    life: int
+    incarnation: int
     hold: Hold
 
     def is_over(self) -> bool:
@@ -64,7 +64,7 @@
 
 
 class Fleet:
-    """The entries, the messages on their way and the endpoint, which ends a use by its deadline."""
+    """The entries, the messages in transit, and an endpoint that ends uses at their deadline."""
 
     quarantine = True
 
@@ -112,7 +112,7 @@
             self.send(entry, entry.shares.on_message(sender, message))
 
     def deliver_all(self) -> None:
-        """Deliver what is on its way; what is sent in answer stays on its way."""
+        """Deliver the messages in transit, but not the answers to them."""
         for at in reversed(range(len(self.sent))):
             self.deliver(at)
 
@@ -130,18 +130,18 @@
     def use_all(self, entry: Entry, seconds: float) -> None:
         deadline = entry.clock.monotonic() + timedelta(seconds=seconds)
         while not entry.paused and (result := entry.shares.acquire(KEY, 1, deadline)).is_ok():
-            self.uses.append(Use(entry, entry.lives, result.ok))
+            self.uses.append(Use(entry, entry.incarnations, result.ok))
 
     def finish(self, entry: Entry, *, over: bool) -> None:
-        """End the uses of an entry that is awake: those past their deadline, or all."""
+        """End all uses of an entry that is not paused; with `over` only those past deadline."""
         for use in [use for use in self.uses if use.entry is entry and not entry.paused]:
             if use.is_over() or not over:
                 self.uses.remove(use)
-                if use.life == entry.lives:
+                if use.incarnation == entry.incarnations:
                     entry.shares.release(use.hold)
 
     def restart(self, entry: Entry, peer: Entry) -> None:
-        """Replace the process; what it started runs on at the endpoint until its deadline."""
+        """Replace the process; its uses continue at the endpoint until their deadline."""
         entry.paused = False
         limits = self.revisions[peer.revision - 1]
         entry.start(peer.revision, limits, quarantine=self.quarantine)
@@ -151,7 +151,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Draws what may happen; `fleet_type` is replaced to plant a fault."""
+    """The actions of the search; `fleet_type` is replaced to inject a fault."""
 
     fleet_type = Fleet
 
@@ -160,7 +160,7 @@
         self.fleet = self.fleet_type()
 
     def stall(self, at: int, seconds: float) -> None:
-        """Pause one entry while the others go on; then it reads what they sent meanwhile."""
+        """Pause one entry while the others continue, then deliver what they sent to it."""
         self.fleet.entries[at].paused = True
         self.fleet.deliver_all()
         self.fleet.advance(seconds)
@@ -178,10 +178,10 @@
         at=at_entry,
         seconds=st.sampled_from([0.3, 1.0, 2.0]),
         more=st.integers(0, 4),
-        then=st.sampled_from(["go on", "exchange", "stall"]),
+        then=st.sampled_from(["continue", "exchange", "stall"]),
     )
-    def crowd(self, at: int, seconds: float, more: int, then: str) -> None:
-        """Let one entry use all it can and want more; it may get an answer or stall before it."""
+    def consume_and_request(self, at: int, seconds: float, more: int, then: str) -> None:
+        """Let one entry use all it can and request more, and then exchange messages or stall."""
         entry = self.fleet.entries[at]
         self.fleet.use_all(entry, seconds)
         if entry.paused:
@@ -194,7 +194,7 @@
             self.stall(at, 8.0)
 
     @rule(seconds=st.sampled_from([1.0, 2.0]))
-    def crowd_everywhere(self, seconds: float) -> None:
+    def consume_everywhere(self, seconds: float) -> None:
         for entry in self.fleet.entries:
             self.fleet.use_all(entry, seconds)
 
@@ -230,11 +230,11 @@
     def pause_or_resume(self, at: int) -> None:
         self.fleet.entries[at].paused = not self.fleet.entries[at].paused
 
-    @rule(at=at_entry, other=st.integers(1, 2), hears=st.booleans())
-    def restart(self, at: int, other: int, hears: bool) -> None:
+    @rule(at=at_entry, other=st.integers(1, 2), reports=st.booleans())
+    def restart(self, at: int, other: int, reports: bool) -> None:
         entries = self.fleet.entries
         self.fleet.restart(entries[at], entries[(at + other) % len(entries)])
-        if hears:
+        if reports:
             self.fleet.report()
             self.fleet.deliver_all()
 
@@ -251,46 +251,48 @@
         assert self.fleet.running() <= CAPACITY
 
 
-def assert_caught(fleet_type: type[Fleet] = Fleet) -> None:
+def assert_fault_detected(fleet_type: type[Fleet] = Fleet) -> None:
     machine = type("FaultyMachine", (FleetMachine,), {"fleet_type": fleet_type})
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(machine, settings=UNSHRUNK)
+        run_state_machine_as_test(machine, settings=GENERATE_ONLY)
 
 
-def test_the_endpoint_never_runs_more_than_its_capacity() -> None:
+def test_endpoint_never_runs_more_than_its_capacity() -> None:
     run_state_machine_as_test(FleetMachine, settings=SETTINGS)
 
 
-def test_the_machine_catches_a_lender_that_does_not_subtract() -> None:
+def test_search_detects_a_lender_that_does_not_subtract() -> None:
     with mock.patch.object(Lendings, "lent", property(lambda _: 0, lambda *_: None)):
-        assert_caught()
+        assert_fault_detected()
 
 
-def test_the_machine_catches_a_borrower_that_counts_from_the_grants_arrival() -> None:
-    take = Loans.take
+def test_search_detects_a_borrower_that_starts_the_term_at_the_grants_arrival() -> None:
+    on_grant = Loans.on_grant
 
-    def take_from_now(self: Loans, lender: Incarnation, grant: t.Any, now: timedelta) -> bool:
-        for ask in self.asks.values():
-            ask.asked = now
-        return take(self, lender, grant, now)
+    def on_grant_counting_from_now(
+        self: Loans, lender: Incarnation, grant: t.Any, now: timedelta
+    ) -> bool:
+        for request in self.requests.values():
+            request.requested_at = now
+        return on_grant(self, lender, grant, now)
 
-    with mock.patch.object(Loans, "take", take_from_now):
-        assert_caught()
+    with mock.patch.object(Loans, "on_grant", on_grant_counting_from_now):
+        assert_fault_detected()
 
 
-def test_the_machine_catches_a_restart_without_quarantine() -> None:
-    class Hasty(Fleet):
+def test_search_detects_a_restart_without_quarantine() -> None:
+    class NoQuarantine(Fleet):
         quarantine = False
 
-    assert_caught(Hasty)
+    assert_fault_detected(NoQuarantine)
 
 
-def test_the_machine_catches_a_gain_that_does_not_wait_for_the_others() -> None:
-    divide = Ownership.divide
+def test_search_detects_a_share_increase_that_does_not_wait_for_other_holders() -> None:
+    begin_division = Ownership.begin_division
 
-    def divide_and_gain(self: Ownership, base: int, *args: t.Any) -> None:
-        divide(self, base, *args)
+    def begin_division_and_gain(self: Ownership, base: int, *args: t.Any) -> None:
+        begin_division(self, base, *args)
         self.own = base
 
-    with mock.patch.object(Ownership, "divide", divide_and_gain):
-        assert_caught()
+    with mock.patch.object(Ownership, "begin_division", begin_division_and_gain):
+        assert_fault_detected()
--- a/packages/core/tests/test_once_protocol.py
+++ b/packages/core/tests/test_once_protocol.py
@@ -1,7 +1,9 @@
-"""At most once, as one machine: two entries, a store, an upstream that counts its runs.
+"""Stateful test of at-most-once execution with two entries, a store and an upstream.
 
-Every piece of work is a task that the search may do at any later time, in any order, or, after a
-crash, never: so every entry may be paused at every point, for longer than every window.
+Each step is a task that the search runs at any later time and in any order, or never after a
+crash, so an entry may be paused at any point for longer than any window. A task may run with a
+fault: "lost" loses the response of a call that took effect, "late" reports an ambiguous failure
+whose effect comes later or never, and "away" is a definite failure.
 """
 
 import itertools
@@ -26,7 +28,7 @@
 
 
 class SkewedClock(ManualClock):
-    """The true clock seen with a wall clock that is off, within what the claims allow."""
+    """The true clock with a wall clock that deviates by `skew`."""
 
     def __init__(self, true: ManualClock, skew: timedelta) -> None:
         self.true, self.skew = true, skew
@@ -39,7 +41,7 @@
 
 
 class Store:
-    """Keys that go with their leases; taking a key again under its own lease succeeds."""
+    """A store whose keys expire with their leases; recreating a key under its lease succeeds."""
 
     def __init__(self, clock: ManualClock) -> None:
         self.clock = clock
@@ -63,17 +65,17 @@
         return False
 
 
-class Try(t.NamedTuple):
-    """One presentation of an id; its word is kept by number in the world."""
+class Submission(t.NamedTuple):
+    """One submission of an operation id; the machine records its reply by `number`."""
 
     number: int
     text: str
 
 
 class Entry:
-    """One incarnation, wired as the entry program wires it."""
+    """One incarnation of an entry, with the components connected as in the entry program."""
 
-    ids_type, ledger_type, claims_type, resends = OperationIds, Ledger, Claims, False
+    ids_type, ledger_type, claims_type, resends_on_loss = OperationIds, Ledger, Claims, False
 
     def __init__(self, world: "OnceMachine", seat: str, number: str, skew: timedelta) -> None:
         self.world, self.me, clock = (
@@ -85,85 +87,93 @@
         self.ledger = self.ledger_type(clock, max_entries=6, max_bytes=10**6)
         self.claims = self.claims_type(self.me, clock, writes_per_s=5)
 
-    def receive(self, tried: Try) -> None:
-        operation = parse_operation(tried.text).ok
+    def receive(self, submission: Submission) -> None:
+        operation = parse_operation(submission.text).ok
         if isinstance(operation, OwnId):
-            return self.claim(tried, operation)
+            return self.claim(submission, operation)
         if operation.seat != self.me.seat:
-            return self.world.later(None, self.world.deliver, operation.seat, tried)
+            return self.world.schedule(None, self.world.deliver, operation.seat, submission)
         checked = self.ids.check(operation)
-        return self.begin(tried, checked.ok) if checked.is_ok() else self.tell(tried, checked.error)
+        return (
+            self.begin(submission, checked.ok)
+            if checked.is_ok()
+            else self.reply(submission, checked.error)
+        )
 
-    def claim(self, tried: Try, own: OwnId) -> None:
-        found = self.ledger.look(tried.text, "f").ok
+    def claim(self, submission: Submission, own: OwnId) -> None:
+        found = self.ledger.look(submission.text, "f").ok
         if found is not None:
-            return self.stand(tried, found)
+            return self.on_status(submission, found)
         request = self.claims.want_lease()
         if request and not self.world.outage:
             self.claims.on_lease(request, self.world.store.lease(request.ttl))
         started = self.claims.start(own, "f")
         if started.is_error():
-            return self.tell(tried, started.error)
-        return self.follow(tried, started.ok, started.ok.step)
+            return self.reply(submission, started.error)
+        return self.on_step(submission, started.ok, started.ok.step)
 
-    def follow(self, tried: Try, attempt: Attempt, step) -> None:
+    def on_step(self, submission: Submission, attempt: Attempt, step) -> None:
         if isinstance(step, Claimed):
-            return self.begin(tried, step.expires)
+            return self.begin(submission, step.expires)
         if isinstance(step, HeldBy):
-            return self.world.later(None, self.world.deliver, step.holder.seat, tried)
+            return self.world.schedule(None, self.world.deliver, step.holder.seat, submission)
         if isinstance(step, Refusal | Unknown):
-            return self.tell(tried, step)
-        return self.world.later(self, self.call, tried, attempt, step)
+            return self.reply(submission, step)
+        return self.world.schedule(self, self.call, submission, attempt, step)
 
-    def call(self, tried: Try, attempt: Attempt, step, fault: str) -> None:
+    def call(self, submission: Submission, attempt: Attempt, step, fault: str) -> None:
         store = self.world.store
         if self.world.outage:
             fault = "away"
         if fault == "late" and isinstance(step, CreateClaim):
-            self.world.later(None, lambda _fault: store.create(step))
+            self.world.schedule(None, lambda _fault: store.create(step))
         if fault == "lost" and isinstance(step, CreateClaim):
             store.create(step)
         if fault != "none":
-            return self.follow(tried, attempt, attempt.failed(fault != "away"))
+            return self.on_step(submission, attempt, attempt.failed(fault != "away"))
         if isinstance(step, ReadClaim):
-            return self.follow(tried, attempt, attempt.read(store.read(step.key)))
-        return self.follow(tried, attempt, attempt.created(store.create(step)))
-
-    def begin(self, tried: Try, expires: timedelta) -> None:
-        begun = self.ledger.begin(tried.text, "f", expires)
-        return self.stand(tried, begun.ok) if begun.is_ok() else self.tell(tried, begun.error)
+            return self.on_step(submission, attempt, attempt.read(store.read(step.key)))
+        return self.on_step(submission, attempt, attempt.created(store.create(step)))
+
+    def begin(self, submission: Submission, expires: timedelta) -> None:
+        begun = self.ledger.begin(submission.text, "f", expires)
+        return (
+            self.on_status(submission, begun.ok)
+            if begun.is_ok()
+            else self.reply(submission, begun.error)
+        )
 
-    def stand(self, tried: Try, found) -> None:
+    def on_status(self, submission: Submission, found) -> None:
         match found:
             case Run(operation):
-                self.ledger.join(operation, lambda outcome: self.tell(tried, outcome))
-                self.world.later(self, self.send, operation)
+                self.ledger.join(operation, lambda outcome: self.reply(submission, outcome))
+                self.world.schedule(self, self.send, operation)
             case Join(operation):
-                self.ledger.join(operation, lambda outcome: self.tell(tried, outcome))
+                self.ledger.join(operation, lambda outcome: self.reply(submission, outcome))
             case Answered(answer):
-                self.tell(tried, answer)
+                self.reply(submission, answer)
             case Settled(outcome):
-                self.tell(tried, outcome)
+                self.reply(submission, outcome)
 
     def send(self, operation: str, fault: str) -> None:
         if fault == "away":
             self.ledger.not_run(operation)
             return
-        # From here on it is the upstream's, and a crash of this entry does not take it back.
+        # The upstream has received the request, so a crash of this entry does not cancel it.
         if fault == "late":
-            self.told_lost(operation)
+            self.on_answer_lost(operation)
         answer_to = None if fault == "late" else self
-        self.world.later(None, self.world.upstream_run, answer_to, operation)
+        self.world.schedule(None, self.world.upstream_run, answer_to, operation)
 
-    def told_lost(self, operation: str) -> None:
+    def on_answer_lost(self, operation: str) -> None:
         self.ledger.unknown(operation, "no answer")
-        if self.resends:
-            self.world.later(None, self.world.upstream_run, None, operation)
+        if self.resends_on_loss:
+            self.world.schedule(None, self.world.upstream_run, None, operation)
 
-    def tell(self, tried: Try, word) -> None:
-        if isinstance(word, Refusal) and isinstance(parse_operation(tried.text).ok, SystemId):
-            assert self.world.runs[tried.text] == 0, f"refused as not run after a run: {word}"
-        self.world.later(self, self.world.word, tried, word)
+    def reply(self, submission: Submission, reply) -> None:
+        if isinstance(reply, Refusal) and isinstance(parse_operation(submission.text).ok, SystemId):
+            assert self.world.runs[submission.text] == 0, f"refused as not run after a run: {reply}"
+        self.world.schedule(self, self.world.reply, submission, reply)
 
 
 class OnceMachine(RuleBasedStateMachine):
@@ -177,75 +187,75 @@
         self.numbers = itertools.count(1)
         self.tasks: list[tuple] = []
         self.runs: Counter[str] = Counter()
-        self.words: dict[str, dict[int, t.Any]] = {}
+        self.replies: dict[str, dict[int, t.Any]] = {}
         self.entries = {seat: self.start(seat, timedelta(0)) for seat in SEATS}
 
     def start(self, seat: str, skew: timedelta) -> Entry:
         return self.entry_type(self, seat, f"i{next(self.numbers)}", skew)
 
-    def later(self, owner: Entry | None, work, *args) -> None:
-        self.tasks.append((owner, work, args))
+    def schedule(self, owner: Entry | None, task, *args) -> None:
+        self.tasks.append((owner, task, args))
 
-    def deliver(self, seat: str, tried: Try, _fault: str = "none") -> None:
-        self.entries[seat].receive(tried)
+    def deliver(self, seat: str, submission: Submission, _fault: str = "none") -> None:
+        self.entries[seat].receive(submission)
 
     def upstream_run(self, entry: Entry | None, operation: str, fault: str) -> None:
         if fault == "away" and entry:
-            self.later(entry, lambda _fault: entry.ledger.not_run(operation))
+            self.schedule(entry, lambda _fault: entry.ledger.not_run(operation))
             return
         if fault != "late":
             self.runs[operation] += 1
         if fault == "none" and entry:
-            self.later(entry, lambda _fault: entry.ledger.finish(operation, ANSWER))
+            self.schedule(entry, lambda _fault: entry.ledger.finish(operation, ANSWER))
         elif entry:
-            self.later(entry, lambda _fault: entry.told_lost(operation))
+            self.schedule(entry, lambda _fault: entry.on_answer_lost(operation))
 
-    def word(self, tried: Try, word, fault: str) -> None:
+    def reply(self, submission: Submission, reply, fault: str) -> None:
         if fault != "lost":
-            self.words[tried.text][tried.number] = word
+            self.replies[submission.text][submission.number] = reply
 
-    def present(self, text: str, seat: str, at_once: bool) -> None:
-        tried = Try(next(self.numbers), text)
-        self.words.setdefault(text, {})[tried.number] = None
-        self.later(None, self.deliver, seat, tried)
+    def submit(self, text: str, seat: str, at_once: bool) -> None:
+        submission = Submission(next(self.numbers), text)
+        self.replies.setdefault(text, {})[submission.number] = None
+        self.schedule(None, self.deliver, seat, submission)
         if at_once:
-            self.work_on("none")
+            self.step_tasks_in_order("none")
 
     @rule(issuer=st.sampled_from(SEATS), seat=st.sampled_from(SEATS), at_once=st.booleans())
     def new_system_id(self, issuer: str, seat: str, at_once: bool) -> None:
         prefix = self.entries[issuer].ids.prefix().text
-        self.present(f"{prefix}.{next(self.numbers):0>16}", seat, at_once)
+        self.submit(f"{prefix}.{next(self.numbers):0>16}", seat, at_once)
 
     @rule(seat=st.sampled_from(SEATS), ahead=st.sampled_from([-840, 0, 240]), at_once=st.booleans())
     def new_own_id(self, seat: str, ahead: int, at_once: bool) -> None:
         stamp = int(self.clock.utcnow().timestamp() + ahead) * 1000
         number = stamp << 80 | 7 << 76 | 2 << 62 | next(self.numbers)
-        self.present(str(uuid.UUID(int=number)), seat, at_once)
+        self.submit(str(uuid.UUID(int=number)), seat, at_once)
 
     @rule(pick=st.sampled_from([0, 1]), seat=st.sampled_from(SEATS), at_once=st.booleans())
-    def repeat(self, pick: int, seat: str, at_once: bool) -> None:
-        if self.words:
-            self.present(list(self.words)[-1 - pick % len(self.words)], seat, at_once)
+    def resubmit(self, pick: int, seat: str, at_once: bool) -> None:
+        if self.replies:
+            self.submit(list(self.replies)[-1 - pick % len(self.replies)], seat, at_once)
 
     @rule(
         picks=st.lists(st.sampled_from(range(4)), min_size=1, max_size=8),
         fault=st.sampled_from(["none", "none", "lost", "late", "away"]),
     )
-    def work(self, picks: list[int], fault: str) -> None:
+    def step_tasks(self, picks: list[int], fault: str) -> None:
         for pick in picks:
             if self.tasks:
-                self.do(pick % len(self.tasks), fault)
+                self.run_task(pick % len(self.tasks), fault)
 
     @rule(fault=st.sampled_from(["none", "none", "lost"]))
-    def work_on(self, fault: str) -> None:
+    def step_tasks_in_order(self, fault: str) -> None:
         for number in range(20):
             if self.tasks:
-                self.do(0, fault if number > 1 else "none")
+                self.run_task(0, fault if number > 1 else "none")
 
-    def do(self, index: int, fault: str) -> None:
-        owner, work, args = self.tasks.pop(index)
+    def run_task(self, index: int, fault: str) -> None:
+        owner, task, args = self.tasks.pop(index)
         if owner is None or self.entries[owner.me.seat] is owner:
-            work(*args, fault)
+            task(*args, fault)
 
     @rule(seat=st.sampled_from([*SEATS, None, None]), skew=st.sampled_from([-5, 0, 5]))
     def crash_and_restart(self, seat: str | None, skew: int) -> None:
@@ -267,12 +277,12 @@
 
     @invariant()
     def refused_is_not_run(self) -> None:
-        for text, words in self.words.items():
-            if all(isinstance(word, Refusal) for word in words.values()):
+        for text, replies in self.replies.items():
+            if all(isinstance(reply, Refusal) for reply in replies.values()):
                 assert self.runs[text] == 0, "every attempt was refused, and yet it ran"
 
 
-def search(machine: type[OnceMachine], examples: int) -> None:
+def run_search(machine: type[OnceMachine], examples: int) -> None:
     run_state_machine_as_test(
         machine,
         settings=settings(
@@ -288,23 +298,23 @@
     )
 
 
-class ForgetfulLedger(Ledger):
-    def _forget(self):
+class EarlyEvictingLedger(Ledger):
+    def _evict(self):
         now = self._clock.monotonic() // timedelta(seconds=1)
-        for operation, entry in list(self._entries.items()):
-            if entry.outcome is not IN_FLIGHT and entry.leaves - 19 * 60 <= now:
-                self._leaving[entry.leaves].discard(operation)
+        for operation, entry in list(self._records.items()):
+            if entry.outcome is not IN_FLIGHT and entry.evict_at_s - 19 * 60 <= now:
+                self._eviction_buckets[entry.evict_at_s].discard(operation)
                 self._drop(operation, entry)
 
 
-class AdoptingIds(OperationIds):
+class ForeignIdAcceptingIds(OperationIds):
     def check(self, operation):
         checked = super().check(operation)
         adopted = self._clock.monotonic() + self._window
         return Ok(adopted) if checked.is_error() else checked
 
 
-class HastyIds(OperationIds):
+class EarlyExpiringIds(OperationIds):
     def check(self, operation):
         expired = Refusal(RefusalReason.EXPIRED)
         checked = super().check(operation)
@@ -313,12 +323,12 @@
         return checked
 
 
-class CarelessClaims(Claims):
+class ShortLeaseClaims(Claims):
     @property
-    def keep(self):
-        return super().needed(-self._ahead)
+    def retention(self):
+        return super().required_lease(-self._max_ahead)
 
-    def needed(self, age):
+    def required_lease(self, age):
         return timedelta(0)
 
     def want_lease(self):
@@ -327,54 +337,61 @@
 
 
 class ResendingEntry(Entry):
-    resends = True
+    resends_on_loss = True
 
 
-class ForgetfulEntry(Entry):
-    ledger_type = ForgetfulLedger
+class EarlyEvictingEntry(Entry):
+    ledger_type = EarlyEvictingLedger
 
 
-class AdoptingEntry(Entry):
-    ids_type = AdoptingIds
+class ForeignIdAcceptingEntry(Entry):
+    ids_type = ForeignIdAcceptingIds
 
 
-class HastyEntry(Entry):
-    ids_type = HastyIds
+class EarlyExpiringEntry(Entry):
+    ids_type = EarlyExpiringIds
 
 
-class CarelessEntry(Entry):
-    claims_type = CarelessClaims
+class ShortLeaseEntry(Entry):
+    claims_type = ShortLeaseClaims
 
 
-class RashEntry(Entry):
-    def call(self, tried, attempt, step, fault):
+class UnverifiedClaimEntry(Entry):
+    def call(self, submission, attempt, step, fault):
         if isinstance(step, CreateClaim) and fault in ("lost", "late"):
-            return self.begin(tried, self.ledger._clock.monotonic() + self.claims.window)
-        return super().call(tried, attempt, step, fault)
+            return self.begin(submission, self.ledger._clock.monotonic() + self.claims.window)
+        return super().call(submission, attempt, step, fault)
 
 
-def test_once_holds_under_lost_answers_crashes_pauses_and_outages() -> None:
-    search(OnceMachine, 400)
+def test_operations_run_at_most_once_under_lost_answers_crashes_pauses_and_outages() -> None:
+    run_search(OnceMachine, 400)
 
 
-def test_a_paused_executor_is_not_overtaken() -> None:
+def test_no_other_entry_runs_an_operation_of_a_paused_executor() -> None:
     world, (paused, other) = OnceMachine(), SEATS
     world.new_system_id(issuer=paused, seat=paused, at_once=False)
-    world.do(0, "none")
+    world.run_task(0, "none")
     world.pass_time(21)
-    world.repeat(pick=0, seat=other, at_once=False)
-    world.do(1, "none")
+    world.resubmit(pick=0, seat=other, at_once=False)
+    world.run_task(1, "none")
     assert not world.runs, "the entry that may not run it has only passed it on"
-    world.work_on("none")
-    ((text, words),) = world.words.items()
-    assert world.runs[text] == 1 and set(words.values()) == {ANSWER}
+    world.step_tasks_in_order("none")
+    ((text, replies),) = world.replies.items()
+    assert world.runs[text] == 1 and set(replies.values()) == {ANSWER}
 
 
 @pytest.mark.parametrize(
     "entry",
-    [ResendingEntry, ForgetfulEntry, AdoptingEntry, HastyEntry, CarelessEntry, RashEntry],
+    [
+        ResendingEntry,
+        EarlyEvictingEntry,
+        ForeignIdAcceptingEntry,
+        EarlyExpiringEntry,
+        ShortLeaseEntry,
+        UnverifiedClaimEntry,
+    ],
 )
-def test_a_deliberate_fault_is_caught(entry: type[Entry]) -> None:
+def test_search_detects_a_deliberate_fault(entry: type[Entry]) -> None:
     faulty = type("Faulty", (OnceMachine,), {"entry_type": entry})
     with pytest.raises(AssertionError, match="ran twice|refused"):
-        search(faulty, 10_000)
+        run_search(faulty, 10_000)
