--- a/packages/gateway/src/cardamomloft/gateway/__init__.py
+++ b/packages/gateway/src/cardamomloft/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry for deployments in which upstreams and entries record themselves in a control store."""
+"""The gateway: an entry for deployments whose upstreams and entries register in a control store."""
--- a/packages/gateway/src/cardamomloft/gateway/calls.py
+++ b/packages/gateway/src/cardamomloft/gateway/calls.py
@@ -1,4 +1,4 @@
-"""From a caller's request to what the decisions need: rule, service, key, deadline."""
+"""Parsing of a caller's request: its rule, service, affinity key and deadline."""
 
 import random
 import re
@@ -10,17 +10,18 @@
 from cardamomloft.core.routes import RoutePlan, RouteRule, RouteTable, ServiceRotation
 
 MAX_DEADLINE_MS = 600_000
-"""Longest time that a caller may state, in milliseconds; more counts as this much."""
+"""Upper bound of the deadline that a caller may state, in milliseconds; larger values are
+reduced to it."""
 
 _WHOLE_NUMBER = re.compile(r"[0-9]{1,18}\Z")
 _REQUEST_ID = re.compile(r"[\x21-\x7e]{1,200}\Z")
 
 
 class CallerHeaders(t.NamedTuple):
-    """Names of the headers that callers send, in lower case.
+    """Names of the request headers that callers send, in lower case.
 
-    `request_id` is the caller's own id of this attempt, `deadline_ms` how many milliseconds it
-    waits, and `key` names the object that the request is about.
+    `request_id` identifies one attempt of the caller, `deadline_ms` is the number of milliseconds
+    that the caller waits for the answer, and `key` is the affinity key of the request.
     """
 
     request_id: str
@@ -29,11 +30,11 @@
 
 
 class Call(t.NamedTuple):
-    """One request as the decisions see it.
+    """One parsed request, as the routing decisions need it.
 
-    `until` is the monotonic instant at which the caller must have its answer, by its own deadline
-    or the rule's timeout. `target` is the path with its query, as sent. `leaves` is when the caller
-    itself gives up.
+    Instants are monotonic. `until` is the instant by which the caller must have its answer: the
+    earlier of its own deadline and the rule's timeout. `caller_deadline` is the instant at which
+    the caller itself stops waiting. `target` is the path with its query, as sent.
     """
 
     id: str
@@ -43,20 +44,20 @@
     arrived: timedelta
     until: timedelta
     target: str
-    leaves: timedelta = timedelta(0)
+    caller_deadline: timedelta = timedelta(0)
 
 
 class Reader:
-    """Reads requests by one configuration.
+    """Parses requests according to one configuration.
 
     Parameters
     ----------
     plan
         The configuration.
     headers
-        How callers name things.
+        The names of the callers' request headers.
     rng
-        Source of chance for where the rotation among services begins.
+        Chooses the starting point of each rule's rotation among its services.
     """
 
     def __init__(self, plan: RoutePlan, headers: CallerHeaders, rng: random.Random) -> None:
@@ -67,15 +68,15 @@
             (rule.host, rule.prefix): ServiceRotation(rule.services, rng.random())
             for rule in plan.rules
         }
-        self.homes = _homes_by_host(plan)
+        self.homes = _home_regions_by_host(plan)
 
     def is_idempotent(self, head: RequestHead) -> bool:
-        """Tell whether the request may run more than once."""
+        """Tell whether the rule of the request allows running it more than once."""
         rule = self._table.match(dict(head.headers).get("host", ""), head.path)
         return rule is not None and rule.idempotent
 
     def read(self, head: RequestHead, now: timedelta) -> Call | Refusal:
-        """Return the call, or why the request is refused."""
+        """Return the parsed request, or the reason why it is refused."""
         headers = dict(head.headers)
         rule = self._table.match(headers.get("host", ""), head.path)
         if rule is None:
@@ -86,17 +87,17 @@
         if not _REQUEST_ID.match(request_id):
             detail = f"{self._headers.request_id} is missing or malformed"
             return Refusal(RefusalReason.BAD_REQUEST, detail)
-        deadline = headers.get(self._headers.deadline_ms)
-        if deadline is not None and not _WHOLE_NUMBER.match(deadline):
+        stated_deadline = headers.get(self._headers.deadline_ms)
+        if stated_deadline is not None and not _WHOLE_NUMBER.match(stated_deadline):
             detail = f"{self._headers.deadline_ms} is not a whole number"
             return Refusal(RefusalReason.BAD_REQUEST, detail)
         if head.length is not None and head.length > self.plan.limits.body_bytes:
             detail = f"the body is above {self.plan.limits.body_bytes} bytes"
             return Refusal(RefusalReason.TOO_LARGE, detail)
-        stays = rule.timeout
-        if deadline is not None:
-            stays = timedelta(milliseconds=min(int(deadline), MAX_DEADLINE_MS))
-        patience = min(rule.timeout, stays)
+        caller_wait = rule.timeout
+        if stated_deadline is not None:
+            caller_wait = timedelta(milliseconds=min(int(stated_deadline), MAX_DEADLINE_MS))
+        time_limit = min(rule.timeout, caller_wait)
         key = headers.get(self._headers.key) if rule.keyed else None
         return Call(
             id=request_id,
@@ -104,14 +105,14 @@
             service=self._rotations[rule.host, rule.prefix].next(),
             key=request_id if key is None else key,
             arrived=now,
-            until=now + patience,
+            until=now + time_limit,
             target=f"{head.path}?{head.query}" if head.query else head.path,
-            leaves=now + stays,
+            caller_deadline=now + caller_wait,
         )
 
 
-def _homes_by_host(plan: RoutePlan) -> dict[str, frozenset[str]]:
-    """Return the regions that all rules of a host with homes have in common."""
+def _home_regions_by_host(plan: RoutePlan) -> dict[str, frozenset[str]]:
+    """Return for each host the regions common to all of its rules that name any."""
     found: dict[str, frozenset[str]] = {}
     for rule in plan.rules:
         if rule.homes:
--- a/packages/gateway/src/cardamomloft/gateway/changefeed.py
+++ b/packages/gateway/src/cardamomloft/gateway/changefeed.py
@@ -1,4 +1,4 @@
-"""What one gateway hears from other gateways and tells them: changes of the store, and notices."""
+"""Exchange of store changes and notices between gateways."""
 
 import random
 import typing as t
@@ -23,12 +23,12 @@
 from cardamomloft.runtime.metrics import Metrics
 
 MAX_PEER_LINKS = 256
-"""Links to other gateways that are kept open. At 1,500 gateways in 8 regions a relay has 94
-listeners, and all 187 while the other relay is away."""
+"""Maximum number of open links to other gateways. With 1,500 gateways in 8 regions a relay has
+94 subscribers, or 187 while the region's other relay is down."""
 
 
 class ChangeFeed:
-    """Puts together what a gateway needs to hear of changes and to pass them on.
+    """Connects one gateway to the relays, to its own subscribers and to the gossip of notices.
 
     Parameters
     ----------
@@ -37,28 +37,29 @@
     control
         The control store.
     own
-        This gateway's record. Without an address for peers it asks the store by itself.
+        This gateway's record. Without an address for peers the gateway takes changes from the store
+        only.
     entries
-        The gateways that are recorded.
-    present
-        Tells whether the others are to know of this gateway.
+        The recorded gateways.
+    is_announced
+        Returns whether the other gateways should know of this one.
     drain_time
-        How soon a change must be in force.
+        Time within which a change must be in force.
     on_notice
-        Told of each notice, this gateway's own ones too.
+        Called with each new notice, including this gateway's own.
     rng
-        Source of chance.
+        Source of randomness.
     metrics
-        Counts who was asked.
+        Counts requests and messages.
 
     Attributes
     ----------
     control
-        What to ask for changes.
+        The control store, with changes taken from relays where that is safe.
     port
-        Asks other gateways for changes and answers them.
+        Requests changes from relays, and answers such requests of other gateways.
     gossip
-        Passes notices on.
+        Spreads notices among the gateways.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         control: Control,
         own: EntryRecord,
         entries: EntryBook,
-        present: Callable[[], bool],
+        is_announced: Callable[[], bool],
         drain_time: timedelta,
         on_notice: Callable[[Dated], None],
         rng: random.Random,
@@ -78,7 +79,7 @@
         self._clock = clock
         self._own = own
         self._entries = entries
-        self._present = present
+        self._is_announced = is_announced
         self._sources = Sources(own, drain_time)
         table = ChangeTable()
         self.port = RelayPort(reactor, clock, table, self._age, self._address_of, metrics)
@@ -86,16 +87,16 @@
             control, clock, table, self._sources, self.port, self._records, metrics
         )
         self.gossip = Gossip(
-            reactor, clock, rng, self._others, self._send, on_notice, metrics, own.peers
+            reactor, clock, rng, self._peer_addresses, self._send, on_notice, metrics, own.peers
         )
 
     def start(self, on_fault: OnFault) -> None:
-        """Take messages of other gateways, if there is an address for them.
+        """Listen for messages of other gateways, if this gateway has an address for them.
 
         Raises
         ------
         cardamomloft.peers.node.BindError
-            If the address can't be had.
+            If the address cannot be bound.
         """
         if self._own.peers:
             me = Incarnation(self._own.name, uuid.uuid4().hex)
@@ -109,24 +110,24 @@
             )
 
     def take(self, sender: Incarnation, message: Message) -> None:
-        """Take a message of another gateway."""
+        """Handle a message of another gateway."""
         if isinstance(message, NoticesTold | NoticesCompared | ConfigurationTold):
             self.gossip.take(sender, message)
         else:
             self.port.take(sender, message)
 
     def stop(self) -> None:
-        """Answer what waits here, and end; call it before the end of the following."""
+        """Answer held requests, send pending notices and close; call it before `Follower.stop`."""
         self.gossip.stop()
         self.control.stop()
         self.port.close()
 
-    def use_drain_time(self, drain_time: timedelta) -> None:
-        """Put a changed bound in force."""
+    def set_drain_time(self, drain_time: timedelta) -> None:
+        """Apply a changed drain time."""
         self._sources.drain_time = drain_time
 
     def status(self) -> dict[str, t.Any]:
-        """Return who relays, and how old this gateway's knowledge is."""
+        """Return the region's relays and the age of this gateway's data, for the status page."""
         age = self._age()
         relays = relays_of(self._own.region, self._records())
         return {
@@ -140,12 +141,12 @@
         return self._sources.age(self._clock.monotonic())
 
     def _records(self) -> list[EntryRecord]:
-        return self._entries.records(with_own=self._present())
+        return self._entries.records(with_own=self._is_announced())
 
     def _address_of(self, name: str) -> str | None:
         return next((row.peers for row in self._records() if row.name == name), None) or None
 
-    def _others(self) -> dict[str, str]:
+    def _peer_addresses(self) -> dict[str, str]:
         return {row.name: row.peers for row in self._entries.records(with_own=False) if row.peers}
 
     def _send(self, address: str, message: Message) -> bool:
--- a/packages/gateway/src/cardamomloft/gateway/control.py
+++ b/packages/gateway/src/cardamomloft/gateway/control.py
@@ -1,4 +1,4 @@
-"""What a gateway asks of the control store, whatever protocol the store speaks."""
+"""The interface of the control store, independent of the store's protocol."""
 
 import typing as t
 from datetime import timedelta
@@ -11,26 +11,26 @@
 
 
 class Listing(t.NamedTuple):
-    """All that the store holds, as facts; `index` is where to go on."""
+    """Everything that the store holds, as facts, at the position `index`."""
 
     facts: tuple[Fact, ...]
     index: Position
 
 
 class Changes(t.NamedTuple):
-    """What has changed since the last index.
+    """Changes of the store since a position.
 
     Attributes
     ----------
     lost
-        The store has forgotten what changed since then, or came back from an older copy: list
-        again.
+        The changes since that position are not available: the store has discarded its history or
+        was restored from an older copy. A new listing is needed.
     whole
-        `facts` are not what has changed but all that there is, as of `index`.
+        `facts` is the complete content of the store at `index` rather than the changes.
     pause
-        Least time until the next question, where its source knows better than who asks.
+        Minimum time until the next request, if the source of the changes determines it.
     failure
-        Why the store itself did not answer, where another source did.
+        Why the store itself did not answer, if the changes come from another source.
     """
 
     facts: tuple[Fact, ...]
@@ -42,29 +42,29 @@
 
 
 class Control(t.Protocol):
-    """The control store. No Deferred fails; failures are outcomes."""
+    """The control store. Its Deferreds never fail: a failure is an error result."""
 
     def read(self) -> "Deferred[Result[Listing, StoreFailure]]":
-        """List everything. Changes made meanwhile come with `changes` from the index returned."""
+        """List everything. Later changes follow from `changes` with the returned index."""
         ...
 
     def changes(
         self, after: Position, wait: timedelta
     ) -> "Deferred[Result[Changes, StoreFailure]]":
-        """Return what has changed after the index `after`.
+        """Return what has changed after the position `after`.
 
-        If nothing has, the store may wait for a change, up to `wait`, before it answers.
+        If nothing has, the store may wait up to `wait` for a change before it answers.
         """
         ...
 
     def record(self, record: EntryRecord, life: timedelta) -> "Deferred[Result[str, StoreFailure]]":
-        """Record a running entry under a new lease of `life`; return the lease."""
+        """Record a running entry under a new lease of the duration `life`; return the lease."""
         ...
 
     def renew(self, lease: str) -> "Deferred[Result[bool, StoreFailure]]":
-        """Renew a lease; return False if it had lapsed."""
+        """Renew a lease; return False if it had expired."""
         ...
 
     def withdraw(self, lease: str) -> "Deferred[Result[None, StoreFailure]]":
-        """End a lease, and the record with it."""
+        """Revoke a lease, which removes the record."""
         ...
--- a/packages/gateway/src/cardamomloft/gateway/documents.py
+++ b/packages/gateway/src/cardamomloft/gateway/documents.py
@@ -1,6 +1,6 @@
-"""The gateway's own configuration document: JSON that operators keep in version control.
+"""The gateway's configuration document: JSON that operators keep in version control.
 
-Rules are ordered and the first that matches counts. Every mistake is reported, each with its path.
+Rules are ordered, and the first match applies. A check reports every mistake with its path.
 """
 
 import typing as t
@@ -34,7 +34,7 @@
 
 @_strict
 class RouteWhen(TypedDict):
-    """Conditions of a rule; both must hold. `path` is a prefix that begins and ends in a slash."""
+    """Conditions of a rule; both must hold. `path` is a prefix that starts and ends in a slash."""
 
     host: t.Annotated[str, Field(pattern=r"^[a-z0-9][a-z0-9.-]{0,252}$")]
     path: t.Annotated[str, Field(pattern=r"^/([^/?#\s]+/)*$")]
@@ -53,10 +53,10 @@
     """What a rule does with a request.
 
     `services` share the requests by weight. `idempotent` requests may run more than once, all
-    others at most once for each id. `timeout` is the longest that a caller is kept waiting,
-    `target` the latency aimed at, `attempts` the most endpoints that one request is sent to. A
-    lower `priority` goes first. With `keyed`, requests of one key go to the same endpoint.
-    `homes` are the regions that may serve it; left out or empty: all.
+    others at most once for each id. `timeout` limits how long a caller waits, `target` is the
+    latency objective, and `attempts` the maximum number of endpoints that receive one request. A
+    lower `priority` is served first. With `keyed`, requests of one key go to the same endpoint.
+    `homes` are the regions that may serve the request; if it is missing or empty, all may.
     """
 
     services: t.Annotated[list[ServiceWeight], Field(min_length=1)]
@@ -80,7 +80,7 @@
 
 @_strict
 class ServiceRow(TypedDict):
-    """What the endpoints of a service bear; `cold_per_s` requests a second during `cold_time`."""
+    """Capacity of a service's endpoints; `cold_per_s` requests a second during `cold_time`."""
 
     connections: Count
     cold_time: NotRequired[DurationText]
@@ -89,7 +89,7 @@
 
 @_strict
 class LimitsRow(TypedDict):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on request size, on the time to send a request head and on idle connections."""
 
     head_bytes: Count
     body_bytes: t.Annotated[int, Field(ge=0)]
@@ -99,7 +99,7 @@
 
 @_strict
 class RouteDocument(TypedDict):
-    """The whole configuration of a deployment of gateways."""
+    """The complete configuration of a deployment of gateways."""
 
     format: t.Literal["routes-1"]
     rules: list[RouteRow]
@@ -109,9 +109,10 @@
 
 @_strict
 class RegistrationRow(TypedDict):
-    """How an upstream endpoint registers itself.
+    """The registration of an upstream endpoint.
 
-    `started_ms` is the Unix millisecond of its start; needed if it starts again under an old key.
+    `started_ms` is the Unix time of its start, in milliseconds. It is required if the endpoint can
+    restart under the same key.
     """
 
     service: Name
@@ -124,7 +125,7 @@
 
 
 def load_plan(text: str | bytes, number: int) -> Result[RoutePlan, tuple[Mistake, ...]]:
-    """Check a document's text and return it as configuration `number`.
+    """Parse and check a document; return it as the configuration with this number.
 
     Errors
     ------
@@ -136,12 +137,18 @@
             return Error(mistakes)
         case Result(ok=document):
             pass
-    mistakes = tuple(_contradictions(document))
+    mistakes = tuple(_find_conflicts(document))
     return Error(mistakes) if mistakes else Ok(_plan(document, number))
 
 
 def load_registration(text: bytes, upstream_id: str) -> Result[Registration, tuple[Mistake, ...]]:
-    """Check a registration's text."""
+    """Parse and check the registration of an upstream endpoint.
+
+    Errors
+    ------
+    Mistake
+        Every mistake, with its path.
+    """
     match load_typed(RegistrationRow, text):
         case Result(tag="error", error=mistakes):
             return Error(mistakes)
@@ -165,22 +172,24 @@
     )
 
 
-def _contradictions(document: RouteDocument) -> Iterator[Mistake]:
+def _find_conflicts(document: RouteDocument) -> Iterator[Mistake]:
     seen: dict[tuple[str, str], str] = {}
     names: set[str] = set()
     for row in document["rules"]:
         path = dotted("rules", row["name"])
         if row["name"] in names:
-            yield Mistake(f"{path}.name", f"{row['name']} stands twice")
+            yield Mistake(f"{path}.name", f"the name {row['name']} is used more than once")
         names.add(row["name"])
         when = (row["when"]["host"], row["when"]["path"])
         covering = next((name for key, name in seen.items() if _covers(key, when)), None)
         if covering is not None:
-            yield Mistake(path, f"can never match: {covering} matches all of it before")
+            yield Mistake(path, f"can never match: the rule {covering} matches all of it before")
         seen[when] = row["name"]
         for share in row["then"]["services"]:
             if share["service"] not in document["services"]:
-                yield Mistake(f"{path}.then.services", f"no service {share['service']}")
+                yield Mistake(
+                    f"{path}.then.services", f"the configuration has no service {share['service']}"
+                )
 
 
 def _covers(earlier: tuple[str, str], later: tuple[str, str]) -> bool:
--- a/packages/gateway/src/cardamomloft/gateway/durations.py
+++ b/packages/gateway/src/cardamomloft/gateway/durations.py
@@ -1,4 +1,4 @@
-"""Durations as texts of a number and its unit, such as ``250ms`` or ``2.5s``."""
+"""Durations written as a number with a unit, such as ``250ms`` or ``2.5s``."""
 
 import re
 from datetime import timedelta
@@ -18,6 +18,6 @@
         If it is not a number with the unit ms or s.
     """
     if not isinstance(text, str) or not _TEXT.match(text):
-        raise ValueError(f"not a duration with its unit: {text!r}")
+        raise ValueError(f"not a duration in ms or s, such as 250ms: {text!r}")
     unit = "ms" if text.endswith("ms") else "s"
     return float(text.removesuffix(unit)) * _UNITS[unit]
--- a/packages/gateway/src/cardamomloft/gateway/entryrecords.py
+++ b/packages/gateway/src/cardamomloft/gateway/entryrecords.py
@@ -1,4 +1,4 @@
-"""How an entry's own record is written and read, and what counts as an address."""
+"""Encoding of an entry's record in the store, and validation of addresses."""
 
 import ipaddress
 import re
@@ -12,7 +12,7 @@
 
 
 def encode_entry(record: EntryRecord) -> bytes:
-    """Return the value under which an entry is recorded."""
+    """Return the JSON under which an entry is recorded."""
     fields = record._asdict()
     if not record.peers:
         del fields["peers"]
@@ -20,12 +20,12 @@
 
 
 def read_entry(value: bytes) -> EntryRecord:
-    """Return the record in a value; fields that a newer entry adds are left aside.
+    """Decode an entry's record; unknown fields, as newer entries may write, are ignored.
 
     Raises
     ------
     msgspec.DecodeError, TypeError, ValueError
-        If it is not a record with an address that callers can be sent to.
+        If the value is not a record with valid IPv4 addresses.
     """
     fields = msgspec.json.decode(value, type=dict[str, str])
     record = EntryRecord(**{name: fields[name] for name in EntryRecord._fields if name in fields})
@@ -44,5 +44,5 @@
     host, _, port = text.rpartition(":")
     ipaddress.IPv4Address(host)
     if not _PORT.match(port) or int(port) > MAX_PORT:
-        raise ValueError("the port is none")
+        raise ValueError(f"the port must be 1 to {MAX_PORT}, not {port!r}")
     return text
--- a/packages/gateway/src/cardamomloft/gateway/following.py
+++ b/packages/gateway/src/cardamomloft/gateway/following.py
@@ -1,10 +1,9 @@
-"""Following the control store: list once, then ask for changes, which the store waits for.
+"""Follows the control store: lists it once, then requests changes by long polling.
 
-While nothing changes a question lasts as long as the store may wait. It can get lost meanwhile:
-when its connection dies in silence, of which probes tell, or when the store goes away, of which a
-renewal of the entry's lease tells, a call each 1.5 s that costs a tenth. A change is known after
-13 ms (one, logged). After a change the next question waits for the interval, so that a time of many
-changes, such as a service's release, costs no more than before.
+While nothing changes, a request lasts as long as the store may wait. It can get lost when its
+connection breaks, which connection probes detect, or when the store fails, which a failed renewal
+of the entry's lease reveals. After a change the next request waits for the interval, so that
+frequent changes, such as the release of a service, do not multiply the requests.
 """
 
 import random
@@ -23,22 +22,21 @@
 from twisted.internet.defer import CancelledError, Deferred, ensureDeferred
 
 _RETRY_INTERVAL = timedelta(milliseconds=500)
-"""From the start of a failed question to the next one, unless it takes longer by itself.
+"""Minimum time from the start of a failed request to the next one. It is short because changes
+made during an outage must be applied soon after it, and not shorter because requests are paid
+for."""
 
-What has changed meanwhile must be known soon after the store is back; each question is paid for.
-"""
-
-_LEAST_PAUSE = timedelta(milliseconds=50)
-"""Pause after a question that took longer than the interval by itself."""
+_MIN_PAUSE = timedelta(milliseconds=50)
+"""Pause after a failed request that took longer than the retry interval."""
 
 
 class Pace(t.NamedTuple):
-    """When the store is asked.
+    """Timing of requests to the store.
 
     Attributes
     ----------
     interval
-        Least time from an answer with changes to the next question.
+        Minimum time from an answer with changes to the next request.
     wait
         How long the store may wait for a change before it answers.
     """
@@ -48,26 +46,26 @@
 
 
 class Follower:
-    """Keeps what the control store holds up to date in this process.
+    """Keeps this process up to date with the control store.
 
     Parameters
     ----------
     reactor
-        For the pauses.
+        Schedules the pauses.
     clock
         Source of time.
     control
         The store.
     rng
-        Spreads the repeats of many entries.
-    pace
-        When to ask.
+        Adds jitter to the interval, so that entries do not send requests in step.
+    timing
+        When to send requests.
     on_listing
-        Takes a whole listing.
+        Called with a complete listing.
     on_changes
-        Takes facts that have changed, in order.
-    on_returned
-        Told that the store answers again after it was away.
+        Called with the facts that have changed, in order.
+    on_recovered
+        Called when the store answers again after an outage.
     """
 
     def __init__(
@@ -76,134 +74,135 @@
         clock: Clock,
         control: Control,
         rng: random.Random,
-        pace: Pace,
+        timing: Pace,
         on_listing: Callable[[Listing], None],
         on_changes: Callable[[tuple[Fact, ...]], None],
-        on_returned: Callable[[], None],
+        on_recovered: Callable[[], None],
     ) -> None:
         self._reactor = reactor
         self._clock = clock
         self._control = control
         self._rng = rng
-        self.pace = pace
+        self.timing = timing
         self._on_listing = on_listing
         self._on_changes = on_changes
-        self._on_returned = on_returned
+        self._on_recovered = on_recovered
         self._index: Position | None = None
         self._failures = 0
-        self._was_away = False
-        self._asked_at = timedelta(0)
+        self._was_unavailable = False
+        self._requested_at = timedelta(0)
         self._answered_at = clock.monotonic()
         self._stopped = False
         self._running: Deferred[None] | None = None
-        self._question: Deferred[Result[Listing | Changes, StoreFailure]] | None = None
+        self._request: Deferred[Result[Listing | Changes, StoreFailure]] | None = None
 
     @property
     def silence(self) -> timedelta:
-        """Return how long ago the store, or a relay instead, answered; since the start if never."""
+        """Time since the store, or a relay in its place, last answered; since start if never."""
         return self._clock.monotonic() - self._answered_at
 
     @property
     def away(self) -> bool:
-        """Whether the store does not answer this entry."""
+        """Whether the store counts as unavailable, after repeated failures."""
         return self._failures >= FAILURES_UNTIL_AWAY
 
     def start(self, on_fault: Callable[[t.Any], None]) -> None:
-        """Begin to follow; `on_fault` is told of exceptions, which end it."""
+        """Start following; an unexpected exception ends it and is passed to `on_fault`."""
         self._running = ensureDeferred(self._follow())
         self._running.addErrback(lambda failure: failure.trap(CancelledError))
         self._running.addErrback(on_fault)
 
     def stop(self) -> None:
-        """End it."""
+        """Stop following."""
         self._stopped = True
         if self._running is not None:
             self._running.cancel()
 
     def doubt(self) -> None:
-        """Ask the store at once, since another call to it has failed.
+        """Request changes at once, since another call to the store has failed.
 
-        The question that waits for a change may have been lost with that, and would go on waiting.
+        A pending long poll may have been lost with that call and would otherwise wait until its
+        timeout.
         """
-        waits = self._question is not None and self._index is not None
-        if waits and not self._failures:
-            self._question.cancel()
+        is_waiting = self._request is not None and self._index is not None
+        if is_waiting and not self._failures:
+            self._request.cancel()
 
     async def _follow(self) -> None:
         while not self._stopped:
-            self._asked_at = self._clock.monotonic()
-            self._question = self._ask()
-            outcome = await self._question
-            self._question = None
+            self._requested_at = self._clock.monotonic()
+            self._request = self._send_request()
+            outcome = await self._request
+            self._request = None
             if self._stopped:
-                # A question that was cut short may have an answer all the same.
+                # A cancelled request may still return an answer.
                 return
             match outcome:
                 case Result(tag="error", error=failure):
-                    self._failed(failure)
-                    await self._pause(self._until_retry())
-                case Result(ok=Changes(failure=StoreFailure() as failure) as found):
-                    self._failed(failure)
-                    self._learn(found)
-                    await self._pause(self._until_retry())
-                case Result(ok=found):
-                    self._succeeded()
-                    self._take(found)
-                    await self._pause(self._until_next(found))
-
-    def _ask(self) -> "Deferred[Result[Listing | Changes, StoreFailure]]":
+                    self._record_failure(failure)
+                    await self._pause(self._retry_pause())
+                case Result(ok=Changes(failure=StoreFailure() as failure) as answer):
+                    self._record_failure(failure)
+                    self._apply(answer)
+                    await self._pause(self._retry_pause())
+                case Result(ok=answer):
+                    self._record_success()
+                    self._handle_answer(answer)
+                    await self._pause(self._next_pause(answer))
+
+    def _send_request(self) -> "Deferred[Result[Listing | Changes, StoreFailure]]":
         if self._index is None:
             return self._control.read()
-        # After a failure the store is asked for its answer at once: is it there?
-        wait = timedelta(0) if self._failures else self.pace.wait
+        # After a failure the request must show at once whether the store is available.
+        wait = timedelta(0) if self._failures else self.timing.wait
         return self._control.changes(self._index, wait)
 
-    def _take(self, found: Listing | Changes) -> None:
-        if isinstance(found, Changes) and found.lost:
-            log("store-history-lost", index=self._index, now=found.index)
+    def _handle_answer(self, answer: Listing | Changes) -> None:
+        if isinstance(answer, Changes) and answer.lost:
+            log("store-history-lost", index=self._index, now=answer.index)
             self._index = None
             return
-        if self._was_away:
-            self._was_away = False
-            log("store-back", index=found.index)
-            self._on_returned()
-        self._learn(found)
-
-    def _learn(self, found: Listing | Changes) -> None:
-        self._index = found.index
-        if isinstance(found, Listing):
-            self._on_listing(found)
-        elif found.whole:
-            self._on_listing(Listing(found.facts, found.index))
+        if self._was_unavailable:
+            self._was_unavailable = False
+            log("store-back", index=answer.index)
+            self._on_recovered()
+        self._apply(answer)
+
+    def _apply(self, answer: Listing | Changes) -> None:
+        self._index = answer.index
+        if isinstance(answer, Listing):
+            self._on_listing(answer)
+        elif answer.whole:
+            self._on_listing(Listing(answer.facts, answer.index))
         else:
-            self._on_changes(found.facts)
+            self._on_changes(answer.facts)
 
-    def _failed(self, failure: StoreFailure) -> None:
+    def _record_failure(self, failure: StoreFailure) -> None:
         self._failures += 1
         if self._failures == FAILURES_UNTIL_AWAY:
             log("store-away", detail=failure.detail)
 
-    def _succeeded(self) -> None:
-        self._was_away = self._was_away or self.away
+    def _record_success(self) -> None:
+        self._was_unavailable = self._was_unavailable or self.away
         self._failures = 0
         self._answered_at = self._clock.monotonic()
 
-    def _until_next(self, found: Listing | Changes) -> timedelta:
+    def _next_pause(self, answer: Listing | Changes) -> timedelta:
         """Return the pause after an answer."""
         if self._index is None:
-            # The history is lost: the list that takes its place is asked for soon.
-            return self._until_retry()
-        pause = found.pause if isinstance(found, Changes) else None
-        interval = (self.pace.interval if pause is None else pause) * self._rng.uniform(0.9, 1.1)
-        if found.facts:
+            # The store's history is lost: a new listing is due soon.
+            return self._retry_pause()
+        pause = answer.pause if isinstance(answer, Changes) else None
+        interval = (self.timing.interval if pause is None else pause) * self._rng.uniform(0.9, 1.1)
+        if answer.facts:
             return interval
         return max(timedelta(0), interval - self._elapsed())
 
-    def _until_retry(self) -> timedelta:
-        return max(_LEAST_PAUSE, _RETRY_INTERVAL - self._elapsed())
+    def _retry_pause(self) -> timedelta:
+        return max(_MIN_PAUSE, _RETRY_INTERVAL - self._elapsed())
 
     def _elapsed(self) -> timedelta:
-        return self._clock.monotonic() - self._asked_at
+        return self._clock.monotonic() - self._requested_at
 
     def _pause(self, duration: timedelta) -> "Deferred[None]":
         done: Deferred[None] = Deferred(lambda _: call.cancel())
--- a/packages/gateway/src/cardamomloft/gateway/forwarding.py
+++ b/packages/gateway/src/cardamomloft/gateway/forwarding.py
@@ -1,4 +1,4 @@
-"""From a call to its answer, or to the word that it was not run and when to come back."""
+"""Forwards calls to upstream endpoints, or refuses them with a retry-after time."""
 
 import random
 import typing as t
@@ -15,43 +15,44 @@
 from cardamomloft.core.upstreambook import UpstreamBook
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.noticing import Noticing
-from cardamomloft.gateway.passage import Caller, Passage
+from cardamomloft.gateway.passage import CallerState, Passage
 from cardamomloft.gateway.records import RequestLog, SendNote
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import UpstreamClient
 from expression import Result
 from twisted.internet.defer import CancelledError, Deferred, TimeoutError, ensureDeferred
 
-WHOLE_BODY = 1024 * 1024
-"""Bytes up to which a request's body is held, so that it can be sent again after a refusal."""
+MAX_BUFFERED_BODY_BYTES = 1024 * 1024
+"""Request bodies up to this size are buffered, so that they can be sent again after a refusal."""
 
-_UNBOUNDED = timedelta(minutes=1)
-"""Time left of a caller whose deadline was not read, since this entry has not begun or stops."""
+_DEFAULT_CALLER_WAIT = timedelta(minutes=1)
+"""Assumed remaining time of a caller whose deadline was not read, before this entry is ready or
+while it stops."""
 
 
 class Forwarder:
-    """Carries the requests of one gateway.
+    """Forwards the requests of one gateway.
 
     Parameters
     ----------
     reactor
-        For timers.
+        Schedules timeouts.
     clock, rng
-        Sources of time and chance.
+        Sources of time and randomness.
     selector
         Chooses endpoints.
-    book
+    upstream_table
         The registered endpoints.
     client
-        Sends to them.
+        Sends requests to endpoints.
     budget_for
-        Returns the budget of repeats of a service.
+        Returns the retry budget of a service.
     metrics
-        Where counts and latencies go.
+        Counts outcomes and records latencies.
     records
         Writes the log lines of requests.
-    noticing
-        Knows which requests are sent to no upstream.
+    notice_handler
+        Decides which requests are quarantined, and publishes notices about upstreams.
     """
 
     def __init__(
@@ -60,46 +61,46 @@
         clock: Clock,
         rng: random.Random,
         selector: Selector,
-        book: UpstreamBook,
+        upstream_table: UpstreamBook,
         client: UpstreamClient,
         budget_for: Callable[[str], RetryBudget],
         metrics: Metrics,
         records: RequestLog,
-        noticing: Noticing,
+        notice_handler: Noticing,
     ) -> None:
         self.reactor = reactor
         self.clock = clock
         self.rng = rng
         self.selector = selector
-        self.book = book
+        self.upstream_table = upstream_table
         self.client = client
         self.budget_for = budget_for
         self.metrics = metrics
         self.records = records
-        self.noticing = noticing
-        self._returns: dict[str, ComeBack] = {}
+        self.noticing = notice_handler
+        self._retry_after_policies: dict[str, ComeBack] = {}
 
     async def carry(
-        self, call: Call, head: RequestHead, body: RequestBody, gone: "Deferred[None]"
+        self, call: Call, head: RequestHead, body: RequestBody, disconnected: "Deferred[None]"
     ) -> Answer:
-        """Answer a call; if the caller leaves, its work is given up."""
-        caller = Caller()
-        attempt = ensureDeferred(self._carry(call, head, body, caller))
+        """Return the answer to a call; if the caller disconnects, cancel the attempt."""
+        caller = CallerState()
+        attempt = ensureDeferred(self._forward(call, head, body, caller))
 
-        def leave(_: None) -> None:
-            caller.left = True
+        def on_disconnect(_: None) -> None:
+            caller.disconnected = True
             attempt.cancel()
 
-        gone.addCallback(leave)
+        disconnected.addCallback(on_disconnect)
         try:
             return await attempt
         except CancelledError:
-            if not caller.left:
+            if not caller.disconnected:
                 raise
-            return self.left(call, ())
+            return self.record_caller_left(call, ())
 
-    async def _carry(
-        self, call: Call, head: RequestHead, body: RequestBody, caller: Caller
+    async def _forward(
+        self, call: Call, head: RequestHead, body: RequestBody, caller: CallerState
     ) -> Answer:
         payload = await self._payload(body, call.until)
         if isinstance(payload, Refusal):
@@ -109,21 +110,23 @@
         self.selector.sizes.note(call.rule.name, size)
         return await Passage(self, call, head, payload, caller).run()
 
-    def left(self, call: Call, sends: Sequence[SendNote]) -> Answer:
-        """Return an answer for nobody, after logging that the caller has left."""
+    def record_caller_left(self, call: Call, sends: Sequence[SendNote]) -> Answer:
+        """Log and count that the caller has disconnected; return an answer that nobody receives."""
         self.metrics.count("caller-left")
         self.records.write(call, "caller-left", self.clock.monotonic(), sends=sends)
         return failed("the caller has left")
 
-    async def _payload(self, body: RequestBody, until: timedelta) -> bytes | RequestBody | Refusal:
-        """Hold bodies whole so that they can be sent again; leave very large ones to stream."""
+    async def _payload(
+        self, body: RequestBody, deadline: timedelta
+    ) -> bytes | RequestBody | Refusal:
+        """Buffer the body so that it can be sent again; leave a very large one to stream."""
         if body.length == 0:
             return b""
-        if isinstance(body.length, int) and body.length > WHOLE_BODY:
+        if isinstance(body.length, int) and body.length > MAX_BUFFERED_BODY_BYTES:
             return body
-        collected = body.collect(WHOLE_BODY)
-        left = max(timedelta(0), until - self.clock.monotonic())
-        collected.addTimeout(left.total_seconds(), self.reactor)
+        collected = body.collect(MAX_BUFFERED_BODY_BYTES)
+        time_left = max(timedelta(0), deadline - self.clock.monotonic())
+        collected.addTimeout(time_left.total_seconds(), self.reactor)
         try:
             outcome = await collected
         except TimeoutError:
@@ -131,33 +134,37 @@
                 RefusalReason.DEADLINE, f"{body.received} bytes of the body came in time"
             )
         match outcome:
-            case Result(tag="ok", ok=whole):
-                return whole
+            case Result(tag="ok", ok=content):
+                return content
             case Result(error=detail):
                 return Refusal(RefusalReason.BAD_REQUEST, detail)
 
     def refuse(self, refusal: Refusal, wait: timedelta | None = None) -> Answer:
-        """Return the answer that says "not run", with when to come back unless that is useless.
+        """Return the answer for a request that was not run, with a retry-after time if useful.
 
-        `wait` is that time; None if no service is concerned.
+        `wait` is that time; None if the refusal concerns no service.
         """
         self.metrics.count(f"refused.{refusal.reason}")
-        if refusal.retry_after is None and refusal.reason not in _FINAL:
+        if refusal.retry_after is None and refusal.reason not in _NOT_RETRYABLE:
             if wait is None:
-                wait = ComeBack(Waits()).wait(self.rng.random(), _UNBOUNDED)
+                wait = ComeBack(Waits()).wait(self.rng.random(), _DEFAULT_CALLER_WAIT)
             refusal = refusal._replace(retry_after=wait)
         return with_fractions(to_answer(refusal))
 
-    def come_back(self, call: Call, now: timedelta) -> timedelta:
-        """Return when the caller of a refused request is to come back."""
-        return self.returns_of(call.service).wait(self.rng.random(), call.leaves - now)
+    def retry_after_for(self, call: Call, now: timedelta) -> timedelta:
+        """Return how long the caller of a refused request should wait before it retries."""
+        return self.retry_after_policy(call.service).wait(
+            self.rng.random(), call.caller_deadline - now
+        )
 
-    def returns_of(self, service: str) -> ComeBack:
-        """Return what decides when the refused callers of a service come back."""
-        returns = self._returns.get(service)
-        if returns is None:
-            returns = self._returns[service] = ComeBack(Waits())
-        return returns
+    def retry_after_policy(self, service: str) -> ComeBack:
+        """Return the retry-after policy of a service."""
+        policy = self._retry_after_policies.get(service)
+        if policy is None:
+            policy = self._retry_after_policies[service] = ComeBack(Waits())
+        return policy
 
 
-_FINAL = frozenset({RefusalReason.NO_SERVICE, RefusalReason.BAD_REQUEST, RefusalReason.TOO_LARGE})
+_NOT_RETRYABLE = frozenset(
+    {RefusalReason.NO_SERVICE, RefusalReason.BAD_REQUEST, RefusalReason.TOO_LARGE}
+)
--- a/packages/gateway/src/cardamomloft/gateway/gossip.py
+++ b/packages/gateway/src/cardamomloft/gateway/gossip.py
@@ -1,8 +1,8 @@
-"""Passing notices on between gateways, without the store and without relays.
+"""Spreads notices among gateways by gossip, without the store or relays.
 
-What is new is pushed to a few gateways drawn at random, who do the same; now and then two of them
-compare what they hold, which mends what got lost. It works alike among ten and among a thousand,
-and no gateway matters more than another.
+New notices are pushed to a few gateways chosen at random, which push them on. From time to time two
+gateways compare digests of what they hold, which repairs lost messages. All gateways have the same
+role.
 """
 
 import random
@@ -25,58 +25,59 @@
 from twisted.internet.interfaces import IDelayedCall
 
 FANOUT = 4
-"""Gateways to which each pushes what is new to it. All but 2 % of them are reached so, in a number
-of steps that grows with the logarithm of theirs (Demers and others, 1987); comparing reaches the
-rest."""
+"""Number of gateways to which each pushes its new notices. Pushing reaches all but 2 % of them,
+in a number of rounds that grows with the logarithm of their number (Demers and others, 1987);
+comparing digests reaches the rest."""
 
-GATHER_TIME = timedelta(milliseconds=50)
-"""How long news is gathered into one message: a crash concerns several requests."""
+BATCH_WINDOW = timedelta(milliseconds=50)
+"""Time for which new notices are collected into one message: a crash concerns several requests."""
 
 COMPARE_INTERVAL = timedelta(milliseconds=500)
-"""How often a gateway that holds notices compares them with another's."""
+"""Interval at which a gateway that holds notices compares its digest with another gateway's."""
 
 CATCH_UP_TIME = timedelta(seconds=10)
-"""How long a gateway that has started asks others for what it missed, though it holds nothing: its
-record must have reached them before they can answer."""
+"""Time after the start during which a gateway sends digests although it holds no notices: others
+can answer only once its record has reached them."""
 
-NOTICES_A_MESSAGE = 500
-"""Notices in one message at most, some 60 KB; more are left to the next comparison."""
+MAX_NOTICES_PER_MESSAGE = 500
+"""Maximum number of notices in one message, some 60 KB; the next comparison of digests finds the
+rest."""
 
 
 class Send(t.Protocol):
-    """Sends a message to a gateway's address; it may be lost."""
+    """Sends a message to a gateway's address; the message may get lost."""
 
     def __call__(self, address: str, message: Message) -> bool:
-        """Return False if it was dropped here."""
+        """Return False if the message was dropped before it was sent."""
         ...
 
 
 class Gossip:
-    """One gateway's part in it.
+    """One gateway's participation in the gossip.
 
     Parameters
     ----------
     reactor
-        For the time in which news is gathered.
+        Schedules the pushes.
     clock, rng
-        Sources of time and chance.
-    others
+        Sources of time and randomness.
+    peer_addresses
         Returns the addresses of the other gateways, by name.
     send
-        Sends to them.
-    on_news
-        Told of each notice that is new here, its own ones too.
+        Sends a message to one of them.
+    on_new_notice
+        Called with each notice that is new here, including this gateway's own.
     metrics
         Counts notices and messages.
     address
-        Where this gateway takes messages.
+        Where this gateway receives messages.
 
     Attributes
     ----------
     plan
         Returns the configuration in force, None before the first.
     on_plan
-        Takes another gateway's configuration, which may be older.
+        Called with another gateway's configuration, which may be older.
     """
 
     def __init__(
@@ -84,72 +85,72 @@
         reactor: t.Any,
         clock: Clock,
         rng: random.Random,
-        others: Callable[[], dict[str, str]],
+        peer_addresses: Callable[[], dict[str, str]],
         send: Send,
-        on_news: Callable[[Dated], None],
+        on_new_notice: Callable[[Dated], None],
         metrics: Metrics,
         address: str,
     ) -> None:
         self._reactor = reactor
         self._clock = clock
         self._rng = rng
-        self._others = others
+        self._peer_addresses = peer_addresses
         self._send = send
-        self._on_news = on_news
+        self._on_new_notice = on_new_notice
         self._metrics = metrics
         self._address = address
         self.plan: Callable[[], RoutePlan | None] = lambda: None
         self.on_plan: Callable[[RoutePlan], None] = lambda plan: None
         self._board = NoticeBoard()
-        self._news: list[Dated] = []
-        self._pushing: IDelayedCall | None = None
+        self._unsent: list[Dated] = []
+        self._push_timer: IDelayedCall | None = None
         self._started_at = clock.monotonic()
 
     def __len__(self) -> int:
         return len(self._board)
 
     def tell(self, notices: Iterable[Notice]) -> None:
-        """Let all gateways know, this one first."""
+        """Apply notices of this gateway here, and send them to all others."""
         now = self._clock.monotonic()
-        self._learn((Dated(notice, now) for notice in notices), now)
+        self._add((Dated(notice, now) for notice in notices), now)
 
     def compare(self) -> None:
-        """Compare with another gateway; to be called at each `COMPARE_INTERVAL`."""
+        """Send a digest to one random gateway; call it at each `COMPARE_INTERVAL`."""
         if len(self._board) or self._is_starting():
-            self._to_some(1, self._compared(answers=False))
+            self._send_to_random(1, self._digest(answers=False))
 
     def catch_up(self) -> None:
-        """Ask several gateways for what this one has missed, as soon as it knows of them."""
-        self._to_some(FANOUT, self._compared(answers=False))
+        """Send a digest to several gateways, to receive the notices that this one has missed."""
+        self._send_to_random(FANOUT, self._digest(answers=False))
 
     def take(self, sender: Incarnation, message: Message) -> None:
-        """Take a message of another gateway."""
-        self._take(message, sender)
+        """Handle a message of another gateway."""
+        self._receive(message, sender)
 
     def stop(self) -> None:
-        """Push what is left, and no more after that."""
-        if self._pushing is not None:
-            self._pushing.cancel()
+        """Push the pending notices, then stop."""
+        if self._push_timer is not None:
+            self._push_timer.cancel()
             self._push()
 
     @singledispatchmethod
-    def _take(self, message: Message, sender: Incarnation) -> None:
+    def _receive(self, message: Message, sender: Incarnation) -> None:
         self._metrics.count("peer_messages_of_another_kind")
 
-    @_take.register
+    @_receive.register
     def _(self, message: NoticesTold, sender: Incarnation) -> None:
         now = self._clock.monotonic()
         match decode_notices(message.notices, now):
             case Result(tag="ok", ok=notices):
                 self._metrics.count("notices_heard", len(notices))
-                self._learn(notices, now)
+                self._add(notices, now)
             case Result(error=detail):
                 self._metrics.count("notices_unreadable")
                 log("notices-unreadable", entry=sender.seat, detail=detail)
 
-    @_take.register
+    @_receive.register
     def _(self, message: NoticesCompared, sender: Incarnation) -> None:
-        address = self._others().get(sender.seat) or (message.starting and message.address)
+        address = self._peer_addresses().get(sender.seat) or (message.starting and message.address)
         if not address:
             return
         plan = self.plan()
@@ -160,11 +161,11 @@
             return
         missing = self._board.differing(message.sums, now)
         if missing:
-            self._send(address, _told(missing, now))
+            self._send(address, _notice_push(missing, now))
         if not message.answers:
-            self._send(address, self._compared(answers=True))
+            self._send(address, self._digest(answers=True))
 
-    @_take.register
+    @_receive.register
     def _(self, message: ConfigurationTold, sender: Incarnation) -> None:
         match decode_facts(message.fact):
             case Result(tag="ok", ok=[PlanRead(plan)]):
@@ -172,9 +173,13 @@
                 self.on_plan(plan)
             case _:
                 self._metrics.count("notices_unreadable")
-                log("notices-unreadable", entry=sender.seat, detail="not a configuration")
+                log(
+                    "notices-unreadable",
+                    entry=sender.seat,
+                    detail="the message holds no configuration",
+                )
 
-    def _compared(self, *, answers: bool) -> NoticesCompared:
+    def _digest(self, *, answers: bool) -> NoticesCompared:
         plan, now = self.plan(), self._clock.monotonic()
         number = 0 if plan is None else plan.number
         sums = self._board.sums(now)
@@ -183,26 +188,26 @@
     def _is_starting(self) -> bool:
         return self._clock.monotonic() - self._started_at < CATCH_UP_TIME
 
-    def _learn(self, told: Iterable[Dated], now: timedelta) -> None:
-        news = self._board.take(told, now)
-        for dated in news:
-            self._on_news(dated)
-        self._news.extend(news)
-        if self._news and self._pushing is None:
-            self._pushing = self._reactor.callLater(GATHER_TIME.total_seconds(), self._push)
+    def _add(self, received: Iterable[Dated], now: timedelta) -> None:
+        new_notices = self._board.take(received, now)
+        for dated in new_notices:
+            self._on_new_notice(dated)
+        self._unsent.extend(new_notices)
+        if self._unsent and self._push_timer is None:
+            self._push_timer = self._reactor.callLater(BATCH_WINDOW.total_seconds(), self._push)
 
     def _push(self) -> None:
-        self._pushing = None
-        news, self._news = self._news, []
+        self._push_timer = None
+        new_notices, self._unsent = self._unsent, []
         now = self._clock.monotonic()
-        self._metrics.count("notices_new", len(news))
-        self._to_some(FANOUT, _told(news, now))
+        self._metrics.count("notices_new", len(new_notices))
+        self._send_to_random(FANOUT, _notice_push(new_notices, now))
 
-    def _to_some(self, count: int, message: Message) -> None:
-        addresses = sorted(self._others().values())
+    def _send_to_random(self, count: int, message: Message) -> None:
+        addresses = sorted(self._peer_addresses().values())
         for address in self._rng.sample(addresses, min(count, len(addresses))):
             self._send(address, message)
 
 
-def _told(notices: list[Dated], now: timedelta) -> NoticesTold:
-    return NoticesTold(encode_notices(notices[:NOTICES_A_MESSAGE], now))
+def _notice_push(notices: list[Dated], now: timedelta) -> NoticesTold:
+    return NoticesTold(encode_notices(notices[:MAX_NOTICES_PER_MESSAGE], now))
--- a/packages/gateway/src/cardamomloft/gateway/main.py
+++ b/packages/gateway/src/cardamomloft/gateway/main.py
@@ -1,4 +1,4 @@
-"""One gateway over the product's own key-value store: ``python -m cardamomloft.gateway.main``."""
+"""Command line of one gateway over the key-value store: ``python -m cardamomloft.gateway.main``."""
 
 import pathlib
 import sys
@@ -15,12 +15,12 @@
     settings
         JSON file with this gateway's settings.
     prefix
-        What the deployment's keys in the store begin with.
+        Prefix of the deployment's keys in the store.
     check
         Only check the settings, then exit.
     """
     install_event_loop()
-    # Only now: it imports the loop that is installed.
+    # Imported here, since it imports the reactor, which must be installed first.
     from cardamomloft.gateway.process import run_gateway
 
     return run_gateway(settings, prefix, check)
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -1,4 +1,4 @@
-"""The gateway: assembles the decisions and the edges, and owns their life."""
+"""The gateway: creates its components, connects them and controls their life cycle."""
 
 import random
 import typing as t
@@ -27,7 +27,7 @@
 from cardamomloft.gateway.noticing import Noticing
 from cardamomloft.gateway.presence import Presence
 from cardamomloft.gateway.records import RequestLog
-from cardamomloft.gateway.settings import FIXED, Bounds, GatewaySettings, bounds_of
+from cardamomloft.gateway.settings import RESTART_SETTINGS, Bounds, GatewaySettings, parse_bounds
 from cardamomloft.gateway.status import GatewayStatus
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.control import ControlApp
@@ -40,39 +40,36 @@
 from twisted.internet.interfaces import IDelayedCall, IListeningPort
 from twisted.python.failure import Failure
 
-LINGER_PART = 0.5
-"""Part of the stop time in which new requests are still served: callers that keep an old look-up
-still come. At the end of it the listener closes, and they try another entry."""
+LINGER_FRACTION = 0.5
+"""Fraction of the stop time during which new requests are still served, since callers may use an
+earlier look-up. After it the listener closes, and callers try another entry."""
 
-HARD_STOP_PART = 0.92
-"""Part of the stop time after which the process ends whatever is in flight."""
+HARD_STOP_FRACTION = 0.92
+"""Fraction of the stop time after which the process ends regardless of requests in flight."""
 
-FOLLOW_PART = 0.4
-"""Part of the drain time from an answer with changes to the next question to the store. A question
-that fails is repeated soon, so that two of them fit into the time."""
+POLL_INTERVAL_FRACTION = 0.4
+"""Fraction of the drain time from an answer with changes to the next request to the store.
+Failed requests are retried sooner, so that two of them fit into the drain time."""
 
-WAIT_PART = 1 - FOLLOW_PART
-"""Part of the drain time for which the store may wait for a change before it answers. A question
-may hear nothing though its connection lives, after the store has forgotten its history, so its end
-is what bounds how long a change can be missed: pause and wait fill the drain time, and at most
-0.5 s after it everything is asked for again; the list took 0.8 s at one slow entry of 58 (logged
-once). Each answer is paid for; 6 s instead spared 0.15 of the calls on the heaviest day (687
-instead of 822 at 0.8 of the drain time), but there a confirmed change was not in force at one of
-58 entries for 6.4 s."""
+STORE_WAIT_FRACTION = 1 - POLL_INTERVAL_FRACTION
+"""Fraction of the drain time for which the store may wait for a change before it answers. A
+request may miss a change although its connection works, if the store has discarded its history.
+Only its end then reveals the change, so the pause and the wait together last no longer than the
+drain time."""
 
-FIGURES_INTERVAL = timedelta(seconds=2)
-"""How often the counters' growth is logged: a line of up to some 50 counts."""
+COUNTERS_LOG_INTERVAL = timedelta(seconds=2)
+"""Interval at which the growth of the counters is logged."""
 
 _TICK = timedelta(milliseconds=200)
-"""How often it is looked what did not come back after the store's return."""
+"""Interval of periodic checks, such as for records that were not renewed after a store outage."""
 
-LOOKUP_LIFE = timedelta(seconds=2)
-"""How long callers may keep a look-up at the most, within the settings' bound: entries that died
-are named so much longer."""
+MAX_LOOKUP_TTL = timedelta(seconds=2)
+"""Maximum time for which callers may cache a look-up, within the bound of the settings. A
+look-up may name a failed entry for that much longer."""
 
 
-class Named(t.NamedTuple):
-    """The answer to a look-up: where to send requests, and for how long that holds."""
+class LookupResult(t.NamedTuple):
+    """Result of a look-up: the addresses to send requests to, and for how long it may be cached."""
 
     addresses: list[str]
     life: timedelta
@@ -88,13 +85,13 @@
     cfg
         Checked settings.
     clock, rng
-        Sources of time and chance.
+        Sources of time and randomness.
     control
         The control store.
     client
-        Sends to upstreams.
+        Sends requests to upstream endpoints.
     headers
-        How callers name things.
+        The names of the callers' request headers.
     """
 
     def __init__(
@@ -114,7 +111,7 @@
         self._control = control
         self._client = client
         self.headers = headers
-        self._bounds = bounds_of(cfg)
+        self._bounds = parse_bounds(cfg)
         self.metrics = Metrics()
         self.stopped: Deferred[None] = Deferred()
         self.life = make_life_cycle(self)
@@ -123,7 +120,7 @@
         self.pages: IListeningPort | None = None
         self._hard_stop: IDelayedCall | None = None
         self._reader: Reader | None = None
-        self._logged_figures: Counter[str] = Counter()
+        self._logged_counters: Counter[str] = Counter()
         self._timekeeper = Timekeeper(clock, _TICK)
         self._build()
 
@@ -164,7 +161,7 @@
             self.entries,
             self.selector,
             self._client.forget,
-            self._put_in_force,
+            self._apply_plan,
             self.metrics,
         )
         self.feed = ChangeFeed(
@@ -182,13 +179,13 @@
         gossip = self.feed.gossip
         self.noticing.tell = gossip.tell
         gossip.plan = lambda: self._reader and self._reader.plan
-        gossip.on_plan = self._put_in_force
+        gossip.on_plan = self._apply_plan
         self.follower = Follower(
             self._reactor,
             clock,
             self.feed.control,
             self._rng,
-            _pace(bounds),
+            _poll_timing(bounds),
             self._on_listing,
             self.view.take_changes,
             self.view.store_returned,
@@ -197,42 +194,42 @@
     def _budget_for(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = RetryBudget(*self._repeats())
+            budget = self._budgets[service] = RetryBudget(*self._retry_budget_settings())
         return budget
 
-    def _repeats(self) -> tuple[float, float, timedelta]:
+    def _retry_budget_settings(self) -> tuple[float, float, timedelta]:
         cfg = self._cfg["retries"]
         return cfg["ratio"], cfg["slack"], self._bounds.retry_window
 
     def reconfigure(self, cfg: GatewaySettings) -> None:
-        """Put changed settings in force; those that need a new start are named in the log."""
-        fixed = [name for name in FIXED if cfg.get(name) != self._cfg.get(name)]
+        """Apply changed settings; log the names of those that need a restart to take effect."""
+        fixed = [name for name in RESTART_SETTINGS if cfg.get(name) != self._cfg.get(name)]
         if fixed:
             log("restart-needed", settings=fixed)
-        kept = {name: self._cfg[name] for name in FIXED if name in self._cfg}
-        free = {name: value for name, value in cfg.items() if name not in FIXED}
+        kept = {name: self._cfg[name] for name in RESTART_SETTINGS if name in self._cfg}
+        free = {name: value for name, value in cfg.items() if name not in RESTART_SETTINGS}
         self._cfg = t.cast(GatewaySettings, {**free, **kept})
-        self._bounds = bounds_of(self._cfg)
+        self._bounds = parse_bounds(self._cfg)
         self.selector.cold = _cold_limit(self._cfg)
         for budget in self._budgets.values():
-            budget.allow(*self._repeats())
+            budget.allow(*self._retry_budget_settings())
         self.entries.memory = self._bounds.retry_window
-        self.follower.pace = _pace(self._bounds)
-        self.feed.use_drain_time(self._bounds.drain_time)
+        self.follower.timing = _poll_timing(self._bounds)
+        self.feed.set_drain_time(self._bounds.drain_time)
         self.book.use_regions(self._cfg["zones"])
         log("reloaded", changed_fixed=bool(fixed))
 
-    # Life.
+    # Life cycle.
 
     def start(self) -> None:
-        """Listen and begin to follow the store.
+        """Open the listeners and start following the store.
 
         Raises
         ------
         twisted.internet.error.CannotListenError
-            If the callers' address can't be had.
+            If the address for callers or for operators cannot be bound.
         cardamomloft.peers.node.BindError
-            If the address for other gateways can't be had.
+            If the address for other gateways cannot be bound.
         """
         self._port = listen(self._reactor, self._cfg["callers"], self.app)
         host, _, port = self._cfg["operators"].rpartition(":")
@@ -243,43 +240,43 @@
         self.follower.start(self._on_fault)
         self._timers.every(_TICK, self._tick)
         self._timers.every(COMPARE_INTERVAL, self.feed.gossip.compare)
-        self._timers.every(FIGURES_INTERVAL, self._log_figures)
+        self._timers.every(COUNTERS_LOG_INTERVAL, self._log_counters)
         log("started", entry=self._cfg["name"], zone=self._cfg["zone"])
 
     def stop(self) -> None:
-        """Stop without cutting off requests; asking again changes nothing."""
+        """Start a graceful stop; further calls have no effect."""
         self.life.stop()
 
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Tell whether look-ups may name this entry."""
         return self.life.state() == "ready"
 
     def on_ready(self) -> None:
-        """Let the other entries name this one."""
+        """Record this entry in the store, so that look-ups of other entries name it."""
         log("ready", configuration=self.configuration, upstreams=len(self.book))
         self._timers.every(self.presence.interval, self.presence.keep)
 
     def on_leaving(self) -> None:
-        """Leave the look-ups, and go on serving those who asked before."""
+        """Remove this entry from look-ups, and go on serving callers that know its address."""
         log("leaving", in_flight=self.app.in_flight)
         self.presence.withdraw()
         self.app.closing()
         stop_time = self._bounds.stop_time.total_seconds()
-        self._reactor.callLater(stop_time * LINGER_PART, self.life.lingered)
-        self._hard_stop = self._reactor.callLater(stop_time * HARD_STOP_PART, self.life.drained)
+        self._reactor.callLater(stop_time * LINGER_FRACTION, self.life.lingered)
+        self._hard_stop = self._reactor.callLater(stop_time * HARD_STOP_FRACTION, self.life.drained)
 
     def on_closing(self) -> None:
-        """Take no new connections, and finish what is in flight."""
+        """Close the listener, and finish the requests in flight."""
         log("closing", in_flight=self.app.in_flight)
         if self._port is not None:
             self._port.stopListening()
         finished = self.app.drained()
-        # The last answers are written, but not sent: wait until their connections are closed.
+        # The last answers may still be in send buffers: wait until their connections are closed.
         finished.addCallback(lambda _: self.app.disconnect())
         finished.addCallback(lambda _: self._reactor.callLater(0, self.life.drained))
 
     def on_stopped(self) -> None:
-        """Release everything and end the process."""
+        """Release all resources and end the process."""
         if self._hard_stop is not None and self._hard_stop.active():
             self._hard_stop.cancel()
         self._timers.stop()
@@ -289,27 +286,29 @@
         if not self.stopped.called:
             self.stopped.callback(None)
 
-    # Callers.
+    # Requests of callers.
 
     def handle(
-        self, head: RequestHead, body: RequestBody, gone: "Deferred[None]"
+        self, head: RequestHead, body: RequestBody, disconnected: "Deferred[None]"
     ) -> "Deferred[Answer]":
         """Answer one request."""
-        return ensureDeferred(self._handle(head, body, gone))
+        return ensureDeferred(self._handle(head, body, disconnected))
 
-    async def _handle(self, head: RequestHead, body: RequestBody, gone: "Deferred[None]") -> Answer:
+    async def _handle(
+        self, head: RequestHead, body: RequestBody, disconnected: "Deferred[None]"
+    ) -> Answer:
         self.metrics.count("requests")
-        call = self._admitted(head)
+        call = self._admit(head)
         if isinstance(call, Refusal):
             request_id = dict(head.headers).get(self.headers.request_id, "")
-            self.records.unread(head, request_id, call, self._clock.monotonic())
+            self.records.write_unparsed(head, request_id, call, self._clock.monotonic())
             return self.forwarder.refuse(call)
-        return await self.forwarder.carry(call, head, body, gone)
+        return await self.forwarder.carry(call, head, body, disconnected)
 
     def _may_overlap(self, head: RequestHead) -> bool:
         return self._reader is not None and self._reader.is_idempotent(head)
 
-    def _admitted(self, head: RequestHead) -> Call | Refusal:
+    def _admit(self, head: RequestHead) -> Call | Refusal:
         if self.life.admits() and self._reader is not None:
             return self.read(head)
         starting = self.life.state() == "starting"
@@ -317,7 +316,7 @@
         return Refusal(reason, "ask another entry")
 
     def read(self, head: RequestHead) -> Call | Refusal:
-        """Return the call behind a request by the configuration in force."""
+        """Parse a request according to the configuration in force."""
         if self._reader is None:
             return Refusal(RefusalReason.NOT_READY, "no configuration yet")
         return self._reader.read(head, self._clock.monotonic())
@@ -327,8 +326,8 @@
         """The number of the configuration in force, 0 before the first."""
         return self._reader.plan.number if self._reader else 0
 
-    def lookup(self, host: str, zone: str, region: str) -> Named | Refusal:
-        """Name the entries that a client should use for `host`."""
+    def lookup(self, host: str, zone: str, region: str) -> LookupResult | Refusal:
+        """Return the entries that a client in this zone and region should use for `host`."""
         self.metrics.count("lookups")
         if self._reader is None:
             return Refusal(RefusalReason.NOT_READY, "no configuration yet")
@@ -337,10 +336,10 @@
         named = self._names.of(zone, region, homes, zones, with_own=ready)
         if not named:
             return Refusal(RefusalReason.NOT_READY, "no entry is ready")
-        life = min(LOOKUP_LIFE, self._bounds.lookup_life)
-        return Named([record.address for record in named], life)
+        life = min(MAX_LOOKUP_TTL, self._bounds.lookup_life)
+        return LookupResult([record.address for record in named], life)
 
-    # The store.
+    # Changes from the store.
 
     def _on_listing(self, listing: Listing) -> None:
         first = not self.view.listed
@@ -349,7 +348,7 @@
             self.feed.gossip.catch_up()
         self._check_prepared()
 
-    def _put_in_force(self, plan: RoutePlan) -> None:
+    def _apply_plan(self, plan: RoutePlan) -> None:
         held = self.configuration
         if plan.number <= held:
             if plan.number < held:
@@ -369,21 +368,21 @@
     # Timers.
 
     def _tick(self) -> None:
-        self._log_irregularity()
+        self._log_clock_irregularity()
         self.view.tick()
         self.noticing.tick()
 
-    def _log_irregularity(self) -> None:
+    def _log_clock_irregularity(self) -> None:
         found = self._timekeeper.look()
         if found is not None:
             ms = timedelta(milliseconds=1)
             log("irregular-time", late_ms=found.late // ms, stepped_ms=found.stepped // ms)
 
-    def _log_figures(self) -> None:
-        """Log what was counted since the last time: the process's own page dies with it."""
+    def _log_counters(self) -> None:
+        """Log the growth of the counters, since the metrics page is lost if the process crashes."""
         counted = Counter(self.metrics.counters)
-        counted.subtract(self._logged_figures)
-        self._logged_figures = Counter(self.metrics.counters)
+        counted.subtract(self._logged_counters)
+        self._logged_counters = Counter(self.metrics.counters)
         grown = {name: value for name, value in sorted(counted.items()) if value}
         if grown:
             log("figures", **grown)
@@ -397,5 +396,5 @@
     return ColdLimit(cfg["cold"]["overage"], cfg["cold"]["slack"])
 
 
-def _pace(bounds: Bounds) -> Pace:
-    return Pace(bounds.drain_time * FOLLOW_PART, bounds.drain_time * WAIT_PART)
+def _poll_timing(bounds: Bounds) -> Pace:
+    return Pace(bounds.drain_time * POLL_INTERVAL_FRACTION, bounds.drain_time * STORE_WAIT_FRACTION)
--- a/packages/gateway/src/cardamomloft/gateway/noticing.py
+++ b/packages/gateway/src/cardamomloft/gateway/noticing.py
@@ -1,4 +1,4 @@
-"""What a gateway notices about requests and upstreams, and what it does with others' notices."""
+"""Publishes notices about crashes and leaving upstreams, and applies those of all gateways."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -13,54 +13,57 @@
 
 
 class Noticing:
-    """The notices of one gateway.
+    """Publishes and applies the notices of one gateway.
 
     Parameters
     ----------
     clock
         Source of time.
-    book
+    upstream_table
         The registered endpoints.
     metrics
-        Counts what is noticed.
+        Counts crashes and quarantined requests.
 
     Attributes
     ----------
     tell
-        Lets all gateways know of notices, and applies them here.
+        Sends notices to all gateways and applies them here.
     """
 
-    def __init__(self, clock: Clock, book: UpstreamBook, metrics: Metrics) -> None:
+    def __init__(self, clock: Clock, upstream_table: UpstreamBook, metrics: Metrics) -> None:
         self._clock = clock
-        self._book = book
+        self._upstream_table = upstream_table
         self._metrics = metrics
         self._quarantine = Quarantine()
         self.tell: Callable[[Iterable[Notice]], None] = self._apply_own
 
     def refused_until(self, fingerprint: Callable[[], str]) -> timedelta | None:
-        """Return until when a request is sent to no upstream; its fingerprint only if needed."""
+        """Return the instant until which a request is quarantined, None if it is not.
+
+        The fingerprint is computed only if any request is under suspicion.
+        """
         if not self._quarantine:
             return None
         return self._quarantine.refused_until(fingerprint(), self._clock.monotonic())
 
-    def crashed(self, fingerprint: str, upstream: Upstream) -> None:
-        """Note that an upstream ended the connection of a request without an answer."""
+    def record_crash(self, fingerprint: str, upstream: Upstream) -> None:
+        """Record that an upstream closed the connection of a request without an answer."""
         self._metrics.count("crashes_under_requests")
         now = self._clock.monotonic()
         self.tell([self._quarantine.crashed(fingerprint, upstream.life, now)])
 
-    def answered(self, fingerprint: Callable[[], str]) -> None:
-        """Note that a request was answered; its fingerprint only if needed."""
+    def record_answer(self, fingerprint: Callable[[], str]) -> None:
+        """Record that a request was answered; its fingerprint is computed only if needed."""
         if self._quarantine:
             self.tell(self._quarantine.answered(fingerprint()))
 
-    def leaving(self, upstream: Upstream) -> None:
-        """Note that an upstream has said that it leaves."""
+    def record_leaving(self, upstream: Upstream) -> None:
+        """Publish that an upstream is about to stop, unless that is known."""
         if not upstream.leaving:
             self.tell([UpstreamLeaving(*upstream.life)])
 
     def apply(self, dated: Dated) -> None:
-        """Do what a notice asks for."""
+        """Apply a notice of this or another gateway."""
         notice, at = dated
         match notice:
             case CrashUnderRequest():
@@ -69,11 +72,11 @@
                 self._apply_leaving(Life(upstream_id, started_ms))
 
     def refused(self) -> list[str]:
-        """Return the fingerprints of the requests that are sent to no upstream."""
+        """Return the fingerprints of the quarantined requests."""
         return self._quarantine.refused(self._clock.monotonic())
 
     def tick(self) -> None:
-        """Forget what is too old; to be called now and then."""
+        """Discard expired entries; call it periodically."""
         self._quarantine.forget(self._clock.monotonic())
 
     def _apply_own(self, notices: Iterable[Notice]) -> None:
@@ -85,6 +88,6 @@
             self._metrics.count("requests_quarantined")
             log("request-quarantined", fingerprint=notice.fingerprint, upstream=notice.upstream)
 
-    def _apply_leaving(self, life: Life) -> None:
-        if self._book.leave(life):
-            log("upstream-leaving", id=life.upstream_id, started_ms=life.started_ms)
+    def _apply_leaving(self, incarnation: Life) -> None:
+        if self._upstream_table.leave(incarnation):
+            log("upstream-leaving", id=incarnation.upstream_id, started_ms=incarnation.started_ms)
--- a/packages/gateway/src/cardamomloft/gateway/outcomes.py
+++ b/packages/gateway/src/cardamomloft/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""What came of one send: the kinds of outcome, and how an endpoint's answer is read."""
+"""Outcomes of one send to an endpoint, and how they are derived from its answer."""
 
 import typing as t
 from collections.abc import Callable
@@ -15,10 +15,11 @@
 )
 from expression import Result
 
-WHOLE_ANSWER = 256 * 1024
-"""Bytes up to which an answer is held until it is whole, so that one cut short can be repeated."""
+MAX_BUFFERED_ANSWER_BYTES = 256 * 1024
+"""Answers up to this size are read completely before they are passed on, so that a truncated one
+can be retried."""
 
-PROMISES = frozenset(
+NOT_RUN_STATUSES = frozenset(
     {
         HTTPStatus.REQUEST_TIMEOUT,
         HTTPStatus.MISDIRECTED_REQUEST,
@@ -26,43 +27,45 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
     }
 )
-"""Statuses by which callers take a request as not run and repeat it, whatever it does.
+"""Statuses that make callers assume that the request was not run, and retry it even if it is not
+idempotent.
 
-An endpoint that gives one without its definite mark may have run the request.
-"""
+An endpoint that answers with one but without the header that confirms a refusal may have run the
+request."""
 
-_REJECTING = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
+_RETRY_AFTER_STATUSES = frozenset({HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE})
 
 
-class Told(t.NamedTuple):
-    """What an endpoint tells of itself with an answer.
+class EndpointStatus(t.NamedTuple):
+    """What an endpoint reports about itself with an answer.
 
-    `leaving`: it is about to end. `leave_alone`: for how long it wants no more requests.
+    `leaving` means that it is about to stop; `pause` is the time for which it wants no more
+    requests.
     """
 
     load: HeaderLoad | None = None
     leaving: bool = False
-    leave_alone: timedelta | None = None
+    pause: timedelta | None = None
 
     def fields(self) -> dict[str, t.Any]:
-        """Return what is out of the ordinary, for a log line."""
+        """Return the values for a log line, without the load and without defaults."""
         found: dict[str, t.Any] = {"leaving": True} if self.leaving else {}
-        if self.leave_alone is not None:
-            found["leave_alone_ms"] = self.leave_alone // timedelta(milliseconds=1)
+        if self.pause is not None:
+            found["leave_alone_ms"] = self.pause // timedelta(milliseconds=1)
         return found
 
 
 class Served(t.NamedTuple):
-    """An endpoint's answer; `faulty` if it says that the endpoint itself has failed."""
+    """An endpoint's answer; `faulty` if its status reports a failure of the endpoint."""
 
     answer: Answer
     faulty: bool = False
 
 
 class Refused(t.NamedTuple):
-    """The endpoint has definitely refused the request; it was not run.
+    """The endpoint definitely refused the request, which was not run.
 
-    `had_room`: it reported a free slot with the refusal.
+    `had_room`: it reported a free slot together with the refusal.
     """
 
     detail: str
@@ -71,7 +74,7 @@
 
 
 class Failed(t.NamedTuple):
-    """There is no whole answer; `not_run` only if nothing was sent.
+    """There is no complete answer; `not_run` only if nothing was sent.
 
     `cut`: the connection ended before an answer began, as when the endpoint crashes.
     """
@@ -85,34 +88,34 @@
 Outcome = Served | Refused | Failed
 
 
-def told_by(answer: UpstreamAnswer, dialect: Dialect) -> Told:
-    """Return what the endpoint that gave `answer` tells of itself."""
+def endpoint_status(answer: UpstreamAnswer, dialect: Dialect) -> EndpointStatus:
+    """Return what an endpoint reports about itself with `answer`."""
     headers = dict(reversed(answer.headers))
     if answer.status == dialect.misdirected:
-        # Another endpoint than the one that was meant.
-        return Told(parse_header_load(headers.get(dialect.load or "")))
-    rejecting = answer.status in _REJECTING
-    return Told(
+        # The answer comes from another endpoint, so only its load is of use.
+        return EndpointStatus(parse_header_load(headers.get(dialect.load or "")))
+    rejecting = answer.status in _RETRY_AFTER_STATUSES
+    return EndpointStatus(
         load=parse_header_load(headers.get(dialect.load or "")),
         leaving=headers.get(dialect.leaving) == "1",
-        leave_alone=parse_retry_after(headers.get("retry-after")) if rejecting else None,
+        pause=parse_retry_after(headers.get("retry-after")) if rejecting else None,
     )
 
 
 async def read_outcome(
     result: Result[UpstreamAnswer, SendFailure],
-    told: Told,
+    status: EndpointStatus,
     dialect: Dialect,
     is_late: Callable[[], bool],
 ) -> Outcome:
-    """Return what came of a send; an answer that is held is read to its end.
+    """Return the outcome of a send, after reading an answer that is small enough to buffer.
 
     Parameters
     ----------
-    told
-        What :func:`told_by` found in the answer.
+    status
+        Result of :func:`endpoint_status` for the answer.
     is_late
-        Tells whether the caller's time is over by now.
+        Returns whether the caller's deadline has passed.
     """
     match result:
         case Result(tag="error", error=failure):
@@ -121,17 +124,17 @@
             pass
     if answer.not_run:
         answer.body.abort()
-        load = told.load
+        load = status.load
         had_room = load is not None and load.running + load.waiting < load.slots
         return Refused(f"status {answer.status}", answer.status == dialect.misdirected, had_room)
-    if answer.status in PROMISES:
+    if answer.status in NOT_RUN_STATUSES:
         answer.body.abort()
         detail = f"status {answer.status} without a proof that it was not run"
         return Failed(False, detail, is_late())
     headers, faulty = _for_caller(answer), answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
-    if answer.length is not None and answer.length > WHOLE_ANSWER:
+    if answer.length is not None and answer.length > MAX_BUFFERED_ANSWER_BYTES:
         return Served(complete(answer.status, headers, t.cast(Source, answer.body)))
-    match await answer.body.collect(WHOLE_ANSWER):
+    match await answer.body.collect(MAX_BUFFERED_ANSWER_BYTES):
         case Result(tag="ok", ok=content):
             return Served(complete(answer.status, headers, content), faulty)
         case Result(error=detail):
--- a/packages/gateway/src/cardamomloft/gateway/pages.py
+++ b/packages/gateway/src/cardamomloft/gateway/pages.py
@@ -1,4 +1,4 @@
-"""A gateway's look-ups and readiness in this project's own form, over HTTP."""
+"""HTTP pages for look-ups and readiness checks."""
 
 import typing as t
 
@@ -57,6 +57,6 @@
 
 
 def argument(req: IRequest, name: bytes) -> str:
-    """Return the first value of a query argument, or an empty text."""
+    """Return the first value of a query argument, or an empty string."""
     values = req.args.get(name) or [b""]
     return values[0].decode("utf-8", "replace")
--- a/packages/gateway/src/cardamomloft/gateway/passage.py
+++ b/packages/gateway/src/cardamomloft/gateway/passage.py
@@ -1,7 +1,7 @@
-"""One request on its way: choosing, sending, repeating where that is harmless.
+"""Handling of one request: endpoint selection, sending, and retries where these are safe.
 
-A refusal (not run) is given only while no endpoint can have run the request: nothing was sent, or
-every endpoint that got it has definitely refused it.
+The caller gets a refusal, which means that its request was not run, only if no endpoint can have
+run it: nothing was sent, or every endpoint that received it has definitely refused it.
 """
 
 import typing as t
@@ -19,13 +19,13 @@
 from cardamomloft.core.upstreambook import LoadReport, Upstream
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.outcomes import (
+    EndpointStatus,
     Failed,
     Outcome,
     Refused,
     Served,
-    Told,
+    endpoint_status,
     read_outcome,
-    told_by,
 )
 from cardamomloft.gateway.records import SendNote
 from cardamomloft.upstreams.client import SendFailure, UpstreamAnswer, UpstreamRequest
@@ -35,74 +35,75 @@
     from cardamomloft.gateway.forwarding import Forwarder
 
 MAX_SENDS = 4
-"""Endpoints tried for one request, connections that failed included."""
+"""Maximum number of endpoints tried for one request, including failed connections."""
 
-LEAST_TIME = timedelta(milliseconds=5)
-"""With less time than this left nothing is sent: it would end while its connection is opened."""
+MIN_TIME_LEFT = timedelta(milliseconds=5)
+"""With less time left nothing is sent, since the deadline would pass while the connection is
+opened."""
 
 
-class Caller:
-    """Whether the caller still waits: its request is not sent on after it has left."""
+class CallerState:
+    """Whether the caller has disconnected, after which its request is not sent again."""
 
     def __init__(self) -> None:
-        self.left = False
+        self.disconnected = False
 
 
 class Passage:
-    """One request on its way: what was tried, and what that proves."""
+    """Handles one request, and tracks whether any endpoint can have run it."""
 
     def __init__(
         self,
-        owner: "Forwarder",
+        forwarder: "Forwarder",
         call: Call,
         head: RequestHead,
         payload: bytes | RequestBody,
-        caller: Caller,
+        caller: CallerState,
     ) -> None:
-        self._owner = owner
+        self._forwarder = forwarder
         self._call = call
         self._head = head
         self._payload = payload
         self._caller = caller
         self._sends: list[SendNote] = []
         self._tried: list[str] = []
-        self._arrivals = 0
-        self._ran = False
+        self._deliveries = 0
+        self._may_have_run = False
         self._answer: Served | None = None
-        self._was_cut = False
-        self._budget = owner.budget_for(call.service)
-        self._selector = owner.selector
-        self._dialect = owner.client.dialect
+        self._connection_lost = False
+        self._budget = forwarder.budget_for(call.service)
+        self._selector = forwarder.selector
+        self._dialect = forwarder.client.dialect
 
     async def run(self) -> Answer:
-        """Send until there is an answer or nothing more may be tried."""
+        """Send the request until it is answered or no further attempt is allowed."""
         self._budget.on_request(self._now())
         last: Outcome | None = None
         while True:
             chosen = self._choose()
             if not isinstance(chosen, Choice):
-                return self._end(last, chosen)
+                return self._finish(last, chosen)
             last = await self._send(chosen.upstream, chosen.reason)
-            if self._caller.left:
-                return self._owner.left(self._call, self._sends)
+            if self._caller.disconnected:
+                return self._forwarder.record_caller_left(self._call, self._sends)
             if isinstance(last, Served):
                 self._answer = last
             if self._is_final(last):
-                return self._end(last, None)
+                return self._finish(last, None)
 
     def _is_final(self, outcome: Outcome) -> bool:
         if isinstance(outcome, Served) and not outcome.faulty:
             return True
-        return not self._may_repeat(outcome)
+        return not self._may_retry(outcome)
 
     def _now(self) -> timedelta:
-        return self._owner.clock.monotonic()
+        return self._forwarder.clock.monotonic()
 
     def _choose(self) -> Choice | Refusal:
         call, now = self._call, self._now()
-        if call.until - now < LEAST_TIME:
+        if call.until - now < MIN_TIME_LEFT:
             return Refusal(RefusalReason.DEADLINE, "no time is left")
-        refused_until = self._owner.noticing.refused_until(self._get_fingerprint)
+        refused_until = self._forwarder.noticing.refused_until(self._get_fingerprint)
         if refused_until is not None:
             detail = "upstreams crash under this request"
             return Refusal(RefusalReason.QUARANTINED, detail, refused_until - now)
@@ -114,51 +115,53 @@
 
     async def _send(self, upstream: Upstream, reason: Reason) -> Outcome:
         selector, now = self._selector, self._now()
-        touch = self._begin_touch(upstream, reason)
+        cache_state = self._record_cache_access(upstream, reason)
         self._tried.append(upstream.id)
-        if self._arrivals:
+        if self._deliveries:
             self._budget.spend(now)
-            self._owner.metrics.count("repeats")
-        self._arrivals += 1
+            self._forwarder.metrics.count("repeats")
+        self._deliveries += 1
         load = expected_load(upstream, now)
         report_age = None if upstream.report is None else now - upstream.report.at
         selector.sent(upstream, now)
         try:
-            result = await self._owner.client.send(self._request_for(upstream, now))
-            told = self._heed(upstream, result)
-            outcome = await read_outcome(result, told, self._dialect, self._is_late)
+            result = await self._forwarder.client.send(self._request_for(upstream, now))
+            status = self._apply_status(upstream, result)
+            outcome = await read_outcome(result, status, self._dialect, self._is_late)
         finally:
             selector.ended(upstream)
-        self._learn(upstream, outcome, now, load)
+        self._record_outcome(upstream, outcome, now, load)
         took = self._now() - now
-        self._end_touch(upstream, touch, outcome, took)
+        self._record_cache_outcome(upstream, cache_state, outcome, took)
         slots = upstream.registration.slots
-        note = SendNote(upstream.id, reason, touch, load, slots, report_age, took, outcome, told)
+        note = SendNote(
+            upstream.id, reason, cache_state, load, slots, report_age, took, outcome, status
+        )
         self._sends.append(note)
         return outcome
 
-    def _begin_touch(self, upstream: Upstream, reason: Reason) -> Touch:
-        owner, call = self._owner, self._call
-        touch = Touch.NONE
+    def _record_cache_access(self, upstream: Upstream, reason: Reason) -> Touch:
+        forwarder, call = self._forwarder, self._call
+        cache_state = Touch.NONE
         if call.rule.keyed:
-            touch = owner.selector.touches.look(upstream, call.key)
-            owner.selector.touches.sent(upstream, call.key)
-        owner.metrics.count(f"sends.{reason}.{call.service}")
-        owner.metrics.count(f"touch.{touch}.{call.service}")
-        return touch
-
-    def _end_touch(
-        self, upstream: Upstream, touch: Touch, outcome: Outcome, took: timedelta
+            cache_state = forwarder.selector.touches.look(upstream, call.key)
+            forwarder.selector.touches.sent(upstream, call.key)
+        forwarder.metrics.count(f"sends.{reason}.{call.service}")
+        forwarder.metrics.count(f"touch.{cache_state}.{call.service}")
+        return cache_state
+
+    def _record_cache_outcome(
+        self, upstream: Upstream, cache_state: Touch, outcome: Outcome, took: timedelta
     ) -> None:
-        owner, call = self._owner, self._call
+        forwarder, call = self._forwarder, self._call
         if isinstance(outcome, Served):
-            owner.metrics.observe(f"{call.service}.{touch}", took)
-        if touch is Touch.NONE:
+            forwarder.metrics.observe(f"{call.service}.{cache_state}", took)
+        if cache_state is Touch.NONE:
             return
         if isinstance(outcome, Served):
-            owner.selector.touches.answered(upstream, call.key)
+            forwarder.selector.touches.answered(upstream, call.key)
         else:
-            owner.selector.touches.failed(upstream, call.key)
+            forwarder.selector.touches.failed(upstream, call.key)
 
     def _request_for(self, upstream: Upstream, now: timedelta) -> UpstreamRequest:
         call, row = self._call, upstream.registration
@@ -178,99 +181,107 @@
         )
 
     def _is_late(self) -> bool:
-        return self._call.until - self._now() < LEAST_TIME
+        return self._call.until - self._now() < MIN_TIME_LEFT
 
-    # Learning.
+    # Evaluation of answers.
 
-    def _heed(self, upstream: Upstream, result: Result[UpstreamAnswer, SendFailure]) -> Told:
-        """Act on what an endpoint tells of itself, before the rest of its answer is read."""
+    def _apply_status(
+        self, upstream: Upstream, result: Result[UpstreamAnswer, SendFailure]
+    ) -> EndpointStatus:
+        """Apply what an endpoint reports about itself, before the rest of its answer is read."""
         if result.is_error():
-            return Told()
-        told = told_by(result.ok, self._dialect)
-        if told.leaving:
-            self._owner.noticing.leaving(upstream)
-        if told.leave_alone is not None:
-            upstream.alone_until = max(upstream.alone_until, self._now() + told.leave_alone)
-        if told.load is not None:
-            # This request is still counted here, and not by the endpoint any more.
+            return EndpointStatus()
+        status = endpoint_status(result.ok, self._dialect)
+        if status.leaving:
+            self._forwarder.noticing.record_leaving(upstream)
+        if status.pause is not None:
+            upstream.alone_until = max(upstream.alone_until, self._now() + status.pause)
+        if status.load is not None:
+            # This request still counts as in flight here, but no longer at the endpoint.
             own = max(0, upstream.in_flight - 1)
-            report = LoadReport(*told.load, own=own, at=self._now())
+            report = LoadReport(*status.load, own=own, at=self._now())
             self._selector.reported(upstream, report)
-        return told
+        return status
 
-    def _learn(self, upstream: Upstream, outcome: Outcome, sent_at: timedelta, load: float) -> None:
+    def _record_outcome(
+        self, upstream: Upstream, outcome: Outcome, sent_at: timedelta, load: float
+    ) -> None:
         now = self._now()
         match outcome:
             case Served(faulty=True):
-                self._ran = True
+                self._may_have_run = True
                 self._selector.failed(upstream, now)
-                self._owner.noticing.answered(self._get_fingerprint)
+                self._forwarder.noticing.record_answer(self._get_fingerprint)
             case Served():
-                self._owner.noticing.answered(self._get_fingerprint)
+                self._forwarder.noticing.record_answer(self._get_fingerprint)
                 self._selector.answered(upstream, now - sent_at, load)
             case Refused(misdirected=True):
-                self._owner.book.mark_leaving(upstream)
-                self._owner.records.write(self._call, "misdirected", now, upstream=upstream)
+                self._forwarder.upstream_table.mark_leaving(upstream)
+                self._forwarder.records.write(self._call, "misdirected", now, upstream=upstream)
             case Refused(had_room=had_room):
-                self._owner.metrics.count(f"refused-there.{'with-room' if had_room else 'full'}")
+                self._forwarder.metrics.count(
+                    f"refused-there.{'with-room' if had_room else 'full'}"
+                )
                 self._selector.refused(upstream, now, had_room=had_room)
-            case Failed() if self._caller.left:
-                # The send was given up here; it says nothing about the endpoint.
-                self._ran = True
+            case Failed() if self._caller.disconnected:
+                # The send was cancelled here, which says nothing about the endpoint.
+                self._may_have_run = True
             case Failed():
-                self._was_cut = self._was_cut or outcome.cut
-                self._arrivals -= outcome.not_run
-                self._ran = self._ran or not outcome.not_run
+                self._connection_lost = self._connection_lost or outcome.cut
+                self._deliveries -= outcome.not_run
+                self._may_have_run = self._may_have_run or not outcome.not_run
                 self._selector.failed(upstream, now)
                 if outcome.cut:
-                    self._owner.noticing.crashed(self._fingerprint, upstream)
+                    self._forwarder.noticing.record_crash(self._fingerprint, upstream)
 
-    def _may_repeat(self, outcome: Outcome) -> bool:
+    def _may_retry(self, outcome: Outcome) -> bool:
         not_run = isinstance(outcome, Refused) or (isinstance(outcome, Failed) and outcome.not_run)
         if not isinstance(self._payload, bytes) and not self._payload.untouched:
             return False
         call, now = self._call, self._now()
-        attempts = min(call.rule.attempts - self._arrivals, MAX_SENDS - len(self._tried))
-        harmless = may_retry(call.rule.idempotent, not_run, attempts, call.until - now, LEAST_TIME)
+        attempts = min(call.rule.attempts - self._deliveries, MAX_SENDS - len(self._tried))
+        allowed = may_retry(
+            call.rule.idempotent, not_run, attempts, call.until - now, MIN_TIME_LEFT
+        )
         entries = self._selector.entries
-        return harmless and (not self._arrivals or self._budget.may_repeat(entries, now))
+        return allowed and (not self._deliveries or self._budget.may_repeat(entries, now))
 
-    # The end.
+    # Final answer.
 
-    def _end(self, last: Outcome | None, refusal: Refusal | None) -> Answer:
-        """Return the last answer that an endpoint gave, if any; else what nothing came of."""
+    def _finish(self, last: Outcome | None, refusal: Refusal | None) -> Answer:
+        """Return the last answer of an endpoint, if any; else an error or a refusal."""
         if self._answer is not None:
-            return self._served(self._answer)
-        return self._give_up(last, refusal)
-
-    def _served(self, outcome: Served) -> Answer:
-        owner, now = self._owner, self._now()
-        owner.returns_of(self._call.service).note(False)
-        owner.metrics.count("complete")
-        owner.metrics.observe(self._call.service, now - self._call.arrived)
+            return self._finish_served(self._answer)
+        return self._finish_unserved(last, refusal)
+
+    def _finish_served(self, outcome: Served) -> Answer:
+        forwarder, now = self._forwarder, self._now()
+        forwarder.retry_after_policy(self._call.service).note(False)
+        forwarder.metrics.count("complete")
+        forwarder.metrics.observe(self._call.service, now - self._call.arrived)
         status = outcome.answer.status
-        owner.records.served(self._call, status, self._sends, now, **self._identity())
+        forwarder.records.served(self._call, status, self._sends, now, **self._cut_request_fields())
         return outcome.answer
 
-    def _give_up(self, last: Outcome | None, refusal: Refusal | None) -> Answer:
-        owner, now = self._owner, self._now()
+    def _finish_unserved(self, last: Outcome | None, refusal: Refusal | None) -> Answer:
+        forwarder, now = self._forwarder, self._now()
         if refusal is None or refusal.reason is not RefusalReason.QUARANTINED:
-            owner.returns_of(self._call.service).note(not self._ran)
+            forwarder.retry_after_policy(self._call.service).note(not self._may_have_run)
         detail = refusal.detail if refusal is not None else getattr(last, "detail", "")
         outcome = "refused"
-        if self._ran:
+        if self._may_have_run:
             outcome = "late" if isinstance(last, Failed) and last.late else "failed"
-        about = self._identity()
-        owner.records.write(self._call, outcome, now, detail=detail, sends=self._sends, **about)
-        if not self._ran:
+        about = self._cut_request_fields()
+        forwarder.records.write(self._call, outcome, now, detail=detail, sends=self._sends, **about)
+        if not self._may_have_run:
             refusal = refusal or Refusal(RefusalReason.SHED, detail)
-            return owner.refuse(refusal, owner.come_back(self._call, now))
-        owner.metrics.count(outcome)
+            return forwarder.refuse(refusal, forwarder.retry_after_for(self._call, now))
+        forwarder.metrics.count(outcome)
         return late(detail) if outcome == "late" else failed(detail)
 
-    def _identity(self) -> dict[str, str]:
-        """Return what shows in the log that a request which was cut off comes again."""
-        if not self._was_cut:
+    def _cut_request_fields(self) -> dict[str, str]:
+        """Return log fields that identify a request whose connection was cut."""
+        if not self._connection_lost:
             return {}
         return {"fingerprint": self._fingerprint, "caller": self._head.client}
 
--- a/packages/gateway/src/cardamomloft/gateway/plaintext.py
+++ b/packages/gateway/src/cardamomloft/gateway/plaintext.py
@@ -1,15 +1,14 @@
-"""Starts a process without TLS, which gateways do not speak: neither with callers nor upstreams.
+"""Prevents the import of OpenSSL in gateways, which use TLS neither with callers nor upstreams.
 
-Twisted loads OpenSSL with its TCP transports if it can be imported. Without it a process takes
-52.9 MB instead of 65.0 MB (resident after all imports, three starts each), and is ready sooner
-after a crash: the import takes 51 of 774 ms, as ``-X importtime`` tells.
+Twisted loads OpenSSL with its TCP transports if it can be imported. Without it a process needs less
+memory and starts faster.
 """
 
 import sys
 
 
 def leave_out_tls() -> None:
-    """Let an import of OpenSSL fail from now on; call it before Twisted is imported.
+    """Make any later import of OpenSSL fail; call it before Twisted is imported.
 
     Raises
     ------
@@ -17,5 +16,7 @@
         If OpenSSL has been imported already.
     """
     if sys.modules.get("OpenSSL") is not None:
-        raise RuntimeError("OpenSSL has been imported already")
+        raise RuntimeError(
+            "OpenSSL is imported already; block its import before Twisted is imported"
+        )
     sys.modules["OpenSSL"] = None  # type: ignore[assignment]
--- a/packages/gateway/src/cardamomloft/gateway/presence.py
+++ b/packages/gateway/src/cardamomloft/gateway/presence.py
@@ -1,4 +1,4 @@
-"""The entry's own record in the control store, kept under a lease."""
+"""Keeps the entry's own record in the control store, under a lease."""
 
 import typing as t
 from collections.abc import Callable
@@ -11,57 +11,56 @@
 from expression import Result
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
-RENEWALS = 2
-"""Renewals in the life of a lease. One that fails is tried again at once, so that two calls may be
-lost before it lapses. With three and no second try two might be lost as well, for half as many
-calls again."""
+RENEWALS_PER_TTL = 2
+"""Renewals within the duration of a lease. A failed renewal is retried at once, so the lease
+survives two lost calls."""
 
 
 class Presence:
-    """Records the entry, renews its lease, and records it anew if the lease has lapsed.
+    """Records the entry, renews its lease, and records it again if the lease has expired.
 
     Parameters
     ----------
     control
         The store.
     record
-        What the others are to know.
-    life
-        How long the record stays after the last renewal.
+        The entry's record.
+    ttl
+        How long the record stays in the store after the last renewal.
     on_failed
-        Told when a renewal fails: the store may have gone away.
+        Called when a renewal fails, since the store may be unavailable.
     """
 
     def __init__(
         self,
         control: Control,
         record: EntryRecord,
-        life: timedelta,
+        ttl: timedelta,
         on_failed: Callable[[], None] = lambda: None,
     ) -> None:
         self._control = control
         self._record = record
-        self._life = life
+        self._ttl = ttl
         self._on_failed = on_failed
         self._lease: str | None = None
         self._withdrawn = False
 
     @property
     def interval(self) -> timedelta:
-        """How often `keep` is to be called."""
-        return self._life / RENEWALS
+        """Interval at which `keep` must be called."""
+        return self._ttl / RENEWALS_PER_TTL
 
     def keep(self) -> "Deferred[None]":
         """Record the entry, or renew its lease."""
-        return ensureDeferred(self._keep())
+        return ensureDeferred(self._refresh())
 
     def withdraw(self) -> "Deferred[t.Any]":
-        """Take the record away, since this entry is stopping."""
+        """Remove the record, since this entry is stopping."""
         self._withdrawn = True
         lease, self._lease = self._lease, None
         return succeed(None) if lease is None else self._control.withdraw(lease)
 
-    async def _keep(self) -> None:
+    async def _refresh(self) -> None:
         if self._withdrawn:
             return
         if self._lease is not None:
@@ -70,9 +69,9 @@
                 return
             log("entry-lease-lapsed", entry=self._record.name)
             self._lease = None
-        match await self._control.record(self._record, self._life):
+        match await self._control.record(self._record, self._ttl):
             case Result(tag="ok", ok=lease):
-                await self._recorded(lease)
+                await self._store_lease(lease)
             case Result(error=failure):
                 log("entry-not-recorded", entry=self._record.name, detail=failure.detail)
 
@@ -83,7 +82,7 @@
             renewed = await self._control.renew(lease)
         return renewed
 
-    async def _recorded(self, lease: str) -> None:
+    async def _store_lease(self, lease: str) -> None:
         log("entry-recorded", entry=self._record.name)
         if self._withdrawn:
             await self._control.withdraw(lease)
--- a/packages/gateway/src/cardamomloft/gateway/process.py
+++ b/packages/gateway/src/cardamomloft/gateway/process.py
@@ -1,4 +1,4 @@
-"""One gateway over the product's own key-value store, put together."""
+"""Entry point of one gateway over the key-value store."""
 
 import json
 import pathlib
@@ -24,7 +24,7 @@
 
 
 def run_gateway(settings: pathlib.Path, prefix: str, check: bool) -> int:
-    """Run until a signal stops it, or only check the settings; return the exit code."""
+    """Run until a signal stops the gateway, or only check the settings; return the exit code."""
     start_logs()
     source = SettingsFile(settings)
     cfg = source.read()
--- a/packages/gateway/src/cardamomloft/gateway/records.py
+++ b/packages/gateway/src/cardamomloft/gateway/records.py
@@ -1,7 +1,7 @@
-"""The log lines of requests, bounded in number.
+"""Log lines about requests, limited in rate.
 
-Each request that was refused, failed, was repeated or was slow gets a line, and a sample of the
-others. Beyond a number of lines a second they are left out and counted.
+Each request that was refused, failed, retried or slow is logged, and a sample of the others. Lines
+above the limit are dropped and counted.
 """
 
 import typing as t
@@ -14,54 +14,54 @@
 from cardamomloft.core.touches import Touch
 from cardamomloft.core.upstreambook import Upstream
 from cardamomloft.gateway.calls import Call
-from cardamomloft.gateway.outcomes import Told
+from cardamomloft.gateway.outcomes import EndpointStatus
 from cardamomloft.runtime.logs import log
 
 LINES_PER_S = 100
-"""Lines a second; one takes 20 us to write (3,000 timed alone), 0.2 % of a core in all."""
+"""Maximum number of lines a second, so that logging takes only a small fraction of a core."""
 
-SAMPLE = 50
-"""One in this many requests that went well gets a line."""
+SAMPLE_INTERVAL = 50
+"""One in this many requests without special events is logged."""
 
 _SECOND = timedelta(seconds=1)
 
 
 class SendNote(t.NamedTuple):
-    """One send of a request: where, by what knowledge, and what came of it.
+    """One send of a request: the endpoint, the data that the choice was based on, and the outcome.
 
-    `reason` is why the endpoint was chosen, and `touch` whether it had the object at hand. `load`
-    is the load that was expected there, of `slots`, from a report of the age `report_age` (None: no
-    report). `told` is what the endpoint told of itself with its answer.
+    `reason` is why the endpoint was chosen, and `cache_state` whether it had the key's data cached.
+    `load` is its expected load, of `slots`, based on a report of the age `report_age` (None: no
+    report). `status` is what the endpoint reported about itself with its answer.
     """
 
     endpoint: str
     reason: Reason
-    touch: Touch
+    cache_state: Touch
     load: float
     slots: int
     report_age: timedelta | None
     took: timedelta
     outcome: t.NamedTuple
-    told: Told
+    status: EndpointStatus
 
     def fields(self) -> dict[str, t.Any]:
-        """Return the note for a log line."""
+        """Return the values for a log line."""
         return {
             "endpoint": self.endpoint,
             "reason": str(self.reason),
-            "touch": str(self.touch),
+            "touch": str(self.cache_state),
             "load": f"{self.load:.1f}/{self.slots}",
             "report_age_ms": None if self.report_age is None else _ms(self.report_age),
             "ms": _ms(self.took),
             "outcome": type(self.outcome).__name__.lower(),
             "detail": getattr(self.outcome, "detail", ""),
             **({"cut": True} if getattr(self.outcome, "cut", False) else {}),
-            **self.told.fields(),
+            **self.status.fields(),
         }
 
 
 class RequestLog:
-    """Writes lines about requests.
+    """Writes log lines about requests.
 
     Parameters
     ----------
@@ -73,21 +73,21 @@
         self._version = version
         self._window = timedelta(0)
         self._lines = 0
-        self._left_out = 0
-        self._well = 0
+        self._suppressed = 0
+        self._served_count = 0
 
     def served(
         self, call: Call, status: int, sends: Sequence[SendNote], now: timedelta, **fields: t.Any
     ) -> None:
-        """Log a request that has its answer if it is of interest or in the sample."""
-        self._well += 1
+        """Log an answered request if it was slow, retried, a 5xx, or is in the sample."""
+        self._served_count += 1
         slow = now - call.arrived > call.rule.target
-        if slow or len(sends) > 1 or status >= 500 or self._well % SAMPLE == 0:
+        if slow or len(sends) > 1 or status >= 500 or self._served_count % SAMPLE_INTERVAL == 0:
             self.write(call, "served", now, status=status, sends=sends, **fields)
 
     def write(self, call: Call, outcome: str, now: timedelta, **fields: t.Any) -> None:
-        """Log what became of a request."""
-        if not self._has_room(now):
+        """Log the outcome of a request."""
+        if not self._within_line_limit(now):
             return
         upstream = fields.pop("upstream", None)
         if isinstance(upstream, Upstream):
@@ -107,9 +107,11 @@
             **fields,
         )
 
-    def unread(self, head: RequestHead, request_id: str, refusal: Refusal, now: timedelta) -> None:
-        """Log a request that was refused before it became a call."""
-        if self._has_room(now):
+    def write_unparsed(
+        self, head: RequestHead, request_id: str, refusal: Refusal, now: timedelta
+    ) -> None:
+        """Log a request that was refused before it was parsed."""
+        if self._within_line_limit(now):
             log(
                 "request",
                 id=request_id,
@@ -121,15 +123,15 @@
                 configuration=self._version(),
             )
 
-    def _has_room(self, now: timedelta) -> bool:
+    def _within_line_limit(self, now: timedelta) -> bool:
         if now - self._window >= _SECOND:
-            if self._left_out:
-                log("requests-not-logged", count=self._left_out)
-            self._window, self._lines, self._left_out = now, 0, 0
+            if self._suppressed:
+                log("requests-not-logged", count=self._suppressed)
+            self._window, self._lines, self._suppressed = now, 0, 0
         self._lines += 1
         if self._lines <= LINES_PER_S:
             return True
-        self._left_out += 1
+        self._suppressed += 1
         return False
 
 
--- a/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
@@ -10,7 +10,7 @@
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.sources import Question, Sources
 from cardamomloft.gateway.control import Changes, Control, Listing
-from cardamomloft.gateway.relaying import Passed, RelayPort, Silence
+from cardamomloft.gateway.relaying import Passed, RelayFailure, RelayPort
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.store.failures import StoreFailure
@@ -19,10 +19,10 @@
 
 
 class RelayedControl:
-    """A :class:`~cardamomloft.gateway.control.Control` that asks relays for changes.
+    """A :class:`~cardamomloft.gateway.control.Control` that requests changes from relays.
 
-    A relay that is silent, or knows no more than this gateway, costs time but never hides a change:
-    then the store itself is asked within the same question. Everything but changes goes to the
+    A relay that does not answer, or knows no more than this gateway, costs time but never hides a
+    change: the same request then goes to the store itself. All calls other than `changes` go to the
     store.
 
     Parameters
@@ -32,15 +32,15 @@
     clock
         Source of time.
     table
-        Keeps what is learned, for this gateway's own answers to others.
+        Stores the changes, to answer the requests of other gateways.
     sources
-        Chooses whom to ask.
+        Chooses between the relays and the store.
     port
-        Asks relays, and is told of changes.
+        Sends requests to relays, and answers held requests when the table has changed.
     records
-        Returns the gateways that are recorded, this one too if the others know of it.
+        Returns the recorded gateways, including this one if the others should know of it.
     metrics
-        Counts who answered.
+        Counts which source has answered.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Ask nobody any more: a question that is cut short from now on is over."""
+        """Send no further requests: one that is cancelled from now on is not retried."""
         self._stopped = True
 
     def read(self) -> "Deferred[Result[Listing, StoreFailure]]":
@@ -73,7 +73,11 @@
     def changes(
         self, after: Position, wait: timedelta
     ) -> "Deferred[Result[Changes, StoreFailure]]":
-        """Return what has changed after the revision `after`; without a wait, by the store."""
+        """Return what has changed after the position `after`.
+
+        A request without a wait follows a failure: the store is then asked for an immediate answer,
+        or a relay whether the store has recovered.
+        """
         return ensureDeferred(self._changes(after, wait))
 
     def record(self, record: EntryRecord, life: timedelta) -> "Deferred[Result[str, StoreFailure]]":
@@ -85,45 +89,47 @@
         return self._control.renew(lease)
 
     def withdraw(self, lease: str) -> "Deferred[Result[None, StoreFailure]]":
-        """End a lease."""
+        """Revoke a lease."""
         return self._control.withdraw(lease)
 
     async def _read(self) -> Result[Listing, StoreFailure]:
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         outcome = await self._control.read()
         if outcome.is_ok():
             self._table.listed(outcome.ok.facts, outcome.ok.index)
-            self._sources.complete(asked_at)
+            self._sources.complete(requested_at)
             self._port.publish()
         return outcome
 
     async def _changes(self, after: Position, wait: timedelta) -> Result[Changes, StoreFailure]:
         if not wait:
-            return await self._while_failing(after)
-        question = self._sources.next(self._records(), self._clock.monotonic())
-        if question.relay is None:
-            longest = wait if question.wait is None else question.wait
-            return await self._from_store(after, longest, question.pause)
-        return await self._from_relay(question.relay, question, after)
-
-    async def _while_failing(self, after: Position) -> Result[Changes, StoreFailure]:
-        """Leave it to a relay to ask whether the store is back; ask it if that may be so."""
-        question = self._sources.next_while_failing(self._records(), self._clock.monotonic())
-        if question.relay is None:
-            return await self._from_store_at_once(after)
-        wait = question.wait or timedelta(0)
-        match await self._port.ask(question.relay, after, wait, self._sources.patience):
-            case Result(tag="ok", ok=passed) if self._is_no_news_of_store(passed, after):
-                left = StoreFailure(False, f"left to {question.relay.name} to ask")
-                return Ok(self._passed(passed, after, None)._replace(failure=left))
-            case Result(tag="error", error=Silence(cancelled=True, detail=detail)):
+            return await self._changes_while_failing(after)
+        request = self._sources.next(self._records(), self._clock.monotonic())
+        if request.relay is None:
+            max_wait = wait if request.wait is None else request.wait
+            return await self._from_store(after, max_wait, request.pause)
+        return await self._from_relay(request.relay, request, after)
+
+    async def _changes_while_failing(self, after: Position) -> Result[Changes, StoreFailure]:
+        """Let a relay check whether the store has recovered; ask the store if it may have."""
+        request = self._sources.next_while_failing(self._records(), self._clock.monotonic())
+        if request.relay is None:
+            return await self._from_store_without_wait(after)
+        wait = request.wait or timedelta(0)
+        match await self._port.ask(request.relay, after, wait, self._sources.patience):
+            case Result(tag="ok", ok=relayed) if self._is_store_still_away(relayed, after):
+                delegated = StoreFailure(
+                    False, f"relay {request.relay.name} checks whether the store has recovered"
+                )
+                return Ok(self._apply_relayed(relayed, after, None)._replace(failure=delegated))
+            case Result(tag="error", error=RelayFailure(cancelled=True, detail=detail)):
                 return Error(StoreFailure(False, detail))
-            case Result(tag="error", error=silence):
-                self._silent(question.relay, silence)
-        return await self._from_store_at_once(after)
+            case Result(tag="error", error=failure):
+                self._record_relay_failure(request.relay, failure)
+        return await self._from_store_without_wait(after)
 
-    async def _from_store_at_once(self, after: Position) -> Result[Changes, StoreFailure]:
-        """Ask the store, which has failed before; if it does so again, hear what a relay knows."""
+    async def _from_store_without_wait(self, after: Position) -> Result[Changes, StoreFailure]:
+        """Ask the store, which has failed before; if it fails again, take what a relay knows."""
         outcome = await self._from_store(after, timedelta(0), None)
         if outcome.is_ok() or self._stopped:
             return outcome
@@ -131,72 +137,72 @@
         if relay is None:
             return outcome
         match await self._port.ask(relay, after, timedelta(0), self._sources.patience):
-            case Result(tag="ok", ok=passed) if self._is_of_use(passed, after):
-                return Ok(self._passed(passed, after, None)._replace(failure=outcome.error))
-            case Result(tag="error", error=silence) if not silence.cancelled:
-                self._silent(relay, silence)
+            case Result(tag="ok", ok=relayed) if self._is_current(relayed, after):
+                return Ok(self._apply_relayed(relayed, after, None)._replace(failure=outcome.error))
+            case Result(tag="error", error=failure) if not failure.cancelled:
+                self._record_relay_failure(relay, failure)
         return outcome
 
     async def _from_relay(
-        self, relay: EntryRecord, question: Question, after: Position
+        self, relay: EntryRecord, request: Question, after: Position
     ) -> Result[Changes, StoreFailure]:
-        wait = question.wait or timedelta(0)
+        wait = request.wait or timedelta(0)
         match await self._port.ask(relay, after, wait, self._sources.patience):
-            case Result(tag="ok", ok=passed) if self._is_of_use(passed, after):
-                return Ok(self._passed(passed, after, question.pause))
-            case Result(tag="error", error=Silence(cancelled=True, detail=detail)):
+            case Result(tag="ok", ok=relayed) if self._is_current(relayed, after):
+                return Ok(self._apply_relayed(relayed, after, request.pause))
+            case Result(tag="error", error=RelayFailure(cancelled=True, detail=detail)):
                 return Error(StoreFailure(False, detail))
-            case Result(tag="error", error=silence):
-                self._silent(relay, silence)
-        return await self._from_store(after, timedelta(0), question.pause)
+            case Result(tag="error", error=failure):
+                self._record_relay_failure(relay, failure)
+        return await self._from_store(after, timedelta(0), request.pause)
 
-    def _passed(self, passed: Passed, after: Position, pause: timedelta | None) -> Changes:
+    def _apply_relayed(self, relayed: Passed, after: Position, pause: timedelta | None) -> Changes:
         self._metrics.count("changes_from_relay")
-        self._sources.complete(passed.complete_at)
-        if passed.whole:
-            self._table.listed(passed.facts, passed.index)
+        self._sources.complete(relayed.complete_at)
+        if relayed.whole:
+            self._table.listed(relayed.facts, relayed.index)
             self._port.publish()
-            return Changes(passed.facts, passed.index, whole=True, pause=pause)
-        index = max(after, passed.index)
-        self._learn(passed.facts, index)
-        return Changes(passed.facts, index, pause=pause)
-
-    def _is_no_news_of_store(self, passed: Passed, after: Position) -> bool:
-        return not self._sources.is_back(passed.complete_at) and self._is_of_use(passed, after)
-
-    def _is_of_use(self, passed: Passed, after: Position) -> bool:
-        """Tell whether an answer tells nothing that is older than what is known here."""
-        if passed.whole:
-            return passed.index >= after
-        return passed.index.era == after.era and not self._went_back(passed, after)
-
-    def _went_back(self, passed: Passed, after: Position) -> bool:
-        """Tell whether a relay heard a lower revision later: then the store counts anew."""
+            return Changes(relayed.facts, relayed.index, whole=True, pause=pause)
+        index = max(after, relayed.index)
+        self._record_changes(relayed.facts, index)
+        return Changes(relayed.facts, index, pause=pause)
+
+    def _is_store_still_away(self, relayed: Passed, after: Position) -> bool:
+        return not self._sources.is_back(relayed.complete_at) and self._is_current(relayed, after)
+
+    def _is_current(self, relayed: Passed, after: Position) -> bool:
+        """Tell whether a relay's answer is no older than what is known here."""
+        if relayed.whole:
+            return relayed.index >= after
+        return relayed.index.era == after.era and not self._revision_decreased(relayed, after)
+
+    def _revision_decreased(self, relayed: Passed, after: Position) -> bool:
+        """Tell whether a relay saw a lower revision later, so the store has reset its revisions."""
         own = self._sources.known_at
-        return passed.index < after and own is not None and passed.complete_at > own
+        return relayed.index < after and own is not None and relayed.complete_at > own
 
-    def _silent(self, relay: EntryRecord, silence: Silence) -> None:
+    def _record_relay_failure(self, relay: EntryRecord, failure: RelayFailure) -> None:
         self._metrics.count("relay_silent")
-        log("relay-silent", relay=relay.name, detail=silence.detail)
+        log("relay-silent", relay=relay.name, detail=failure.detail)
         self._sources.silent(relay.name, self._clock.monotonic())
 
     async def _from_store(
         self, after: Position, wait: timedelta, pause: timedelta | None
     ) -> Result[Changes, StoreFailure]:
         self._metrics.count("changes_from_store")
-        asked_at = self._clock.monotonic()
+        requested_at = self._clock.monotonic()
         outcome = await self._control.changes(after, wait)
         if outcome.is_error():
-            self._sources.store_failed(asked_at)
+            self._sources.store_failed(requested_at)
             return outcome
         self._sources.store_answered()
         if outcome.ok.lost:
             return outcome
-        # After a wait the answer is of now; without one it is of when the question came there.
-        self._sources.complete(self._clock.monotonic() if wait else asked_at)
-        self._learn(outcome.ok.facts, outcome.ok.index)
+        # After a wait the answer is current; without one it may be as old as the request.
+        self._sources.complete(self._clock.monotonic() if wait else requested_at)
+        self._record_changes(outcome.ok.facts, outcome.ok.index)
         return Ok(outcome.ok._replace(pause=pause))
 
-    def _learn(self, facts: t.Iterable[t.Any], index: int) -> None:
+    def _record_changes(self, facts: t.Iterable[t.Any], index: int) -> None:
         self._table.changed(facts, index)
         self._port.publish()
--- a/packages/gateway/src/cardamomloft/gateway/relaying.py
+++ b/packages/gateway/src/cardamomloft/gateway/relaying.py
@@ -1,7 +1,7 @@
-"""Questions for changes between gateways: asking a relay, and answering as one.
+"""Requests for changes between gateways: sending them to relays, and answering them.
 
-Every gateway answers from what it knows, relay or not, and says how old that is; what to make of it
-is the asking one's decision.
+Every gateway answers from its own data, whether it is a relay or not, and states the age of that
+data; the requester decides whether that is recent enough.
 """
 
 import itertools
@@ -23,36 +23,36 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IDelayedCall
 
-MAX_HELD = 1_000
-"""Questions that wait here for a change at the most; more are answered at once. A region of 1,500
-gateways in 8 has 190, half of them at each of two relays."""
+MAX_HELD_REQUESTS = 1_000
+"""Maximum number of requests that wait for a change; more are answered at once. With 1,500
+gateways in 8 regions a region has 190, half of them at each of two relays."""
 
 MAX_HOLD_MS = 30_000
-"""Longest time that a question is held, whatever it asks for, in milliseconds."""
+"""Maximum time for which a request is held, whatever wait it states, in milliseconds."""
 
 MAX_AGE_MS = 3_600_000
-"""An answer's age counts as no more than this, in milliseconds; any drain time is shorter."""
+"""Upper bound of the age that an answer may state, in milliseconds; it exceeds any drain time."""
 
 _MS = timedelta(milliseconds=1)
 
 
 class Peers(t.Protocol):
-    """Sends messages to gateways by address; any of them may be lost."""
+    """Sends messages to gateways by address; any message may get lost."""
 
     def send(self, address: str, message: Message, to: Incarnation | None = None) -> bool:
-        """Queue a message; return False if it was dropped here."""
+        """Queue a message; return False if it was dropped before it was sent."""
         ...
 
     def close(self) -> None:
-        """Stop."""
+        """Close all links."""
         ...
 
 
 class Passed(t.NamedTuple):
-    """What a relay has passed on.
+    """Changes received from a relay.
 
-    `facts` has changed up to the position `index`, which was all that had changed until the
-    instant `complete_at` of this process's clock. If `whole` it is all that the store held then.
+    `facts` are all changes up to the position `index`, complete until the instant `complete_at` of
+    this process's clock. If `whole`, they are the complete content of the store at that instant.
     """
 
     facts: tuple[Fact, ...]
@@ -61,52 +61,52 @@
     whole: bool
 
 
-class Silence(t.NamedTuple):
-    """Why a relay gave no answer to use; `cancelled` if nobody wants it any more."""
+class RelayFailure(t.NamedTuple):
+    """Why a relay gave no usable answer; `cancelled` if the request was cancelled here."""
 
     detail: str
     cancelled: bool = False
 
 
-Outcome = Result[Passed, Silence]
+Outcome = Result[Passed, RelayFailure]
 
 
-class _Asked(t.NamedTuple):
-    """A question to a relay that is not answered yet."""
+class _PendingRequest(t.NamedTuple):
+    """A request to a relay that is not answered yet."""
 
     relay: EntryRecord
-    asked_at: timedelta
+    requested_at: timedelta
     done: "Deferred[Outcome]"
     timer: IDelayedCall
 
 
-class _Held(t.NamedTuple):
-    """A question of another gateway that waits for a change."""
+class _HeldRequest(t.NamedTuple):
+    """A request of another gateway that waits for a change."""
 
-    asker: Incarnation
+    requester: Incarnation
     address: str
-    question: ChangesQuestion
+    request: ChangesQuestion
     arrived: timedelta
     timer: IDelayedCall
 
 
 class RelayPort:
-    """One gateway's questions to relays, and its answers to others.
+    """Sends this gateway's requests to relays, and answers those of other gateways.
 
     Parameters
     ----------
     reactor
-        For the ends of waits.
+        Schedules timeouts.
     clock
         Source of time.
     table
-        What this gateway knows.
+        The changes that this gateway knows.
     age
-        Returns how old that is, None before anything is known.
+        Returns the age of that data, None before there is any.
     address_of
-        Returns where a gateway of this name takes messages, None if it is not recorded.
+        Returns the address of the named gateway, None if it is not recorded.
     metrics
-        Counts questions and answers.
+        Counts requests and answers.
     """
 
     def __init__(
@@ -125,130 +125,134 @@
         self._address_of = address_of
         self._metrics = metrics
         self._numbers = itertools.count(1)
-        self._asked: dict[int, _Asked] = {}
-        self._held: list[_Held] = []
+        self._pending: dict[int, _PendingRequest] = {}
+        self._held: list[_HeldRequest] = []
         self.peers: Peers | None = None
 
     @property
     def held(self) -> int:
-        """The number of questions that wait here for a change."""
+        """The number of requests that wait for a change."""
         return len(self._held)
 
     def ask(
-        self, relay: EntryRecord, after: Position, wait: timedelta, patience: timedelta
+        self, relay: EntryRecord, after: Position, wait: timedelta, timeout: timedelta
     ) -> "Deferred[Outcome]":
-        """Ask `relay` what has changed after the position `after`.
+        """Request from `relay` what has changed after the position `after`.
+
+        The Deferred never fails: after the timeout, or when it is cancelled, its result is a
+        :class:`RelayFailure`.
 
         Parameters
         ----------
         wait
-            How long it may wait for a change.
-        patience
-            How much longer its answer may take. The Deferred never fails; after that time, or when
-            it is cancelled, the outcome is a :class:`Silence`.
+            How long the relay may wait for a change.
+        timeout
+            Additional time allowed for the answer.
         """
         number = next(self._numbers)
         done: Deferred[Outcome] = Deferred(
-            lambda _: self._end(number, Error(Silence("cancelled", cancelled=True)))
+            lambda _: self._finish(number, Error(RelayFailure("cancelled", cancelled=True)))
         )
         timer = self._reactor.callLater(
-            (wait + patience).total_seconds(), self._end, number, Error(Silence("no answer"))
+            (wait + timeout).total_seconds(), self._finish, number, Error(RelayFailure("no answer"))
         )
-        self._asked[number] = _Asked(relay, self._clock.monotonic(), done, timer)
-        question = ChangesQuestion(number, after.era, after.revision, wait // _MS)
-        if self.peers is None or not self.peers.send(relay.peers, question):
-            self._end(number, Error(Silence("not sent")))
+        self._pending[number] = _PendingRequest(relay, self._clock.monotonic(), done, timer)
+        request = ChangesQuestion(number, after.era, after.revision, wait // _MS)
+        if self.peers is None or not self.peers.send(relay.peers, request):
+            self._finish(number, Error(RelayFailure("not sent")))
         return done
 
     def take(self, sender: Incarnation, message: Message) -> None:
-        """Take a message of another gateway."""
-        self._take(message, sender)
+        """Handle a message of another gateway."""
+        self._receive(message, sender)
 
     def publish(self) -> None:
-        """Answer the questions for which there now is a change."""
-        self._release([held for held in self._held if self._has_news(held.question)])
+        """Answer the held requests for which there is a change now."""
+        self._release([held for held in self._held if self._has_changes(held.request)])
 
     def close(self) -> None:
-        """Answer what waits here, give up what was asked, and stop."""
+        """Answer all held requests, cancel the pending ones and close the links."""
         self._release(list(self._held))
-        for number in list(self._asked):
-            self._end(number, Error(Silence("closed", cancelled=True)))
+        for number in list(self._pending):
+            self._finish(number, Error(RelayFailure("closed", cancelled=True)))
         if self.peers is not None:
             self.peers.close()
             self.peers = None
 
     @singledispatchmethod
-    def _take(self, message: Message, sender: Incarnation) -> None:
+    def _receive(self, message: Message, sender: Incarnation) -> None:
         self._metrics.count("peer_messages_of_another_kind")
 
-    @_take.register
+    @_receive.register
     def _(self, message: ChangesQuestion, sender: Incarnation) -> None:
         address = self._address_of(sender.seat)
         if address is None:
-            # Not recorded here yet: it asks the store when it hears nothing.
+            # The requester is not recorded here yet; without an answer it asks the store.
             self._metrics.count("changes_questions_of_unknown")
             return
         self._metrics.count("changes_questions")
         wait = min(message.wait_ms, MAX_HOLD_MS) * _MS
-        timer = self._reactor.callLater(wait.total_seconds(), self._time_is_over, message, sender)
-        held = _Held(sender, address, message, self._clock.monotonic(), timer)
+        timer = self._reactor.callLater(
+            wait.total_seconds(), self._on_hold_timeout, message, sender
+        )
+        held = _HeldRequest(sender, address, message, self._clock.monotonic(), timer)
         self._held.append(held)
-        if self._has_news(message) or len(self._held) > MAX_HELD:
+        if self._has_changes(message) or len(self._held) > MAX_HELD_REQUESTS:
             self._release([held])
 
-    @_take.register
+    @_receive.register
     def _(self, message: ChangesAnswer, sender: Incarnation) -> None:
-        asked = self._asked.get(message.number)
-        if asked is None or asked.relay.name != sender.seat:
+        pending = self._pending.get(message.number)
+        if pending is None or pending.relay.name != sender.seat:
             self._metrics.count("changes_answers_late")
             return
-        self._end(message.number, self._read(message, asked))
+        self._finish(message.number, self._read(message, pending))
 
-    def _read(self, message: ChangesAnswer, asked: _Asked) -> Outcome:
+    def _read(self, message: ChangesAnswer, pending: _PendingRequest) -> Outcome:
         if message.facts is None:
-            return Error(Silence("it knows nothing yet"))
+            return Error(RelayFailure("the relay has no data yet"))
         match decode_facts(message.facts):
             case Result(tag="error", error=detail):
-                return Error(Silence(f"unreadable facts: {detail}"))
+                return Error(RelayFailure(f"cannot decode facts: {detail}"))
             case Result(ok=facts):
                 pass
         now = self._clock.monotonic()
-        elapsed = now - asked.asked_at
-        # A relay that claims to have held it for longer than it was asked makes nothing younger.
-        on_the_way = elapsed - min(elapsed, min(message.held_ms, MAX_HOLD_MS) * _MS)
+        elapsed = now - pending.requested_at
+        # The hold time that a relay states is limited to the time since the request was sent.
+        transit_time = elapsed - min(elapsed, min(message.held_ms, MAX_HOLD_MS) * _MS)
         age = min(message.age_ms, MAX_AGE_MS) * _MS
         position = Position(message.era, message.index)
-        return Ok(Passed(facts, position, now - age - on_the_way, message.whole))
+        return Ok(Passed(facts, position, now - age - transit_time, message.whole))
 
-    def _end(self, number: int, outcome: Outcome) -> None:
-        asked = self._asked.pop(number, None)
-        if asked is None:
+    def _finish(self, number: int, outcome: Outcome) -> None:
+        pending = self._pending.pop(number, None)
+        if pending is None:
             return
-        if asked.timer.active():
-            asked.timer.cancel()
-        asked.done.callback(outcome)
+        if pending.timer.active():
+            pending.timer.cancel()
+        pending.done.callback(outcome)
 
-    def _has_news(self, question: ChangesQuestion) -> bool:
-        return self._table.since(Position(question.era, question.after)) != ()
+    def _has_changes(self, request: ChangesQuestion) -> bool:
+        return self._table.since(Position(request.era, request.after)) != ()
 
-    def _time_is_over(self, question: ChangesQuestion, asker: Incarnation) -> None:
+    def _on_hold_timeout(self, request: ChangesQuestion, requester: Incarnation) -> None:
         self._release(
-            [held for held in self._held if (held.question, held.asker) == (question, asker)]
+            [held for held in self._held if (held.request, held.requester) == (request, requester)]
         )
 
-    def _release(self, held: list[_Held]) -> None:
+    def _release(self, held: list[_HeldRequest]) -> None:
         for one in held:
             self._held.remove(one)
             if one.timer.active():
                 one.timer.cancel()
-            self._answer(one)
+            self._send_answer(one)
 
-    def _answer(self, held: _Held) -> None:
-        age, table, question = self._age(), self._table, held.question
-        changed = table.since(Position(question.era, question.after))
+    def _send_answer(self, held: _HeldRequest) -> None:
+        age, table, request = self._age(), self._table, held.request
+        changed = table.since(Position(request.era, request.after))
         facts = table.whole() if changed is None else changed
         answer = ChangesAnswer(
-            question.number,
+            request.number,
             table.index.era,
             table.index.revision,
             None if age is None else encode_facts(facts),
@@ -256,7 +260,7 @@
             (age or timedelta(0)) // _MS,
             (self._clock.monotonic() - held.arrived) // _MS,
         )
-        if self.peers is None or not self.peers.send(held.address, answer, held.asker):
-            # Too large or its queue is full: it hears nothing, and asks the store.
+        if self.peers is None or not self.peers.send(held.address, answer, held.requester):
+            # Too large, or the send queue is full; without an answer the requester asks the store.
             self._metrics.count("changes_answers_dropped")
-            log("answer-dropped", entry=held.asker.seat, facts=len(facts))
+            log("answer-dropped", entry=held.requester.seat, facts=len(facts))
--- a/packages/gateway/src/cardamomloft/gateway/reloading.py
+++ b/packages/gateway/src/cardamomloft/gateway/reloading.py
@@ -1,4 +1,4 @@
-"""The settings file while the process runs: read again when it changes, never half of it."""
+"""The settings file, read again when it changes; an invalid or incomplete file is ignored."""
 
 import pathlib
 from collections.abc import Callable
@@ -7,8 +7,8 @@
 from cardamomloft.runtime.logs import log
 from expression import Result
 
-WAIT_STEP_S = 0.2
-"""Pause between two looks at a settings file that is not right yet, in seconds."""
+RETRY_INTERVAL_S = 0.2
+"""Pause between two attempts to read a settings file that is not valid yet, in seconds."""
 
 
 class SettingsFile:
@@ -17,21 +17,21 @@
     Parameters
     ----------
     path
-        Where it is.
+        Path of the file.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
-        self._seen: str | None = None
+        self._last_text: str | None = None
 
     def read(self) -> GatewaySettings | None:
-        """Return the checked settings, or None after logging what is wrong with them."""
+        """Return the checked settings, or None after logging the mistakes."""
         try:
-            self._seen = self._path.read_text(encoding="utf-8")
+            self._last_text = self._path.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as exc:
             log("settings-unreadable", path=str(self._path), detail=str(exc))
             return None
-        match load_settings(self._seen):
+        match load_settings(self._last_text):
             case Result(tag="error", error=mistakes):
                 texts = [str(mistake) for mistake in mistakes]
                 log("settings-wrong", path=str(self._path), mistakes=texts)
@@ -39,34 +39,34 @@
             case Result(ok=cfg):
                 return cfg
 
-    def wait(self, patience_s: float, sleep: Callable[[float], None]) -> GatewaySettings | None:
-        """Return the settings once the file is right, or None when patience has run out.
+    def wait(self, timeout_s: float, sleep: Callable[[float], None]) -> GatewaySettings | None:
+        """Return the settings once the file is valid, or None after the timeout.
 
-        A process may start while its file is being written; ending at once would count as a
-        failure of its own, and the next start might come too early again.
+        A process may start while its file is being written. If it ended at once, the supervisor
+        would count that as a failure, and its next start might be too early again.
 
         Parameters
         ----------
-        patience_s
+        timeout_s
             How long to wait, in seconds.
         sleep
-            Waits some seconds; `time.sleep`, as no loop is running yet.
+            Blocks for a number of seconds, such as `time.sleep`: no event loop is running yet.
         """
-        for _ in range(max(1, round(patience_s / WAIT_STEP_S))):
+        for _ in range(max(1, round(timeout_s / RETRY_INTERVAL_S))):
             cfg = self.read()
             if cfg is not None:
                 return cfg
-            sleep(WAIT_STEP_S)
+            sleep(RETRY_INTERVAL_S)
         return None
 
     def changed(self) -> GatewaySettings | None:
-        """Return the settings if the file has other contents than when it was read last.
+        """Return the settings if the file's content differs from that of the last read.
 
-        A file that is half written is logged and left; it is read again when it has changed.
+        Mistakes are logged, and an invalid file is not read again before it has changed.
         """
         try:
             text = self._path.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError):
-            # Being replaced just now; the settings in force stay, and the next look finds it.
+            # The file may be being replaced; the next check reads it.
             return None
-        return None if text == self._seen else self.read()
+        return None if text == self._last_text else self.read()
--- a/packages/gateway/src/cardamomloft/gateway/running.py
+++ b/packages/gateway/src/cardamomloft/gateway/running.py
@@ -1,4 +1,4 @@
-"""Running a gateway in its own process: settings, signals, reload, end."""
+"""Runs a gateway in its own process, with signal handling and reload of the settings."""
 
 import signal
 import typing as t
@@ -10,15 +10,15 @@
 
 EXIT_SETTINGS = 2
 
-LOOK_EVERY_S = 1.0
-"""How often the settings file is looked at, in seconds; reading it takes 16 us."""
+SETTINGS_CHECK_INTERVAL_S = 1.0
+"""Interval at which the settings file is checked for changes, in seconds."""
 
 
 def run(reactor: t.Any, gateway: Gateway, settings: SettingsFile) -> int:
     """Run a gateway until a signal has stopped it; return the exit code.
 
-    SIGTERM and SIGINT stop it without cutting off requests. SIGHUP reads the settings again, and so
-    does a change of their file without a signal.
+    SIGTERM and SIGINT start a graceful stop. The settings are read again on SIGHUP and whenever
+    their file changes.
     """
 
     def reload() -> None:
@@ -27,7 +27,7 @@
             gateway.reconfigure(cfg)
 
     gateway.start()
-    LoopingCall(reload).start(LOOK_EVERY_S, now=False)
+    LoopingCall(reload).start(SETTINGS_CHECK_INTERVAL_S, now=False)
     _on_signal(reactor, signal.SIGTERM, gateway.stop)
     _on_signal(reactor, signal.SIGINT, gateway.stop)
     _on_signal(reactor, signal.SIGHUP, reload)
@@ -36,5 +36,5 @@
     return 0
 
 
-def _on_signal(reactor: t.Any, number: int, act: Callable[[], t.Any]) -> None:
-    signal.signal(number, lambda *_: reactor.callFromThread(act))
+def _on_signal(reactor: t.Any, signal_number: int, handler: Callable[[], t.Any]) -> None:
+    signal.signal(signal_number, lambda *_: reactor.callFromThread(handler))
--- a/packages/gateway/src/cardamomloft/gateway/settings.py
+++ b/packages/gateway/src/cardamomloft/gateway/settings.py
@@ -1,6 +1,6 @@
-"""Settings of one gateway: who it is, where it listens, and the bounds that the operators promise.
+"""Settings of one gateway: its identity, its addresses, and the time limits set by the operators.
 
-What operators change while it runs (rules, services, drains) is in the control store instead.
+Rules, services and drains, which operators change while it runs, are in the control store.
 """
 
 import typing as t
@@ -23,9 +23,9 @@
 
 @_strict
 class RetrySettings(TypedDict):
-    """Repeats that all entries together may send to one service in any `window`.
+    """Limit on the retries that all entries together send to one service in any `window`.
 
-    They are at most `ratio` times its requests, plus `slack`.
+    It is `ratio` times the service's requests, plus `slack`.
     """
 
     ratio: Ratio
@@ -35,7 +35,7 @@
 
 @_strict
 class ColdSettings(TypedDict):
-    """A cold endpoint bears its service's rate times `overage`, plus `slack`, in a second."""
+    """A cold endpoint takes its service's rate times `overage`, plus `slack`, each second."""
 
     overage: Ratio
     slack: t.Annotated[float, Field(ge=0)]
@@ -45,11 +45,12 @@
 class GatewaySettings(TypedDict):
     """Settings of one gateway.
 
-    `zones` gives the region of each zone. `stop_time` is how long a stop may take until the
-    process is killed, `drain_time` how soon a leaving endpoint must get nothing more, and
-    `lookup_life` how long callers may keep the answer to a look-up. `peers` is where it talks
-    with other entries; without it the entry asks the store by itself. `record_life` is how long the
-    record of an entry that died stays in the store; stores have a least time for it.
+    `zones` gives the region of each zone. `stop_time` is the time between the signal to stop and
+    the end of the process by force, `drain_time` the time within which a leaving endpoint gets no
+    more requests, and `lookup_life` the time for which callers may cache a look-up. `peers` is the
+    address for other gateways; without it the gateway takes changes from the store only.
+    `record_life` is how long the record of a failed entry stays in the store; stores have a minimum
+    for it.
     """
 
     name: Label
@@ -71,7 +72,7 @@
 
 
 class Bounds(t.NamedTuple):
-    """The bounds of the settings, as values."""
+    """The time limits of the settings, parsed."""
 
     stop_time: timedelta
     drain_time: timedelta
@@ -80,11 +81,11 @@
     retry_window: timedelta
 
 
-RECORD_LIFE = "3s"
-"""Life of an entry's record unless the settings say another: look-ups go on naming an entry that
-died that long, and half of it is the time between two renewals."""
+DEFAULT_RECORD_TTL = "3s"
+"""Default of `record_life`. Look-ups go on naming a failed entry for that long, and half of it
+is the time between two renewals."""
 
-FIXED = (
+RESTART_SETTINGS = (
     "name",
     "zone",
     "region",
@@ -95,11 +96,12 @@
     "peers",
     "store",
 )
-"""Settings that need a new start: who the process is, and the addresses that it holds."""
+"""Settings that take effect only after a restart: the identity of the process, and its
+addresses."""
 
 
 def load_settings(text: str) -> Result[GatewaySettings, tuple[Mistake, ...]]:
-    """Check a settings file's text.
+    """Parse and check the text of a settings file.
 
     Returns
     -------
@@ -109,12 +111,12 @@
     return load_typed(GatewaySettings, text)
 
 
-def bounds_of(cfg: GatewaySettings) -> Bounds:
-    """Return the bounds of checked settings."""
+def parse_bounds(cfg: GatewaySettings) -> Bounds:
+    """Return the time limits of checked settings."""
     return Bounds(
         stop_time=parse_duration(cfg["stop_time"]),
         drain_time=parse_duration(cfg["drain_time"]),
         lookup_life=parse_duration(cfg["lookup_life"]),
-        record_life=parse_duration(cfg.get("record_life", RECORD_LIFE)),
+        record_life=parse_duration(cfg.get("record_life", DEFAULT_RECORD_TTL)),
         retry_window=parse_duration(cfg["retries"]["window"]),
     )
--- a/packages/gateway/src/cardamomloft/gateway/status.py
+++ b/packages/gateway/src/cardamomloft/gateway/status.py
@@ -1,4 +1,4 @@
-"""What the operators' pages of a gateway show."""
+"""Content of a gateway's pages for operators."""
 
 import typing as t
 from datetime import timedelta
@@ -11,7 +11,7 @@
 
 
 class GatewayStatus:
-    """Answers the pages of one gateway.
+    """Provides the content of one gateway's pages for operators.
 
     Parameters
     ----------
@@ -23,7 +23,7 @@
         self._gateway = gateway
 
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Tell whether look-ups may name this entry."""
         return self._gateway.ready()
 
     def metrics_text(self) -> str:
@@ -60,7 +60,7 @@
         return page
 
     def explain(self, question: dict[str, t.Any]) -> dict[str, t.Any]:
-        """Tell which rule a request would match; the question names its `host` and `path`."""
+        """Return the rule that a request with the `host` and `path` in `question` would match."""
         host, path = str(question.get("host", "")), str(question.get("path", "/"))
         pairs = (("host", host), (self._gateway.headers.request_id, "explain"))
         head = RequestHead("GET", path, "", pairs, "", 0, False)
--- a/packages/gateway/src/cardamomloft/gateway/storecontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/storecontrol.py
@@ -1,7 +1,7 @@
-"""The control store behind the product's own key-value interface.
+"""The control store over the key-value interface.
 
-Keys: ``routes/current`` holds the configuration document, ``upstreams/ID`` a registration,
-``drained-zones/ZONE`` anything, ``entries/NAME`` an entry's own record.
+Keys: ``routes/current`` holds the configuration document, ``upstreams/ID`` a registration, and
+``entries/NAME`` an entry's own record. ``drained-zones/ZONE`` drains a zone; its value is ignored.
 """
 
 import typing as t
@@ -41,16 +41,16 @@
 class StoreControl:
     """A :class:`~cardamomloft.gateway.control.Control` over a key-value store.
 
-    The store has no history of changes, so each question lists all keys, and what differs from
-    the list before is a change. That is all that has changed only for who has learned nothing
-    elsewhere since that list; others have to take the whole list.
+    The store keeps no history, so each request lists all keys and compares them with the previous
+    list. The differences are complete only for a reader whose position is that of the previous
+    list; others have to take a complete listing.
 
     Parameters
     ----------
     store
         The store.
     prefix
-        What all keys of this deployment begin with.
+        Common prefix of all keys of this deployment.
     """
 
     def __init__(self, store: Store, prefix: str) -> None:
@@ -67,7 +67,7 @@
     def changes(
         self, after: Position, wait: timedelta
     ) -> "Deferred[Result[Changes, StoreFailure]]":
-        """Return what differs from the last list, at once; `lost` if `after` is not its index."""
+        """Return the differences from the last list at once; `lost` if `after` is not its index."""
         if self._index not in (None, after):
             return succeed(Ok(Changes((), after, lost=True)))
         return ensureDeferred(self._changes())
@@ -111,16 +111,16 @@
                 return Error(failure)
 
     def renew(self, lease: str) -> "Deferred[Result[bool, StoreFailure]]":
-        """Renew a lease; return False if it had lapsed."""
+        """Renew a lease; return False if it had expired."""
         return self._store.renew(lease)
 
     def withdraw(self, lease: str) -> "Deferred[Result[None, StoreFailure]]":
-        """End a lease, and the record with it."""
+        """Revoke a lease, which removes the record."""
         return self._store.release(lease)
 
 
 def _position(listed: Listed) -> Position:
-    # This interface tells no eras.
+    # The key-value interface has no eras.
     return Position(0, listed.index)
 
 
@@ -144,7 +144,7 @@
         return ZoneRestored(key.removeprefix(DRAINED_ZONES))
     if key.startswith(ENTRIES):
         return EntryWithdrawn(key.removeprefix(ENTRIES))
-    # A configuration that was deleted stays in force until there is a newer one.
+    # A deleted configuration stays in force until there is a newer one.
     return None
 
 
--- a/packages/gateway/src/cardamomloft/gateway/storeview.py
+++ b/packages/gateway/src/cardamomloft/gateway/storeview.py
@@ -1,4 +1,8 @@
-"""What a gateway knows of the control store's contents, and what each fact changes in it."""
+"""Applies facts from the control store to the gateway's tables.
+
+After the store was restored from an older copy, facts older than what is known here are applied
+only after a time for confirmation.
+"""
 
 import typing as t
 from collections.abc import Callable, Iterable
@@ -29,169 +33,174 @@
 from cardamomloft.runtime.logs import Known, log
 from cardamomloft.runtime.metrics import Metrics
 
-DOUBTED_LOGGED = 20
-"""Facts of a restored store that are named in the log line, of those that are not taken."""
+MAX_UNCONFIRMED_LOGGED = 20
+"""Maximum number of unconfirmed facts named in the log line about a restored store."""
 
 
-class _Doubt(t.NamedTuple):
-    """A fact of a restored store that is not believed yet, and the instant at which it is."""
+class _UnconfirmedFact(t.NamedTuple):
+    """A fact of a restored store that is not applied yet, and the instant at which it will be."""
 
     fact: Fact
     until: timedelta
 
 
 class StoreView:
-    """Applies facts to the books of upstreams and entries, and to what is derived from them.
+    """Applies facts to the tables of upstreams and entries, and to the selector.
 
     Parameters
     ----------
     clock
         Source of time.
-    book, entries
-        The upstream endpoints and the entries that are known.
+    upstream_table, entries
+        The known upstream endpoints and entries.
     selector
         Divides limits among the entries.
-    forget
-        Closes idle connections to an address, whose endpoint has started anew.
+    close_idle
+        Closes idle connections to an address whose endpoint has restarted.
     on_plan
-        Takes a configuration, which may be older than the one in force.
+        Called with a configuration, which may be older than the one in force.
     metrics
-        Counts what is doubted.
+        Counts restores and unconfirmed facts.
 
     Attributes
     ----------
     listed
-        Whether a whole list was taken.
+        Whether a complete listing has been applied.
     """
 
     def __init__(
         self,
         clock: Clock,
-        book: UpstreamBook,
+        upstream_table: UpstreamBook,
         entries: EntryBook,
         selector: Selector,
-        forget: Callable[[str], None],
+        close_idle: Callable[[str], None],
         on_plan: Callable[[RoutePlan], None],
         metrics: Metrics,
     ) -> None:
         self._clock = clock
-        self._book = book
+        self._upstream_table = upstream_table
         self._entries = entries
         self._selector = selector
-        self._forget = forget
+        self._close_idle = close_idle
         self._on_plan = on_plan
         self._metrics = metrics
         self._unreadable = Known()
         self._era: int | None = None
-        self._doubts: dict[FactKey, _Doubt] = {}
+        self._unconfirmed: dict[FactKey, _UnconfirmedFact] = {}
         self.listed = False
 
     def take_listing(self, listing: Listing) -> None:
-        """Take a list of all that the store holds: what is not in it has gone."""
+        """Apply a complete listing: what it does not contain has been removed from the store."""
         now = self._clock.monotonic()
         restored = self._is_restored(listing.index)
-        facts = self._sift(listing) if restored else self._undoubted(listing.facts)
+        facts = self._sift(listing) if restored else self._without_unconfirmed(listing.facts)
         self.take_changes(facts)
         upstreams = _listed_upstreams(listing.facts)
         entries = {fact.record.name for fact in facts if isinstance(fact, EntryRecorded)}
-        _log_gone(self._book.listed(upstreams, now))
+        _log_gone(self._upstream_table.listed(upstreams, now))
         self._entries.listed(entries, now)
-        for zone in missing_drains(listing.facts, self._book):
-            if key_of(ZoneRestored(zone)) not in self._doubts:
-                self._take(ZoneRestored(zone))
+        for zone in missing_drains(listing.facts, self._upstream_table):
+            if key_of(ZoneRestored(zone)) not in self._unconfirmed:
+                self._apply(ZoneRestored(zone))
         self.listed = True
 
     def _is_restored(self, index: Position) -> bool:
-        """Note the era of a list; return whether the store came back from an older copy."""
+        """Record the era of a listing; return whether the store was restored from an older copy."""
         before, self._era = self._era, index.era
         return before not in (None, index.era)
 
     def _sift(self, listing: Listing) -> tuple[Fact, ...]:
-        """Return what to take of the list of a restored store, and expect that others write."""
+        """Return the facts of a restored store that can be applied; keep the others as unconfirmed.
+
+        Records that the copy lacks are kept for a time, since their owners may write them again.
+        """
         now = self._clock.monotonic()
-        self._book.expect_returns(now)
+        self._upstream_table.expect_returns(now)
         self._entries.expect_returns(now)
-        taken, doubted = sift(listing.facts, self._book, self._entries)
-        drains = missing_drains(listing.facts, self._book)
-        doubted = (*doubted, *map(ZoneRestored, sorted(drains)))
-        self._doubts = {key_of(fact): _Doubt(fact, now + DOUBT_TIME) for fact in doubted}
+        taken, unconfirmed = sift(listing.facts, self._upstream_table, self._entries)
+        drains = missing_drains(listing.facts, self._upstream_table)
+        unconfirmed = (*unconfirmed, *map(ZoneRestored, sorted(drains)))
+        self._unconfirmed = {
+            key_of(fact): _UnconfirmedFact(fact, now + DOUBT_TIME) for fact in unconfirmed
+        }
         self._metrics.count("stores_restored")
-        self._metrics.count("doubted_facts", len(doubted))
+        self._metrics.count("doubted_facts", len(unconfirmed))
         log(
             "store-restored",
             era=listing.index.era,
             revision=listing.index.revision,
-            doubted=[str(fact) for fact in doubted[:DOUBTED_LOGGED]],
+            doubted=[str(fact) for fact in unconfirmed[:MAX_UNCONFIRMED_LOGGED]],
             doubted_ms=DOUBT_TIME // timedelta(milliseconds=1),
         )
         return taken
 
-    def _undoubted(self, facts: tuple[Fact, ...]) -> tuple[Fact, ...]:
-        """Return the facts of a list but for those that are doubted as they stand there.
+    def _without_unconfirmed(self, facts: tuple[Fact, ...]) -> tuple[Fact, ...]:
+        """Return the facts of a listing except those still unconfirmed with the same content.
 
-        What was doubted and is not there any more has gone.
+        Unconfirmed facts that the listing no longer contains are discarded.
         """
         listed = {key_of(fact) for fact in facts}
-        for key, doubt in list(self._doubts.items()):
-            if key not in listed and not isinstance(doubt.fact, ZoneRestored):
-                del self._doubts[key]
-        return tuple(fact for fact in facts if not self._is_doubted(fact))
+        for key, unconfirmed in list(self._unconfirmed.items()):
+            if key not in listed and not isinstance(unconfirmed.fact, ZoneRestored):
+                del self._unconfirmed[key]
+        return tuple(fact for fact in facts if not self._is_unconfirmed(fact))
 
-    def _is_doubted(self, fact: Fact) -> bool:
-        doubt = self._doubts.get(key_of(fact))
-        return doubt is not None and is_same(doubt.fact, fact)
+    def _is_unconfirmed(self, fact: Fact) -> bool:
+        unconfirmed = self._unconfirmed.get(key_of(fact))
+        return unconfirmed is not None and is_same(unconfirmed.fact, fact)
 
     def take_changes(self, facts: tuple[Fact, ...]) -> None:
-        """Take facts that have changed, in order."""
+        """Apply facts that have changed, in order."""
         withdrawn = _withdrawn(facts)
-        if self._book.have_lapsed(withdrawn):
-            log("registrations-lapsed", count=len(withdrawn), of=len(self._book))
-            self._book.expect_returns(self._clock.monotonic())
+        if self._upstream_table.have_lapsed(withdrawn):
+            log("registrations-lapsed", count=len(withdrawn), of=len(self._upstream_table))
+            self._upstream_table.expect_returns(self._clock.monotonic())
         for fact in facts:
-            self._doubts.pop(key_of(fact), None)
-            self._take(fact)
-        self._share_budgets()
+            self._unconfirmed.pop(key_of(fact), None)
+            self._apply(fact)
+        self._update_selector_entries()
 
     def store_returned(self) -> None:
-        """Note that the store answers again: records that lapsed may come back."""
+        """Record that the store has recovered: expired records may be written again."""
         self._entries.expect_returns(self._clock.monotonic())
 
     def tick(self) -> None:
-        """Withdraw what did not come back in time."""
+        """Remove the records that were not written again in time, and apply confirmed facts."""
         now = self._clock.monotonic()
-        _log_gone(self._book.tick(now))
+        _log_gone(self._upstream_table.tick(now))
         for name in self._entries.tick(now):
             log("entry-gone", name=name)
-        self._believe(now)
-        self._share_budgets()
+        self._apply_confirmed(now)
+        self._update_selector_entries()
 
-    def _believe(self, now: timedelta) -> None:
-        """Take what was doubted and has stood for long enough."""
-        for key, doubt in list(self._doubts.items()):
-            if doubt.until <= now:
-                del self._doubts[key]
-                self._take(doubt.fact)
+    def _apply_confirmed(self, now: timedelta) -> None:
+        """Apply the unconfirmed facts whose time for confirmation is over."""
+        for key, unconfirmed in list(self._unconfirmed.items()):
+            if unconfirmed.until <= now:
+                del self._unconfirmed[key]
+                self._apply(unconfirmed.fact)
 
-    def _share_budgets(self) -> None:
+    def _update_selector_entries(self) -> None:
         self._selector.entries = self._entries.sharing(self._clock.monotonic())
         self._selector.others = [row.name for row in self._entries.records(with_own=False)]
 
     @singledispatchmethod
-    def _take(self, fact: Fact) -> None:
+    def _apply(self, fact: Fact) -> None:
         raise TypeError(f"not a fact: {fact!r}")
 
-    @_take.register
+    @_apply.register
     def _(self, fact: PlanRead) -> None:
         self._on_plan(fact.plan)
 
-    @_take.register
+    @_apply.register
     def _(self, fact: UpstreamRegistered) -> None:
-        row, before = fact.registration, self._book.get(fact.registration.id)
+        row, before = fact.registration, self._upstream_table.get(fact.registration.id)
         self._unreadable.forget(row.id)
-        if self._book.register(row, self._clock.monotonic()):
-            if before is not None and self._book.get(row.id) is not before:
-                # What was kept open belongs to the life before.
-                self._forget(before.registration.address)
+        if self._upstream_table.register(row, self._clock.monotonic()):
+            if before is not None and self._upstream_table.get(row.id) is not before:
+                # The idle connections belong to the previous incarnation.
+                self._close_idle(before.registration.address)
             log(
                 "upstream",
                 id=row.id,
@@ -203,40 +212,40 @@
                 cold_ms=row.cold_left // timedelta(milliseconds=1),
             )
 
-    @_take.register
+    @_apply.register
     def _(self, fact: UpstreamWithdrawn) -> None:
         self._unreadable.forget(fact.id)
-        if self._book.withdraw(fact.id, self._clock.monotonic()):
+        if self._upstream_table.withdraw(fact.id, self._clock.monotonic()):
             _log_gone([fact.id])
 
-    @_take.register
+    @_apply.register
     def _(self, fact: UpstreamUnreadable) -> None:
-        used = self._book.hide(fact.id)
+        used = self._upstream_table.hide(fact.id)
         if self._unreadable.is_new(fact.id, fact.detail):
             log("unreadable", upstream=fact.id, detail=fact.detail, was_used=used)
 
-    @_take.register
+    @_apply.register
     def _(self, fact: ZoneDrained) -> None:
-        if self._book.drain_zone(fact.zone):
+        if self._upstream_table.drain_zone(fact.zone):
             log("zone-drained", zone=fact.zone)
 
-    @_take.register
+    @_apply.register
     def _(self, fact: ZoneRestored) -> None:
         cold_times = {name: row.cold_time for name, row in self._selector.policies.items()}
-        if self._book.restore_zone(fact.zone, self._clock.monotonic(), cold_times):
+        if self._upstream_table.restore_zone(fact.zone, self._clock.monotonic(), cold_times):
             log("zone-restored", zone=fact.zone)
 
-    @_take.register
+    @_apply.register
     def _(self, fact: EntryRecorded) -> None:
         if self._entries.add(fact.record, self._clock.monotonic()):
             log("entry", name=fact.record.name, address=fact.record.address)
 
-    @_take.register
+    @_apply.register
     def _(self, fact: EntryWithdrawn) -> None:
         if self._entries.withdraw(fact.name, self._clock.monotonic()):
             log("entry-gone", name=fact.name)
 
-    @_take.register
+    @_apply.register
     def _(self, fact: Unreadable) -> None:
         if self._unreadable.is_new(fact.key, fact.detail):
             log("unreadable", key=fact.key, detail=fact.detail)
@@ -248,7 +257,7 @@
 
 
 def _listed_upstreams(facts: Iterable[Fact]) -> set[str]:
-    """Return the ids under which something is registered, readable or not."""
+    """Return the ids of all registrations, readable or not."""
     found = {fact.registration.id for fact in facts if isinstance(fact, UpstreamRegistered)}
     return found | {fact.id for fact in facts if isinstance(fact, UpstreamUnreadable)}
 
