--- a/packages/core/src/cardamomloft/core/admission.py
+++ b/packages/core/src/cardamomloft/core/admission.py
@@ -1,7 +1,7 @@
-"""Admission: short queues by priority, and refusal at once of what cannot finish in time.
+"""Admission control with bounded priority queues and deadlines.
 
-There is one queue for each service at each place. It estimates how long a new request would wait
-and run from the service times seen; who cannot finish by its deadline is refused before it waits.
+There is one queue per service and place. Waiting and running time of a new request are estimated
+from observed service times, and a request that cannot finish by its deadline is refused at once.
 """
 
 import bisect
@@ -13,21 +13,21 @@
 from expression import Error, Ok, Result
 
 MAX_QUEUED = 64
-"""Requests that one queue holds at most, unless told otherwise."""
+"""Default maximum length of a queue."""
 
-_SMOOTHING = 1 / 16
-_QUIET = timedelta(seconds=1)
-_HALVING = timedelta(seconds=2)
-_SURE = 2.0
-_EVICTION = 0.5
+_SMOOTHING_FACTOR = 1 / 16
+_DECAY_DELAY = timedelta(seconds=1)
+_DECAY_HALF_LIFE = timedelta(seconds=2)
+_DEVIATIONS = 2.0
+_EVICTION_WAIT_FACTOR = 0.5
 _ZERO = timedelta(0)
 _MILLISECOND = timedelta(milliseconds=1)
-_UNSEEN = timedelta(milliseconds=50)
-_MIN_RETRY = timedelta(milliseconds=50)
+_DEFAULT_SERVICE_TIME = timedelta(milliseconds=50)
+_MIN_RETRY_AFTER = timedelta(milliseconds=50)
 
 
 class QueueKey(t.NamedTuple):
-    """The queue of a service at a place."""
+    """Identifies the queue of a service at a place."""
 
     service: str
     place: str
@@ -44,17 +44,17 @@
 
 
 class Evicted(t.NamedTuple):
-    """A request that was taken off its queue, with its refusal. It was never sent."""
+    """A request that was removed from its queue without being sent, and its refusal."""
 
     item: Queued
     refusal: Refusal
 
 
 class ServiceTime:
-    """How long a service's requests take: the smoothed mean and mean deviation.
+    """Smoothed mean and mean deviation of a service's request durations.
 
-    The figure halves again and again while nothing is observed, so that a slow spell cannot keep
-    out for good the very requests that would show its end.
+    The estimate decays exponentially while nothing is observed. Otherwise a slow phase could cause
+    all requests to be refused, and the estimate would never recover.
     """
 
     def __init__(self) -> None:
@@ -63,31 +63,31 @@
         self._at: timedelta | None = None
 
     def observe(self, duration: timedelta, now: timedelta) -> None:
-        """Count one answer that took `duration`."""
+        """Add the duration of one answered request."""
         if self._at is None:
             self._mean, self._deviation = duration, duration / 4
         else:
-            self._deviation += (abs(duration - self._mean) - self._deviation) * _SMOOTHING
-            self._mean += (duration - self._mean) * _SMOOTHING
+            self._deviation += (abs(duration - self._mean) - self._deviation) * _SMOOTHING_FACTOR
+            self._mean += (duration - self._mean) * _SMOOTHING_FACTOR
         self._at = now
 
     def mean(self, now: timedelta) -> timedelta:
-        """Return the expected duration; zero as long as nothing is known."""
-        return self._mean * self._fade(now)
+        """Return the expected duration; zero before the first observation."""
+        return self._mean * self._decay(now)
 
     def likely(self, now: timedelta) -> timedelta:
-        """Return a duration that most requests keep within."""
-        return (self._mean + self._deviation * _SURE) * self._fade(now)
+        """Return a duration that most requests do not exceed."""
+        return (self._mean + self._deviation * _DEVIATIONS) * self._decay(now)
 
-    def _fade(self, now: timedelta) -> float:
+    def _decay(self, now: timedelta) -> float:
         if self._at is None:
             return 0.0
-        quiet = now - self._at - _QUIET
-        return 1.0 if quiet <= _ZERO else 0.5 ** (quiet / _HALVING)
+        decaying = now - self._at - _DECAY_DELAY
+        return 1.0 if decaying <= _ZERO else 0.5 ** (decaying / _DECAY_HALF_LIFE)
 
 
 class _Position(t.NamedTuple):
-    """Sort key: higher priority first, then the earlier deadline, then the earlier arrival."""
+    """Sort key: higher priority first, then earlier deadline, then earlier arrival."""
 
     priority: Priority
     deadline: timedelta
@@ -104,7 +104,7 @@
         self.slots = 1
 
     def wait(self, ahead: int, free: int, mean: timedelta) -> timedelta:
-        """Return the expected wait behind `ahead` requests; slots end evenly spread."""
+        """Return the expected wait behind `ahead` requests if slots end at evenly spread times."""
         return mean * max(0, ahead - free + 1) / max(1, self.slots)
 
 
@@ -116,7 +116,7 @@
     clock
         Source of time.
     max_queued
-        Requests that each queue holds at most.
+        Maximum length of each queue.
     """
 
     def __init__(self, clock: Clock, *, max_queued: int = MAX_QUEUED) -> None:
@@ -129,33 +129,33 @@
     def offer(
         self, item: Queued, *, free: int = 0, slots: int = 1
     ) -> Result[Evicted | None, Refusal]:
-        """Queue a request, or refuse it at once.
+        """Queue a request or refuse it.
 
         Parameters
         ----------
         item
             The request.
         free
-            Slots of the place that this entry could use at this moment.
+            Slots of the place that this entry can use now.
         slots
             Slots of the place that this entry holds, in use or not.
 
         Returns
         -------
         Result
-            The request of lower priority that had to leave for this one, if any; its caller is
-            to be told its refusal now.
+            The request of lower priority that was evicted for this one, if any; the caller of
+            `offer` must answer it with its refusal.
 
         Errors
         ------
         Refusal
-            DEADLINE if it could not finish in time, OVERLOAD if the queue is full of requests of
-            at least its priority.
+            DEADLINE if the request cannot finish in time, OVERLOAD if the queue is full of
+            requests of the same or a higher priority.
         """
         queue = self._queues.setdefault(QueueKey(item.service, item.place), _Queue())
         queue.slots = slots
         ahead = bisect.bisect(queue.items, _position(item), key=_position)
-        refusal = self._hopeless(item, queue, ahead, free)
+        refusal = self._check_deadline(item, queue, ahead, free)
         if refusal is not None:
             return Error(refusal)
         evicted = None
@@ -169,7 +169,7 @@
         return Ok(evicted)
 
     def pop(self, service: str, place: str) -> Queued | None:
-        """Take the request that goes next into a free slot of the place, if one waits."""
+        """Remove and return the next request for a free slot of the place, or None."""
         queue = self._queues.get(QueueKey(service, place))
         if queue is None or not queue.items:
             return None
@@ -178,12 +178,12 @@
         return item
 
     def peek(self, service: str, place: str) -> Queued | None:
-        """Return what :meth:`pop` would return, and leave it queued."""
+        """Return what :meth:`pop` would return without removing it."""
         queue = self._queues.get(QueueKey(service, place))
         return queue.items[0] if queue is not None and queue.items else None
 
     def remove(self, number: int) -> bool:
-        """Forget a request whose caller has left; tell whether it was queued."""
+        """Remove a request whose caller has disconnected; return whether it was queued."""
         item = self._keys.get(number)
         if item is None:
             return False
@@ -191,25 +191,27 @@
         return True
 
     def expire(self) -> list[Evicted]:
-        """Take off all requests that can no longer finish by their deadlines.
+        """Evict all requests that can no longer finish by their deadlines.
 
-        Call it before :meth:`pop`. Arrivals of higher priority may have pushed a request back; it
-        leaves as soon as even half of the estimated wait is too long.
+        Call it before :meth:`pop`. Requests of higher priority that arrive later lengthen the wait
+        of the others. One is evicted when even half of its estimated wait is too long.
         """
-        return [gone for key, queue in self._queues.items() for gone in self._expire(key, queue)]
+        return [
+            evicted for key, queue in self._queues.items() for evicted in self._expire(key, queue)
+        ]
 
     def observe(self, service: str, duration: timedelta) -> None:
-        """Count how long one request of the service ran, from sending to its whole answer."""
+        """Add the duration of one request, from sending it to the end of its answer."""
         times = self._times.setdefault(service, ServiceTime())
         times.observe(duration, self._clock.monotonic())
 
     def expected(self, service: str) -> timedelta:
-        """Return the mean duration of the service's requests; zero if nothing is known."""
+        """Return the mean duration of the service's requests; zero if none was observed."""
         times = self._times.get(service)
         return _ZERO if times is None else times.mean(self._clock.monotonic())
 
     def queues(self) -> list[QueueKey]:
-        """Return the queues in which requests wait."""
+        """Return the keys of all queues that are not empty."""
         return [key for key, queue in self._queues.items() if queue.items]
 
     def __len__(self) -> int:
@@ -224,13 +226,13 @@
 
     def _likely(self, service: str) -> timedelta:
         times = self._times.get(service)
-        return _UNSEEN if times is None else times.likely(self._clock.monotonic())
+        return _DEFAULT_SERVICE_TIME if times is None else times.likely(self._clock.monotonic())
 
-    def _hopeless(self, item: Queued, queue: _Queue, ahead: int, free: int) -> Refusal | None:
+    def _check_deadline(self, item: Queued, queue: _Queue, ahead: int, free: int) -> Refusal | None:
         remaining = item.deadline - self._clock.monotonic()
         mean = self.expected(item.service)
         wait = queue.wait(ahead, free, mean)
-        # One that need not wait is given the benefit of the doubt: the mean must fit, no more.
+        # A request that does not have to wait is refused only if even the mean does not fit.
         run = self._likely(item.service) if wait else mean
         if remaining > wait + run:
             return None
@@ -244,7 +246,7 @@
         kept, evicted = 0, []
         for item in tuple(queue.items):
             remaining, wait = item.deadline - now, queue.wait(kept, 1, mean)
-            if remaining > wait * _EVICTION + run:
+            if remaining > wait * _EVICTION_WAIT_FACTOR + run:
                 kept += 1
                 continue
             self._drop(item)
@@ -252,12 +254,12 @@
         return evicted
 
     def _refuse_late(self, remaining: timedelta, wait: timedelta, run: timedelta) -> Refusal:
-        # After this time the queue, if nobody joins it, is short enough for the same request.
-        after = max(_MIN_RETRY, min(wait, wait + run - remaining)) if wait else None
+        # Unless others join the queue, the same request would be admitted after this time.
+        after = max(_MIN_RETRY_AFTER, min(wait, wait + run - remaining)) if wait else None
         needs, has = (wait + run) // _MILLISECOND, max(remaining, _ZERO) // _MILLISECOND
-        detail = f"needs {needs} ms and has {has} ms"
+        detail = f"the request needs about {needs} ms but its deadline is in {has} ms"
         return Refusal(RefusalReason.DEADLINE, detail, after)
 
     def _overload(self, item: Queued, queue: _Queue) -> Refusal:
         wait = queue.wait(len(queue.items), 0, self.expected(item.service))
-        return Refusal(RefusalReason.OVERLOAD, "the queue is full", max(_MIN_RETRY, wait))
+        return Refusal(RefusalReason.OVERLOAD, "the queue is full", max(_MIN_RETRY_AFTER, wait))
--- a/packages/core/src/cardamomloft/core/affinity.py
+++ b/packages/core/src/cardamomloft/core/affinity.py
@@ -1,7 +1,7 @@
-"""Which endpoint an object belongs to: weighted rendezvous hashing.
+"""Weighted rendezvous hashing, which maps affinity keys to endpoints.
 
-Every entry that knows the same endpoints ranks them alike for a key, without a message. When an
-endpoint comes or goes only the keys that it gets or had move.
+Entries that know the same endpoints rank them identically for a key, without coordination. When an
+endpoint joins or leaves, only the keys that it gains or loses move.
 """
 
 import heapq
@@ -15,13 +15,13 @@
 _BITS = 64
 _MASK = (1 << _BITS) - 1
 _SCALE = float(1 << _BITS)
-# Multipliers and shifts of the finalizer of SplitMix64 (Steele, Lea and Flood 2014).
+# Multipliers of the finalizer of SplitMix64 (Steele, Lea and Flood 2014).
 _MIX_1 = 0xBF58476D1CE4E5B9
 _MIX_2 = 0x94D049BB133111EB
 
 
 class Candidate(t.NamedTuple, t.Generic[T]):
-    """One of those to rank: `seed` is the hash of its name, and `weight` above 0."""
+    """An item to rank; `seed` is the hash of its name, and `weight` is positive."""
 
     item: T
     seed: int
@@ -29,21 +29,21 @@
 
 
 def text_hash(text: str) -> int:
-    """Return 64 bits that are the same for a text in every process."""
+    """Return a 64-bit hash of `text` that is the same in every process."""
     return int.from_bytes(blake2b(text.encode(), digest_size=_BITS // 8).digest())
 
 
 def unit_hash(key: str, name: str) -> float:
-    """Return a number between 0 and 1 (both excluded) that depends on `key` and `name` only."""
+    """Return a hash of `key` and `name` between 0 and 1 (both excluded)."""
     return unit_of(text_hash(key), text_hash(name))
 
 
 def first_ranked(key: str, candidates: Sequence[Candidate[T]], count: int) -> list[T]:
-    """Return the `count` candidates that `key` prefers, in that order.
+    """Return the `count` highest-ranked candidates for `key`, best first.
 
-    Each is first for a part of all keys in proportion to its weight (highest random weight with
-    the logarithmic method, Schindelhauer and Schomaker 2005). Mixing two hashes that are known
-    takes about a tenth of the time of hashing both texts together.
+    Each candidate ranks first for a fraction of all keys that is proportional to its weight
+    (highest random weight with the logarithmic method, Schindelhauer and Schomaker 2005). Mixing
+    two precomputed hashes is much cheaper than hashing both texts together.
     """
     hashed, log = text_hash(key), math.log
     scored = [
@@ -54,7 +54,7 @@
 
 
 def unit_of(first: int, second: int) -> float:
-    """Return the number of :func:`unit_hash` for two texts whose hashes are known."""
+    """Return what :func:`unit_hash` returns for two texts with these hashes."""
     mixed = first ^ (second * _MIX_1 & _MASK)
     mixed = (mixed ^ mixed >> 30) * _MIX_1 & _MASK
     mixed = (mixed ^ mixed >> 27) * _MIX_2 & _MASK
--- a/packages/core/src/cardamomloft/core/budgets.py
+++ b/packages/core/src/cardamomloft/core/budgets.py
@@ -1,31 +1,31 @@
-"""Budgets that hold over all entries together, each entry owning a part.
+"""Budgets that hold over all entries together, divided without coordination.
 
-An entry's part depends only on how many entries are recorded, so that the parts add up to less
-than the whole without a message. A new entry begins with nothing that was another's: its own
-requests earn it repeats, and the slack is divided with a margin.
+An entry's share depends only on the number of recorded entries, so that the shares add up to less
+than the whole. A new entry takes over nothing from another one: its own requests earn it retries,
+and the fixed allowance is divided with a margin.
 """
 
 import typing as t
 from collections import deque
 from datetime import timedelta
 
-SAFETY = 0.8
-"""Part of a budget that is divided; the rest covers entries that learn of each other late.
+DIVIDED_FRACTION = 0.8
+"""Fraction of a budget that is divided; the rest covers entries that are not yet known to all.
 
-While one of ten entries is added and the others have not yet heard of it, the parts add up to
-1.1 times what was divided; 0.8 x 1.1 stays below 1, and so does a quarter more entries at once.
+While a tenth entry joins nine others, the shares may add up to 1.1 times what was divided;
+0.8 x 1.1 stays below 1, as it does with a quarter more entries at once.
 """
 
 
 class RetryBudget:
-    """Repeats of one service's requests by this entry, in a sliding window.
+    """Bounds one entry's retries for a service in a sliding window.
 
     Parameters
     ----------
     ratio
-        Repeats allowed for each request, over all entries.
+        Retries allowed per request, over all entries.
     slack
-        Repeats allowed besides, over all entries.
+        Additional retries allowed in a window, over all entries.
     window
         Length of the sliding window.
     """
@@ -33,10 +33,10 @@
     def __init__(self, ratio: float, slack: float, window: timedelta) -> None:
         self.allow(ratio, slack, window)
         self._requests: deque[timedelta] = deque()
-        self._repeats: deque[timedelta] = deque()
+        self._retries: deque[timedelta] = deque()
 
     def allow(self, ratio: float, slack: float, window: timedelta) -> None:
-        """Hold other bounds from now on; what was counted stays."""
+        """Replace the limits; requests and retries counted so far are kept."""
         self._ratio = ratio
         self._slack = slack
         self._window = window
@@ -44,34 +44,37 @@
     def on_request(self, now: timedelta) -> None:
         """Count one caller's request."""
         self._requests.append(now)
-        self._forget(now)
+        self._expire(now)
 
     def may_repeat(self, entries: int, now: timedelta) -> bool:
-        """Tell whether one more repeat fits this entry's part.
+        """Return whether one more retry fits within this entry's share.
 
         Parameters
         ----------
         entries
-            How many entries share the budget.
+            Number of entries that share the budget.
         now
             Monotonic instant.
         """
-        self._forget(now)
-        part = self._ratio * len(self._requests) + self._slack / max(entries, 1)
-        return len(self._repeats) + 1 <= SAFETY * part
+        self._expire(now)
+        allowed = self._ratio * len(self._requests) + self._slack / max(entries, 1)
+        return len(self._retries) + 1 <= DIVIDED_FRACTION * allowed
 
     def spend(self, now: timedelta) -> None:
-        """Count one repeat."""
-        self._repeats.append(now)
+        """Count one retry."""
+        self._retries.append(now)
 
-    def _forget(self, now: timedelta) -> None:
-        for instants in (self._requests, self._repeats):
+    def _expire(self, now: timedelta) -> None:
+        for instants in (self._requests, self._retries):
             while instants and now - instants[0] > self._window:
                 instants.popleft()
 
 
 class ColdLimit(t.NamedTuple):
-    """Requests a second that a cold endpoint bears: ``rate * overage + slack``, all entries."""
+    """Rate limit of a cold endpoint in requests per second, over all entries.
+
+    The limit is ``rate * overage + slack``, where ``rate`` is what the service states.
+    """
 
     overage: float
     slack: float
@@ -79,40 +82,40 @@
 
 _SECOND = timedelta(seconds=1)
 _COLD_MARGIN = timedelta(milliseconds=150)
-"""How much a request's arrival may be later or earlier than the one before: link and queue."""
+"""Allowance for jitter between sending a request and its arrival, from the link and from queues."""
 
 
-def cold_part(rate: float, limit: ColdLimit, entries: int, place: int) -> int:
-    """Return how many requests a second an entry may send to a cold endpoint.
+def cold_allowance(rate: float, limit: ColdLimit, entries: int, rank: int) -> int:
+    """Return the number of requests per second that an entry may send to a cold endpoint.
 
     Parameters
     ----------
     rate
-        Requests a second that the service states for a cold endpoint.
+        Requests per second that the service states for a cold endpoint.
     limit
         What is allowed beyond the stated rate.
     entries
-        How many entries share the limit.
-    place
-        This entry's place among them for this endpoint, from 0. Where the whole is less than one
-        request for each entry, only the first places get one: many entries may start at once.
+        Number of entries that share the limit.
+    rank
+        This entry's rank among them for this endpoint, from 0. If the limit is below one request
+        per entry, only the lowest ranks get one.
     """
-    whole = int(SAFETY * (rate * limit.overage + limit.slack))
-    return whole // entries if whole >= entries else int(place < whole)
+    whole = int(DIVIDED_FRACTION * (rate * limit.overage + limit.slack))
+    return whole // entries if whole >= entries else int(rank < whole)
 
 
-def may_send_cold(sends: list[timedelta], part: int, now: timedelta) -> bool:
-    """Tell whether an entry may send a request to a cold endpoint now.
+def may_send_cold(sends: list[timedelta], allowance: int, now: timedelta) -> bool:
+    """Return whether an entry may send a request to a cold endpoint now.
 
     Parameters
     ----------
     sends
-        Instants of its earlier sends to that endpoint; old ones are removed here.
-    part
+        Instants at which it has sent requests to that endpoint; old ones are removed here.
+    allowance
         Requests that it may send in any second.
     now
         Monotonic instant.
     """
     while sends and now - sends[0] > _SECOND + _COLD_MARGIN:
         sends.pop(0)
-    return len(sends) < part
+    return len(sends) < allowance
--- a/packages/core/src/cardamomloft/core/comeback.py
+++ b/packages/core/src/cardamomloft/core/comeback.py
@@ -1,58 +1,56 @@
-"""When refused callers are asked to come back.
+"""Retry-after times for refused callers.
 
-A caller that comes back while there is still no room is refused for good, since most repeat once.
-So the more of a service's requests are refused, the later they are asked to return, and the more
-their returns are spread.
+Most callers retry only once, so one that returns while the service is still overloaded is lost.
+The larger the fraction of a service's requests that is refused, the later refused callers are asked
+to return, and the wider their returns are spread.
 """
 
 import typing as t
 from datetime import timedelta
 
-MEMORY = 50
-"""Requests over which the refused part is smoothed: some seconds of one service at one entry."""
+SMOOTHED_REQUESTS = 50
+"""Time constant of the smoothed fraction of refusals, in requests."""
 
-LONGEST_PART = 1 / 3
-"""Part of the time that a caller has left beyond which it is not asked to wait; callers that are
-told more return then anyway."""
+MAX_WAIT_FRACTION = 1 / 3
+"""Maximum wait as a fraction of the caller's remaining time. Callers that are asked to wait longer
+retry at this point anyway."""
 
 
 class Waits(t.NamedTuple):
-    """From when until when callers return: without refusals before, and if all were refused.
+    """Bounds of the retry-after time without refusals, and when all requests are refused.
 
-    Work at an endpoint takes some hundred milliseconds, so single slots become free within the
-    first bounds. The others are long enough for an overload of seconds to pass. Against 0.15 to
-    0.6 s whatever the load, four played days gave 0.004 to 0.009 more worth each, and the heaviest
-    refused 0.089 of its requests for good instead of 0.094.
+    Single slots become free within the first range. The second one is long enough for a short
+    overload to pass.
     """
 
-    first_calm: timedelta = timedelta(milliseconds=150)
-    last_calm: timedelta = timedelta(milliseconds=600)
-    first_full: timedelta = timedelta(milliseconds=900)
-    last_full: timedelta = timedelta(milliseconds=2700)
+    normal_min: timedelta = timedelta(milliseconds=150)
+    normal_max: timedelta = timedelta(milliseconds=600)
+    overload_min: timedelta = timedelta(milliseconds=900)
+    overload_max: timedelta = timedelta(milliseconds=2700)
 
 
 class ComeBack:
-    """What one entry tells the refused callers of one service."""
+    """Retry-after times that one entry gives to the refused callers of one service."""
 
     def __init__(self, waits: Waits) -> None:
         self._waits = waits
-        self._refused = 0.0
+        self._refused_fraction = 0.0
 
     def note(self, refused: bool) -> None:
-        """Note whether a request was refused."""
-        self._refused += (refused - self._refused) / MEMORY
+        """Record whether a request was refused."""
+        self._refused_fraction += (refused - self._refused_fraction) / SMOOTHED_REQUESTS
 
     def wait(self, draw: float, left: timedelta) -> timedelta:
-        """Return after how long a caller with the time `left` is to come back.
+        """Return the time after which a refused caller should retry.
 
         Parameters
         ----------
         draw
-            From 0 to 1: where in the time in which callers return.
+            Random number from 0 to 1, the position between the bounds.
         left
-            Until the caller gives up.
+            Time until the caller gives up.
         """
-        waits, part = self._waits, self._refused
-        first = waits.first_calm + (waits.first_full - waits.first_calm) * part
-        last = waits.last_calm + (waits.last_full - waits.last_calm) * part
-        return min(first + (last - first) * draw, max(left, timedelta(0)) * LONGEST_PART)
+        waits, fraction = self._waits, self._refused_fraction
+        low = waits.normal_min + (waits.overload_min - waits.normal_min) * fraction
+        high = waits.normal_max + (waits.overload_max - waits.normal_max) * fraction
+        return min(low + (high - low) * draw, max(left, timedelta(0)) * MAX_WAIT_FRACTION)
--- a/packages/core/src/cardamomloft/core/estimates.py
+++ b/packages/core/src/cardamomloft/core/estimates.py
@@ -1,26 +1,26 @@
-"""What an entry expects of an endpoint: its load, and how long an answer will take."""
+"""Estimates of an endpoint's load and of the time until it answers."""
 
 from datetime import timedelta
 
 from cardamomloft.core.upstreambook import LoadReport, Upstream
 
-REPORT_LIFE = timedelta(seconds=1)
-"""How long a load report says more than this entry's own counts; it fades out over this time.
+REPORT_MAX_AGE = timedelta(seconds=1)
+"""Age at which a load report no longer counts; its weight decreases linearly until then.
 
-An endpoint's load turns over in about its waiting plus working time, some hundred milliseconds.
+The requests at an endpoint are replaced by others within a few hundred milliseconds.
 """
 
-SMOOTHING = 1 / 8
-"""Weight of the newest value in a smoothed one: the last dozen count."""
+SMOOTHING_FACTOR = 1 / 8
+"""Weight of the newest sample in an exponential moving average."""
 
 _ZERO = timedelta(0)
 
 
-def expected_load(upstream: Upstream, now: timedelta, usual: float = 0.0) -> float:
-    """Return how many requests an endpoint probably has, running and waiting.
+def expected_load(upstream: Upstream, now: timedelta, assumed: float = 0.0) -> float:
+    """Return the expected number of requests at an endpoint, running and waiting.
 
-    The last report holds for all entries together; what this entry has sent since is added. With
-    the report's age others' part of it turns into what is usual.
+    This is the sum of this entry's own requests in flight and of the other entries' requests by
+    the last load report. As the report ages, the latter are blended into the assumed load.
 
     Parameters
     ----------
@@ -28,31 +28,31 @@
         The endpoint.
     now
         Monotonic instant.
-    usual
-        Other entries' requests at an endpoint of which nothing is known, in parts of its slots.
+    assumed
+        Load by other entries that is assumed without a report, in multiples of the slots.
     """
-    unknown = usual * upstream.registration.slots
+    fallback = assumed * upstream.registration.slots
     report = upstream.report
-    if report is None or now - report.at >= REPORT_LIFE:
-        return upstream.in_flight + unknown
-    aged = (now - report.at) / REPORT_LIFE
-    return upstream.in_flight + others_load(report) * (1 - aged) + unknown * aged
+    if report is None or now - report.at >= REPORT_MAX_AGE:
+        return upstream.in_flight + fallback
+    aged = (now - report.at) / REPORT_MAX_AGE
+    return upstream.in_flight + others_load(report) * (1 - aged) + fallback * aged
 
 
 def others_load(report: LoadReport) -> int:
-    """Return how many requests of other entries an endpoint had by its report."""
+    """Return the number of requests of other entries according to a load report."""
     return max(0, report.running + report.waiting - report.own)
 
 
 def expected_time(upstream: Upstream, load: float) -> timedelta:
-    """Return how long an answer will take from an endpoint with `load` requests, if known."""
+    """Return the expected time to an answer at this load; 0 if the service time is unknown."""
     if upstream.work is None:
         return _ZERO
     return upstream.work * max(1.0, (load + 1) / upstream.registration.slots)
 
 
-def described(upstream: Upstream, now: timedelta) -> str:
-    """Return an endpoint's load with the age of the report that it rests on, for a log line."""
+def describe_load(upstream: Upstream, now: timedelta) -> str:
+    """Return an endpoint's expected load and the age of its last report, for a log line."""
     report = upstream.report
     known = (
         "no report" if report is None else f"report {(now - report.at).total_seconds():.3f} s old"
--- a/packages/core/src/cardamomloft/core/fingerprints.py
+++ b/packages/core/src/cardamomloft/core/fingerprints.py
@@ -1,4 +1,4 @@
-"""Recognising a request that a caller sends again, at whichever entry."""
+"""Fingerprints that identify a repeated request of a caller at any entry."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -7,19 +7,21 @@
 
 
 CALLER_HEADERS = ("authorization", "cookie", "user-agent")
-"""Headers by which a caller says who it is. Its address says less: it may come again by another
-network, and many callers share one."""
+"""Headers that identify a caller. Its address is not used: a caller may change networks, and many
+callers may share one address."""
 
 
 def fingerprint(
     method: str, target: str, headers: Iterable[tuple[str, str]], body: bytes | int
 ) -> str:
-    """Return a text that is the same for the same request of the same caller in every process.
+    """Return a hash of a request and its caller that is the same in every process.
 
-    Ids and deadlines of single attempts have no part in it.
+    Headers that differ between attempts, such as request ids and deadlines, are not included.
 
     Parameters
     ----------
+    method
+        The request method.
     target
         The path with its query, as sent.
     headers
@@ -27,9 +29,9 @@
     body
         The whole body; its length in bytes if it is streamed.
     """
-    said = dict(headers)
+    values = dict(headers)
     hashed = blake2b(digest_size=_DIGEST_BYTES)
-    for part in (method, target, *(said.get(name, "") for name in ("host", *CALLER_HEADERS))):
+    for part in (method, target, *(values.get(name, "") for name in ("host", *CALLER_HEADERS))):
         hashed.update(part.encode())
         hashed.update(b"\0")
     hashed.update(b"=" + body if isinstance(body, bytes) else b"#%d" % body)
--- a/packages/core/src/cardamomloft/core/limits.py
+++ b/packages/core/src/cardamomloft/core/limits.py
@@ -1,7 +1,7 @@
-"""The limits of a document and their division between entries.
+"""Limits defined by a document, and their division into base shares of the entries.
 
-Limits and base shares are a pure function of the document. Entries that have the same revision in
-force therefore agree on every share without a message, and no guess about who is alive enters.
+Limits and base shares are a pure function of the document. Entries that apply the same revision
+therefore agree on every share without messages and without failure detection.
 """
 
 import bisect
@@ -14,20 +14,20 @@
 from cardamomloft.core.document import Document, ServiceRow, regions_of_zones
 
 MAX_HOLDERS = 16
-"""Holders per limit; it bounds how many entries have to agree on a new division."""
+"""Maximum number of holders per limit, which all have to agree on a new division."""
 
 DEFAULT_SPILL_PERCENT = 100.0
-"""What entries of other regions may use of a region if the service says nothing."""
+"""Default percentage of a region's slots that entries of other regions may use."""
 
 STOP_GRACE = timedelta(seconds=1)
-"""How long after its deadline a request may still occupy its endpoint."""
+"""How long a request may still occupy its endpoint after its deadline."""
 
-RATE_USE = timedelta(seconds=1)
-"""The longest use of a rate: what was sent may still be on its way."""
+MAX_RATE_USE = timedelta(seconds=1)
+"""Longest use of a rate, which covers bytes that were sent and are still in transit."""
 
 
 class LimitKind(enum.StrEnum):
-    """What the units of a limit are."""
+    """Unit of a limit: concurrent uses, or bytes per second."""
 
     CONCURRENCY = "concurrency"
     RATE = "rate"
@@ -36,8 +36,9 @@
 class Limit(t.NamedTuple):
     """One limit of the document.
 
-    `capacity` is a count of concurrent uses, or bytes per second. `holders` are seats in their
-    order of preference, and `longest_use` bounds the time from the start of a use to its deadline.
+    `capacity` is a number of concurrent uses, or bytes per second. `holders` are the seats that
+    share it, in order of preference, and `longest_use` bounds the time from the start of a use to
+    its deadline.
     """
 
     key: str
@@ -48,18 +49,18 @@
 
 
 def base_shares(limit: Limit) -> dict[str, int]:
-    """Divide the capacity evenly between the holders; the first ones get what is left over.
+    """Divide the capacity evenly between the holders; the first ones get the remainder.
 
     The shares add up to the capacity, or to 0 if there is no holder.
     """
     if not limit.holders:
         return {}
-    each, left = divmod(limit.capacity, len(limit.holders))
-    return {seat: each + (at < left) for at, seat in enumerate(limit.holders)}
+    quotient, remainder = divmod(limit.capacity, len(limit.holders))
+    return {seat: quotient + (index < remainder) for index, seat in enumerate(limit.holders)}
 
 
 def limits_of(document: Document) -> dict[str, Limit]:
-    """Return every limit of the document by its key.
+    """Return all limits of the document by key.
 
     Keys are ``slots/<endpoint>``, ``connections/<endpoint>``, ``link/<origin>/<target>`` and
     ``spill/<service>/<region>``.
@@ -101,7 +102,7 @@
     for row in document.get("links", []):
         key = f"link/{row['origin']}/{row['target']}"
         holders = roster.within(row["origin"], key)
-        yield Limit(key, LimitKind.RATE, row["bytes_per_s"], holders, RATE_USE)
+        yield Limit(key, LimitKind.RATE, row["bytes_per_s"], holders, MAX_RATE_USE)
 
 
 def _longest_use(service: ServiceRow) -> timedelta:
@@ -111,10 +112,10 @@
 class _Roster:
     """Chooses the holders of a limit.
 
-    Seats lie on a ring by their hash, and a limit's holders are the run of seats that follows the
-    hash of its name. Unlike a rendezvous hash, which draws other holders for every limit, runs
-    overlap: however many limits there are, an entry shares them with the seats next to it only.
-    The choice does not look at the capacity, so it changes with the roster alone.
+    Seats lie on a consistent-hashing ring, and the holders of a limit are the seats that follow the
+    hash of its name. With rendezvous hashing the holders of all limits would be unrelated; on a
+    ring they overlap, so that an entry shares limits with a few neighbouring seats only, however
+    many limits there are. Capacities do not affect the choice.
     """
 
     def __init__(self, document: Document) -> None:
@@ -123,14 +124,14 @@
         self._rings: dict[tuple[str, str], _Ring] = {}
 
     def near(self, zone: str, name: str) -> tuple[str, ...]:
-        """Return holders from the zone, then its region, or from all if the region has none."""
+        """Return holders from the zone, then its region; other regions only if it has no seats."""
         region = self.region_of[zone]
         own = self._ring("zone", zone).run(name)
         own += [s for s in self._ring("region", region).run(name) if s not in own]
         return tuple(own[:MAX_HOLDERS] or self._ring("elsewhere", region).run(name))
 
     def within(self, region: str, name: str) -> tuple[str, ...]:
-        """Return holders from the region."""
+        """Return holders from the region only."""
         return tuple(self._ring("region", region).run(name))
 
     def elsewhere(self, region: str, name: str) -> tuple[str, ...]:
@@ -157,7 +158,7 @@
         self._seats = [seat for _, seat in points]
 
     def run(self, name: str) -> list[str]:
-        """Return the seats that follow the hash of `name`, at most ``MAX_HOLDERS``."""
+        """Return up to ``MAX_HOLDERS`` seats that follow the hash of `name` on the ring."""
         start = bisect.bisect(self._points, _point(name))
         return (self._seats[start:] + self._seats[:start])[:MAX_HOLDERS]
 
--- a/packages/core/src/cardamomloft/core/quarantine.py
+++ b/packages/core/src/cardamomloft/core/quarantine.py
@@ -1,7 +1,7 @@
-"""Requests under which upstreams crash: after a few crashes they are sent to none any more.
+"""Quarantine of requests that crash upstreams.
 
-When an upstream crashes all requests that it had are suspected. Those that did no harm are answered
-when they are repeated, which excuses them; the one that is the cause never is.
+When an upstream crashes, every request that it was processing is a suspect. A harmless request is
+answered when it is retried, which clears it; the request that causes the crashes never is.
 """
 
 from collections.abc import Iterable
@@ -11,16 +11,17 @@
 from cardamomloft.core.registrations import Life
 
 CRASHES_TO_QUARANTINE = 3
-"""Crashes without an answer between them after which a request is sent to no upstream. Two are met
-by a harmless request too whose repeat goes the way of the poison one."""
+"""Crashes without an answer in between after which a request is sent to no upstream.
+
+A harmless request can meet two, when its retry goes to the same upstream as that of the culprit.
+"""
 
 RESTART_TIME = timedelta(seconds=1)
-"""An upstream that ends a connection so much later than before has crashed again; what ends within
-it belongs to one crash."""
+"""Connection losses of one upstream within this time belong to the same crash."""
 
 
 class Quarantine:
-    """Which requests have met crashes, and which of them are refused."""
+    """Crashes by request fingerprint, and the requests that are refused because of them."""
 
     def __init__(self) -> None:
         self._crashes: dict[str, dict[tuple[str, int, int], timedelta]] = {}
@@ -29,7 +30,7 @@
         return len(self._crashes)
 
     def crashed(self, fingerprint: str, life: Life, now: timedelta) -> CrashUnderRequest:
-        """Return the notice of a crash of `life` while it had the request."""
+        """Return the notice that the upstream incarnation `life` crashed during the request."""
         number = 1
         for (upstream, started_ms, known), at in self._crashes.get(fingerprint, {}).items():
             if (upstream, started_ms) == life:
@@ -37,14 +38,14 @@
         return CrashUnderRequest(fingerprint, *life, number)
 
     def answered(self, fingerprint: str) -> list[CrashUnderRequest]:
-        """Return the notices that excuse a request that has got an answer."""
+        """Return the notices that clear a request that has been answered."""
         return [
             CrashUnderRequest(fingerprint, *key, excused=True)
             for key in self._crashes.get(fingerprint, {})
         ]
 
     def apply(self, notice: CrashUnderRequest, at: timedelta) -> bool:
-        """Take a notice made at the instant `at`; return whether the request is now refused."""
+        """Apply a notice issued at the instant `at`; return whether it starts a quarantine."""
         crashes = self._crashes.setdefault(notice.fingerprint, {})
         key = (notice.upstream, notice.started_ms, notice.number)
         if notice.excused:
@@ -56,18 +57,18 @@
         return not notice.excused and len(crashes) == CRASHES_TO_QUARANTINE
 
     def refused_until(self, fingerprint: str, now: timedelta) -> timedelta | None:
-        """Return the instant until which a request is sent to no upstream, None if it may be."""
+        """Return the instant at which the quarantine of a request ends, or None if it has none."""
         crashes = _recent(self._crashes.get(fingerprint, {}).values(), now)
         if len(crashes) < CRASHES_TO_QUARANTINE:
             return None
         return crashes[-CRASHES_TO_QUARANTINE] + REQUEST_LIFE
 
     def refused(self, now: timedelta) -> list[str]:
-        """Return the fingerprints of the requests that are refused."""
+        """Return the fingerprints of the requests in quarantine."""
         return [each for each in self._crashes if self.refused_until(each, now) is not None]
 
     def forget(self, now: timedelta) -> None:
-        """Drop what is too old to count."""
+        """Delete expired crashes."""
         for fingerprint, crashes in list(self._crashes.items()):
             if not _recent(crashes.values(), now):
                 del self._crashes[fingerprint]
--- a/packages/core/src/cardamomloft/core/ramping.py
+++ b/packages/core/src/cardamomloft/core/ramping.py
@@ -1,8 +1,8 @@
-"""Bounded rates of change: how fast traffic may move, and which place gets the next request.
+"""Rate-limited traffic shifting, and distribution of requests by weight.
 
-A :class:`Shift` holds the fractions of one stream of traffic and lets them follow a target by at
-most a cap per second. Every entry does so on its own monotonic clock; since each entry's traffic
-moves within the cap, the sum over all entries does too.
+A :class:`Shift` holds the fractions of one traffic stream that go to each place, and moves them
+towards a target at a capped rate. Each entry does so on its own monotonic clock; since the traffic
+of every entry stays within the cap, so does the sum over all entries.
 """
 
 import typing as t
@@ -14,55 +14,56 @@
 from cardamomloft.core.model import Priority
 
 MAX_CREDIT = timedelta(seconds=1)
-"""Elapsed time that one step makes up for at most; a pause does not pile up movement."""
+"""Upper bound of the elapsed time per step, so that a pause does not cause a large step."""
 
 Fractions = dict[str, float]
+"""Fractions of a traffic stream by place."""
 
-_DUST = 1e-9
+_EPSILON = 1e-9
 _MAX_RESERVE = 4
-_DEMAND = timedelta(seconds=1)
+_DEMAND_WINDOW = timedelta(seconds=1)
 
 
-class Pace:
+class StepTimer:
     """Measures the time between two steps, bounded by :data:`MAX_CREDIT`."""
 
     def __init__(self, now: timedelta) -> None:
         self._last = now
 
-    def take(self, now: timedelta) -> float:
-        """Return the seconds since the last call, at most the bound."""
+    def elapsed_s(self, now: timedelta) -> float:
+        """Return the seconds since the last call, at most :data:`MAX_CREDIT`."""
         elapsed = min(max(now - self._last, timedelta(0)), MAX_CREDIT)
         self._last = max(now, self._last)
         return elapsed.total_seconds()
 
 
 class Ramp:
-    """A number that follows a goal at a bounded rate."""
+    """A value that moves towards a goal at a bounded rate."""
 
     def __init__(self, now: timedelta, value: float = 0.0) -> None:
         self.value = value
-        self._pace = Pace(now)
+        self._timer = StepTimer(now)
 
     def advance(self, now: timedelta, goal: float, rate: float) -> float:
-        """Step towards `goal` by at most `rate` per second; return the new value."""
-        step = rate * self._pace.take(now)
+        """Move towards `goal` by at most `rate` per second; return the new value."""
+        step = rate * self._timer.elapsed_s(now)
         self.value += min(max(goal - self.value, -step), step)
         return self.value
 
 
 class Selector:
-    """Deals requests to places so that counts follow the fractions, with no random draw.
+    """Weighted round robin that distributes requests over places without randomness.
 
-    Tijdeman's rule for the chairman assignment problem: of the places that are not ahead, take
-    the one that would fall a whole request behind first. Each count stays within one request of
-    the sum of its fractions since the start.
+    It applies Tijdeman's algorithm for the chairman assignment problem: of the places that are not
+    ahead of their fraction, it chooses the one that would be a whole request behind first. The
+    count of each place stays within one request of the sum of its fractions.
     """
 
     def __init__(self) -> None:
         self._balances: dict[str, float] = {}
 
     def pick(self, fractions: Mapping[str, float]) -> str:
-        """Return the place of the next request; `fractions` sum to 1."""
+        """Return the place for the next request; `fractions` sum to 1."""
         places = [place for place, fraction in fractions.items() if fraction > 0]
         if len(places) == 1:
             return places[0]
@@ -70,7 +71,7 @@
         for place in places:
             balances[place] = balances.get(place, 0.0) + fractions[place]
         margin = 1 / (2 * len(places) - 2)
-        due = [place for place in places if balances[place] >= margin - _DUST]
+        due = [place for place in places if balances[place] >= margin - _EPSILON]
         if due:
             chosen = min(due, key=lambda place: (1 - margin - balances[place]) / fractions[place])
         else:
@@ -80,12 +81,12 @@
 
 
 class Shift:
-    """The applied fractions of one stream of traffic.
+    """The fractions of one traffic stream that currently go to each place.
 
     Parameters
     ----------
     fractions
-        What holds at the start, summing to 1.
+        Initial fractions, summing to 1.
     now
         Monotonic instant.
     """
@@ -93,7 +94,7 @@
     def __init__(self, fractions: Mapping[str, float], now: timedelta) -> None:
         self.fractions: Fractions = dict(fractions)
         self.overflow = 0.0
-        self._pace = Pace(now)
+        self._timer = StepTimer(now)
         self._selector = Selector()
         self._overflow_credit = 0.0
         self._overflow_wanted: timedelta | None = None
@@ -105,28 +106,28 @@
     ) -> None:
         """Move towards `target` by at most `rate` (a fraction of the traffic) per second.
 
-        The traffic of `closed` places moves first, since it is refused until it has. What is left
-        of the step goes to the overflow.
+        The traffic of `closed` places moves first, since it is refused in the meantime. The rest of
+        the step changes the fraction that may overflow.
         """
-        self._step(target, closed, rate * self._pace.take(now), now)
+        self._step(target, closed, rate * self._timer.elapsed_s(now), now)
 
     def jump(self, target: Mapping[str, float], amount: float) -> None:
-        """Move by `amount` at once; only to resume a shift that other entries have under way."""
+        """Move by `amount` at once, to resume a shift that other entries have in progress."""
         self._move(target, frozenset(), amount)
 
     def distance(self, target: Mapping[str, float]) -> float:
-        """Return the fraction of the traffic that has yet to move."""
+        """Return the fraction of the traffic that still has to move to reach `target`."""
         return sum(self._surplus(target).values())
 
     def on(self, places: AbstractSet[str]) -> float:
-        """Return the fraction of the traffic that is still assigned to `places`."""
+        """Return the fraction of the traffic that is assigned to `places`."""
         return sum(fraction for place, fraction in self.fractions.items() if place in places)
 
     def pick(self, priority: Priority, closed: AbstractSet[str]) -> str | None:
-        """Return the place of the next request, or None if it is the turn of a closed one.
+        """Return the place for the next request, or None if it falls to a closed place.
 
-        While some places are closed, requests of lower priority give up turns at open places to
-        those of higher priority that were refused. Turns are given up before they are used, so
+        While places are closed, requests of lower priority give up their turns at open places to
+        make up for refused requests of higher priority. A turn is reserved before it is used, so
         that no open place gets more than its fraction.
         """
         place = self._selector.pick(self.fractions)
@@ -141,25 +142,25 @@
         return place
 
     def want_overflow(self, now: timedelta) -> None:
-        """Note that a request found its place full."""
+        """Record that a request found its place full."""
         self._overflow_wanted = now
 
     def forget_overflow(self) -> None:
-        """Begin the overflow anew."""
+        """Reset the overflow fraction and its credit."""
         self.overflow = 0.0
         self._overflow_credit = 0.0
 
     def count_overflow(self) -> None:
-        """Count one request of the stream towards what may overflow."""
+        """Add the overflow credit of one request of the stream."""
         self._overflow_credit = min(1.0, self._overflow_credit + self.overflow)
 
     @property
     def may_overflow(self) -> bool:
-        """Whether the next request may leave its place for another one."""
-        return self._overflow_credit >= 1 - _DUST
+        """Whether there is credit for a request to overflow to another place."""
+        return self._overflow_credit >= 1 - _EPSILON
 
     def take_overflow(self) -> None:
-        """Use the credit for one request that left its place."""
+        """Use up the credit for a request that has overflowed."""
         self._overflow_credit = 0.0
 
     def _step(
@@ -167,34 +168,34 @@
     ) -> None:
         amount -= self._move(target, closed, amount)
         wanted = self._overflow_wanted
-        demand = wanted is not None and now - wanted <= _DEMAND
+        demand = wanted is not None and now - wanted <= _DEMAND_WINDOW
         self.overflow += min(amount, 1 - self.overflow) if demand else -min(amount, self.overflow)
         if not self.on(closed):
             self._clear_reserves()
 
     def _move(self, target: Mapping[str, float], closed: AbstractSet[str], amount: float) -> float:
-        """Move up to `amount` and return how much."""
+        """Move up to `amount` of the traffic; return how much was moved."""
         surplus = self._surplus(target)
         total = sum(surplus.values())
-        if total <= _DUST:
+        if total <= _EPSILON:
             self.fractions = dict(target)
             return 0.0
         moved = min(amount, total)
-        for place, taken in _takings(surplus, closed, moved).items():
+        for place, taken in _withdrawals(surplus, closed, moved).items():
             self.fractions[place] -= taken
-        self._hand_out(target, moved)
+        self._distribute(target, moved)
         return moved
 
-    def _hand_out(self, target: Mapping[str, float], moved: float) -> None:
-        lacks = {
+    def _distribute(self, target: Mapping[str, float], moved: float) -> None:
+        deficits = {
             place: fraction - self.fractions.get(place, 0.0)
             for place, fraction in target.items()
             if fraction > self.fractions.get(place, 0.0)
         }
-        total = sum(lacks.values())
-        for place, lack in lacks.items():
-            self.fractions[place] = self.fractions.get(place, 0.0) + lack * moved / total
-        gone = [place for place, fraction in self.fractions.items() if fraction <= _DUST]
+        total = sum(deficits.values())
+        for place, deficit in deficits.items():
+            self.fractions[place] = self.fractions.get(place, 0.0) + deficit * moved / total
+        gone = [place for place, fraction in self.fractions.items() if fraction <= _EPSILON]
         for place in gone:
             del self.fractions[place]
 
@@ -220,21 +221,23 @@
             self._shortages[priority] = 0
 
 
-def _takings(surplus: Fractions, closed: AbstractSet[str], amount: float) -> Fractions:
-    """Split `amount` over the places that give up traffic: closed ones first, then the others."""
-    takings: Fractions = {}
-    for first in (True, False):
-        group = {place: part for place, part in surplus.items() if (place in closed) is first}
+def _withdrawals(surplus: Fractions, closed: AbstractSet[str], amount: float) -> Fractions:
+    """Split `amount` over the places with a surplus: closed ones first, then the others."""
+    withdrawals: Fractions = {}
+    for is_closed in (True, False):
+        group = {
+            place: excess for place, excess in surplus.items() if (place in closed) is is_closed
+        }
         total = sum(group.values())
         taken = min(amount, total)
         if total > 0:
-            takings |= {place: part * taken / total for place, part in group.items()}
+            withdrawals |= {place: excess * taken / total for place, excess in group.items()}
         amount -= taken
-    return takings
+    return withdrawals
 
 
 class Movement(t.NamedTuple):
-    """How far a shift has come; `left` is the fraction that has yet to move."""
+    """Progress of a shift; `left` is the fraction of the traffic that still has to move."""
 
     service: str
     rule: str
--- a/packages/core/src/cardamomloft/core/rates.py
+++ b/packages/core/src/cardamomloft/core/rates.py
@@ -1,9 +1,9 @@
-"""Pacing of bytes over links: a token bucket per RATE limit, fed by this entry's share of it.
+"""Pacing of bytes over links with a token bucket per RATE limit.
 
-The bucket fills at the rate that is this entry's at each moment and holds at most that rate times
-``BURST``. A piece may be sent while the bucket is not in debt, and is charged in whole. Since the
-shares of all entries add up to at most the capacity at any time, all entries together send within
-any window at most ``capacity * (window + BURST)`` bytes and one piece each.
+A bucket fills at the rate of this entry's present share of the limit and holds at most that rate
+times ``BURST``. A chunk may be sent while the level is not negative, and is charged in full. Since
+the shares of all entries never exceed the capacity in total, all entries together send at most
+``capacity * (window + BURST)`` bytes plus one chunk each within any window.
 """
 
 from datetime import timedelta
@@ -12,40 +12,40 @@
 from cardamomloft.core.shares import Shares
 
 BURST = timedelta(milliseconds=100)
-"""How long a bucket fills at its rate until it is full."""
+"""Time in which an empty bucket becomes full."""
 
-RETRY = timedelta(milliseconds=50)
-"""When to ask again while this entry has no share of the limit."""
+NO_SHARE_RETRY = timedelta(milliseconds=50)
+"""Delay before the next attempt while this entry has no share of the limit."""
 
-IDLE = timedelta(milliseconds=200)
-"""After what time without a reservation no more rate is wanted."""
+IDLE_TIMEOUT = timedelta(milliseconds=200)
+"""Time without a reservation after which the request for a larger share is withdrawn."""
 
 METER_WINDOW = timedelta(milliseconds=200)
-"""Over what time the rate in use is measured."""
+"""Interval over which the rate in use is measured."""
 
-MIN_PIECES = 16
-"""The least rate worth borrowing, in pieces per second."""
+MIN_CHUNKS_PER_S = 16
+"""Minimum rate to request, in chunks per second."""
 
 _ZERO = timedelta(0)
 _SECOND = timedelta(seconds=1)
 
 
 class _Bucket:
-    __slots__ = ("asked_at", "at", "level", "metered", "metered_at", "wants")
+    __slots__ = ("at", "level", "metered", "metered_at", "requested_at", "requests_rate")
 
     def __init__(self, now: timedelta) -> None:
         self.level = 0.0
         self.at = now
-        self.asked_at = now
+        self.requested_at = now
         self.metered = 0
         self.metered_at = now
-        self.wants = False
+        self.requests_rate = False
 
 
 class Pacer:
-    """Tells senders when they may send.
+    """Decides when a sender may send its next chunk.
 
-    It takes over the `before_rate_change` hook of `shares`.
+    It installs itself as the `before_rate_change` hook of `shares`.
     """
 
     def __init__(self, shares: Shares, clock: Clock) -> None:
@@ -55,17 +55,17 @@
         shares.before_rate_change = self._on_change
 
     def reserve(self, key: str, nbytes: int) -> timedelta:
-        """Charge a piece and return zero, or charge nothing and return when to ask again.
+        """Charge a chunk and return zero, or charge nothing and return the delay until a retry.
 
-        Whoever has to wait asks for twice the present rate: how much more could be sent shows
-        only when it can be sent.
+        While a sender has to wait, twice the present rate is requested, because its actual demand
+        cannot be measured below the limit.
 
         Parameters
         ----------
         key
-            A RATE limit; what the document does not limit is never delayed.
+            Key of a RATE limit; there is no delay if the document has no such limit.
         nbytes
-            The size of the piece, best 64 KiB or less: the next one waits until it is paid.
+            Size of the chunk, preferably at most 64 KiB: a large one delays the next.
         """
         if not self._shares.has_limit(key):
             return _ZERO
@@ -74,27 +74,27 @@
         if bucket is None:
             bucket = self._buckets[key] = _Bucket(now)
         self._fill(key, bucket, now)
-        bucket.asked_at = now
+        bucket.requested_at = now
         rate = self._shares.free(key)
         if rate and bucket.level >= 0:
             bucket.level -= nbytes
             bucket.metered += nbytes
             return _ZERO
-        bucket.wants = True
-        self._shares.want(key, max(2 * rate, nbytes * MIN_PIECES))
+        bucket.requests_rate = True
+        self._shares.want(key, max(2 * rate, nbytes * MIN_CHUNKS_PER_S))
         if not rate:
-            return RETRY
+            return NO_SHARE_RETRY
         return max(_SECOND * (-bucket.level / rate), timedelta.resolution)
 
     def _on_change(self, key: str) -> None:
-        """Count what has come in at the present rate; called before it changes, and often."""
+        """Fill the bucket at the present rate; called before the rate changes, and regularly."""
         bucket = self._buckets.get(key)
         if bucket is None:
             return
         now = self._clock.monotonic()
         self._fill(key, bucket, now)
-        if bucket.wants and now - bucket.asked_at >= IDLE:
-            bucket.wants = False
+        if bucket.requests_rate and now - bucket.requested_at >= IDLE_TIMEOUT:
+            bucket.requests_rate = False
             self._shares.want(key, 0)
 
     def _fill(self, key: str, bucket: _Bucket, now: timedelta) -> None:
--- a/packages/core/src/cardamomloft/core/recent.py
+++ b/packages/core/src/cardamomloft/core/recent.py
@@ -1,4 +1,4 @@
-"""A bounded memory of what was met lately."""
+"""A bounded set of recently added items."""
 
 import typing as t
 from collections import OrderedDict
@@ -7,10 +7,10 @@
 
 
 class Recent(t.Generic[T]):
-    """A set that lets go of what was added longest ago beyond a number of items."""
+    """A set of at most `max_items` items; the items added longest ago are evicted first."""
 
-    def __init__(self, kept: int) -> None:
-        self._kept = kept
+    def __init__(self, max_items: int) -> None:
+        self._max_items = max_items
         self._items: OrderedDict[T, None] = OrderedDict()
 
     def __contains__(self, item: T) -> bool:
@@ -20,12 +20,12 @@
         return len(self._items)
 
     def add(self, item: T) -> None:
-        """Add an item, or note that it was met again."""
+        """Add an item, or make an existing one the most recent."""
         self._items[item] = None
         self._items.move_to_end(item)
-        if len(self._items) > self._kept:
+        if len(self._items) > self._max_items:
             self._items.popitem(last=False)
 
     def discard(self, item: T) -> None:
-        """Let go of an item, if it is there."""
+        """Remove an item if it is present."""
         self._items.pop(item, None)
--- a/packages/core/src/cardamomloft/core/retries.py
+++ b/packages/core/src/cardamomloft/core/retries.py
@@ -1,20 +1,22 @@
-"""Retries: when another attempt is safe, and the budget that keeps retries few."""
+"""Retries: when another attempt is safe, and a token bucket that bounds their number."""
 
 from datetime import timedelta
 
 DEFAULT_BURST = 10.0
-"""Retries that a budget saves up at most."""
+"""Default capacity of the token bucket, in retries."""
 
 
 class RetryBudget:
-    """Allows retries as a share of requests, so that a failing service is not hit harder.
+    """Token bucket that limits retries to a percentage of requests.
+
+    It keeps retries from adding to the load of a service that is failing.
 
     Parameters
     ----------
     percent
-        Retries allowed for each hundred requests.
+        Retries allowed per hundred requests; 0 turns retries off.
     burst
-        Retries saved up at most, and at hand at the start. With 0 percent there are none.
+        Capacity of the bucket in retries; the bucket is full at the start.
     """
 
     def __init__(self, percent: float, *, burst: float = DEFAULT_BURST) -> None:
@@ -23,12 +25,12 @@
         self._tokens = self._burst
 
     def on_request(self) -> None:
-        """Count one request of a caller; its retries are not counted."""
+        """Count one request of a caller; retries do not count as requests."""
         self._tokens = min(self._burst, self._tokens + self._per_request)
 
     def try_retry(self) -> bool:
-        """Spend one retry if the budget has it."""
-        # Sums of fractions such as a tenth fall short of one by rounding.
+        """Take one token and return True, or return False if there is none."""
+        # Adding 0.1 ten times gives slightly less than 1 in floating point.
         if self._tokens < 1 - 1e-9:
             return False
         self._tokens = max(0.0, self._tokens - 1)
@@ -42,12 +44,12 @@
     time_left: timedelta,
     expected: timedelta,
 ) -> bool:
-    """Tell whether another attempt is harmless and could still help.
+    """Return whether another attempt is safe and can finish in time.
 
     Parameters
     ----------
     idempotent
-        Whether running the request twice has the effect of running it once.
+        Whether running the request twice has the same effect as running it once.
     not_run
         Whether the last attempt provably did not run: it was not sent, or definitely refused.
     attempts_left
@@ -55,7 +57,7 @@
     time_left
         Time to the request's deadline.
     expected
-        How long an attempt usually takes.
+        Expected duration of an attempt.
     """
     if not (idempotent or not_run):
         return False
--- a/packages/core/src/cardamomloft/core/selection.py
+++ b/packages/core/src/cardamomloft/core/selection.py
@@ -1,10 +1,10 @@
-"""Which endpoint a request goes to.
+"""Selection of the upstream endpoint for a request.
 
-Placement by object is worth more than anything else here: an endpoint that has handled an object
-recently is about three times as fast, and it has a bounded number of objects at hand. So an object
-has one first endpoint and one fixed second choice, by rendezvous hashing over the registered
-endpoints. It leaves the first when it would wait there beyond its rule's target, and it is refused
-when the second is not half idle either.
+Endpoints cache the data behind the affinity keys that they have served lately, and a cache hit is
+much faster than a miss. Each key therefore has a primary and a secondary endpoint, found by
+rendezvous hashing over the registered endpoints. A request leaves its primary endpoint when
+waiting there would exceed the target latency of its rule, and is refused when the secondary
+endpoint is too busy as well.
 """
 
 import enum
@@ -14,100 +14,99 @@
 from datetime import timedelta
 
 from cardamomloft.core.affinity import Candidate, first_ranked
-from cardamomloft.core.budgets import ColdLimit, cold_part, may_send_cold
+from cardamomloft.core.budgets import ColdLimit, cold_allowance, may_send_cold
 from cardamomloft.core.estimates import (
-    SMOOTHING,
-    described,
+    SMOOTHING_FACTOR,
+    describe_load,
     expected_load,
     expected_time,
     others_load,
 )
 from cardamomloft.core.model import Refusal, RefusalReason
-from cardamomloft.core.ranks import OwnRanks
+from cardamomloft.core.ranks import EntryRanks
 from cardamomloft.core.routes import RouteRule, ServicePolicy
-from cardamomloft.core.sizes import Sizes
+from cardamomloft.core.sizes import BodySizes
 from cardamomloft.core.touches import Touch, Touches
 from cardamomloft.core.upstreambook import LoadReport, Upstream, UpstreamBook
 from cardamomloft.core.zones import slot_weights
 
-MAX_RESTING = 0.5
-"""The part of a service's endpoints that may rest after failures at one time.
+MAX_EJECTED_FRACTION = 0.5
+"""Maximum fraction of a service's endpoints that may be ejected at one time.
 
-When more of them fail, the cause is likelier a link or this entry than the endpoints.
+When more of them fail, the cause is more likely a network link or this entry than the endpoints.
 """
 
-UNKNOWN_WORK = 3
-"""How many times as long work takes on an object that is not at hand, about."""
+CACHE_MISS_FACTOR = 3
+"""Approximate ratio of the service time of a cache miss to that of a hit."""
 
-CLEARLY = 0.8
-"""Part of the first endpoint's expected time below which the second is taken to be sooner: both are
-smoothed figures, and small differences say nothing."""
+MAX_SECONDARY_TIME_RATIO = 0.8
+"""The secondary endpoint is preferred only if its expected time is below this fraction of the
+primary's. Both times are smoothed estimates, so small differences are ignored."""
 
-ENDPOINTS_IN_ZONE = 1.5
-"""Endpoints of a service in a zone, on average, from which large requests stay in their zone.
+MIN_ENDPOINTS_PER_ZONE = 1.5
+"""Average number of a service's endpoints per zone from which large requests stay in their zone.
 
-With one in each zone an object is at hand nowhere: each zone's endpoint gets all objects of its
-region. With two it is cheaper to stay in the zone. The bound lies between, so that one that comes
-or goes changes nothing.
+With one endpoint per zone, that endpoint would get every key of its region and cache none of them
+well; with two, staying in the zone is cheaper. The value lies between the two so that a single
+endpoint that joins or leaves does not change the result.
 """
 
-USUAL_PART = 0.25
-"""Part of a service's usual load at which an endpoint that is not heard of is estimated: a second
-endpoint is then still used while others usually have up to twice its slots there."""
+ASSUMED_LOAD_FRACTION = 0.25
+"""Fraction of a service's average load that is assumed at an endpoint without a fresh report."""
 
-FIRST_RANKS = 8
-"""Endpoints that are ranked for a key: it is at two, and some of the others rest or are cold.
+RANKED_ENDPOINTS = 8
+"""Number of endpoints that are ranked for a key.
 
-Only when all of these are cold or tried, all endpoints are ranked.
+This leaves alternatives to the primary and secondary while some endpoints are ejected or cold. All
+endpoints are ranked if every one of these is cold, paused or already tried.
 """
 
-RANKS_KEPT = 20_000
-"""Keys of a service whose ranks are kept, at 0.2 KB each with 50 endpoints; others are ranked each
-time."""
+MAX_CACHED_RANKINGS = 20_000
+"""Number of keys per service whose rankings are cached; others are ranked for each request."""
 
-_FAILURES_TO_REST = 2
-"""Failures in a row after which an endpoint rests; one may be an answer that was lost."""
+_FAILURES_TO_EJECT = 2
+"""Consecutive failures after which an endpoint is ejected; a single one may be a lost answer."""
 
-_FIRST_REST = timedelta(milliseconds=300)
-"""The first rest, doubled with each further failure; one that was only unlucky is soon back."""
+_INITIAL_EJECTION = timedelta(milliseconds=300)
+"""Duration of the first ejection; it doubles with each further failure."""
 
-_LONGEST_REST = timedelta(seconds=4)
-"""The longest rest, after which an endpoint is tried again: callers wait seconds, not minutes."""
+_MAX_EJECTION = timedelta(seconds=4)
+"""Upper bound of the ejection time. Callers wait for seconds, so the back-off must stay short."""
 
 _FULL_TIME = timedelta(milliseconds=60)
-"""How long an endpoint that refused a request for want of room counts as full.
+"""How long an endpoint counts as full after it refused a request for lack of a free slot.
 
-Its objects then go to their second endpoint only as far as those of any full one. A part of the
-usual time of work, after which a slot may be free again.
+During this time its keys use their secondary endpoint under the same load bound as for any full
+primary. It is a fraction of a usual service time, after which a slot may be free again.
 """
 
 _ZERO = timedelta(0)
 
 
 class Preferences(t.NamedTuple):
-    """What weighs in the choice of endpoints.
+    """Tuning parameters of the endpoint selection.
+
+    Loads are in multiples of an endpoint's slots.
 
     Attributes
     ----------
     choices
-        How many endpoints an object may be at. Each keeps a bounded number of objects at hand:
-        with more choices they push each other out, all work takes three times as long, and an
-        overload of seconds never ends.
+        Number of endpoints that a key may use. Each endpoint caches a bounded number of keys, so
+        a larger number causes cache evictions and slower answers under overload.
     usual_load, least_load, most_load
-        Load in parts of the slots up to which an object waits at its first endpoint: as far as the
-        rule's target allows, between the least and the most; `usual_load` as long as the time that
-        work takes there is not known.
+        Load up to which a request waits at its primary endpoint. The bound follows from the
+        rule's target and the service time, and is kept between `least_load` and `most_load`;
+        `usual_load` applies while the service time is unknown.
     second_load
-        Load up to which it goes to its second endpoint, where it is seldom at hand and pushes
-        another object out.
+        Load up to which a request overflows to its secondary endpoint, where it is usually a cache
+        miss and evicts another key.
     known_load
-        Load up to which an object goes to its second endpoint when it is at hand there and the
-        first is expected to answer later: a free slot. At 0 it never does.
+        Load up to which a request prefers its secondary endpoint when it is a cache hit there and
+        the primary is expected to answer later; 0 turns this off.
     repeat_load
-        Load up to which a request that has failed is sent to another endpoint: a free slot.
+        Load up to which another endpoint is given a retry.
     """
 
-    # Not tuned to one deployment: the load bounds only cap what the target and the work give.
     choices: int = 2
     usual_load: float = 2.25
     least_load: float = 1.5
@@ -120,35 +119,35 @@
 class Reason(enum.StrEnum):
     """Why an endpoint was chosen.
 
-    `HOME`: it is the first of its object. `OVERFLOW`: the first has no room. `MOVED`: the first
-    rests after failures, or is cold. `REPEAT`: another had this request before. `COLD`: there are
-    only cold ones.
+    `Reason.HOME`: it is the primary endpoint of the key. `Reason.OVERFLOW`: the primary is full.
+    `Reason.MOVED`: the primary is ejected or cold. `Reason.RETRY`: another endpoint was tried
+    before. `Reason.COLD`: only cold endpoints are available.
     """
 
     HOME = "home"
     OVERFLOW = "overflow"
     MOVED = "moved"
-    REPEAT = "repeat"
+    RETRY = "repeat"
     COLD = "cold"
 
 
 class Choice(t.NamedTuple):
-    """An endpoint, and why it was chosen."""
+    """A chosen endpoint and the reason for the choice."""
 
     upstream: Upstream
     reason: Reason
 
 
 class _Ranking(t.NamedTuple):
-    """The endpoints of a service with their weights, and the first ones of each known key."""
+    """The weighted endpoints of a service, and the cached rankings by key."""
 
     version: int
     candidates: list[Candidate[Upstream]]
-    known: dict[str, list[Upstream]]
+    by_key: dict[str, list[Upstream]]
 
 
 class Selector:
-    """Chooses endpoints for one entry.
+    """Chooses endpoints for the requests of one entry.
 
     Parameters
     ----------
@@ -157,20 +156,20 @@
     name, zone
         This entry's name and zone.
     cold
-        What a cold endpoint bears beyond its service's rate.
+        Requests that a cold endpoint accepts beyond its service's rate.
     preferences
-        What weighs in the choice.
+        Tuning parameters.
 
     Attributes
     ----------
     policies
-        What the endpoints of each service bear.
+        The policy of each service.
     entries
-        Among how many entries budgets are divided.
+        Number of entries that share the budgets.
     sizes
-        How large the requests of each rule are.
-    touches
-        Which objects were handled at which endpoints.
+        Body sizes of the requests of each rule.
+    touches : Touches
+        Cache states of the keys at the endpoints.
     """
 
     def __init__(
@@ -186,12 +185,12 @@
         self.cold = cold
         self._preferences = preferences
         self._rankings: dict[tuple[str, frozenset[str], bool], _Ranking] = {}
-        self.sizes = Sizes()
+        self.sizes = BodySizes()
         self.touches = Touches()
         self.policies: Mapping[str, ServicePolicy] = {}
         self.entries = 1
-        self._usual: dict[str, float] = {}
-        self._ranks = OwnRanks(name)
+        self._average_loads: dict[str, float] = {}
+        self._ranks = EntryRanks(name)
 
     @property
     def others(self) -> Collection[str]:
@@ -200,7 +199,7 @@
 
     @others.setter
     def others(self, names: Collection[str]) -> None:
-        self._ranks.use(names)
+        self._ranks.set_others(names)
 
     def choose(
         self,
@@ -211,7 +210,7 @@
         until: timedelta,
         now: timedelta,
     ) -> Choice | Refusal:
-        """Return the endpoint for a request.
+        """Return the endpoint for a request, or a refusal if none is available.
 
         Parameters
         ----------
@@ -220,11 +219,11 @@
         service
             The service that was chosen among the rule's.
         key
-            The placement key; any text that differs from request to request if there is none.
+            The affinity key; if there is none, any text that differs between requests.
         tried
-            Ids of endpoints that had this request already.
+            Ids of endpoints that this request was already sent to.
         until
-            Monotonic instant at which the answer must be there.
+            Monotonic instant by which the answer is due.
         now
             Monotonic instant.
         """
@@ -234,86 +233,90 @@
         if all(max(up.cold_until, up.alone_until) > now or up.id in tried for up in order):
             ranking = self._ranking(rule, service)
             order = first_ranked(key, ranking.candidates, len(ranking.candidates))
-        alone_until = min(up.alone_until for up in order)
-        if alone_until > now:
-            detail = f"no endpoint of {service} wants anything yet"
-            return Refusal(RefusalReason.OVERLOAD, detail, alone_until - now)
+        paused_until = min(up.alone_until for up in order)
+        if paused_until > now:
+            detail = f"all endpoints of {service} are paused by their own Retry-After"
+            return Refusal(RefusalReason.OVERLOAD, detail, paused_until - now)
         order = [up for up in order if up.alone_until <= now]
-        fit = [up for up in order if up.rest_until <= now]
-        if len(fit) < len(order) * (1 - MAX_RESTING):
-            fit = order
-        warm = [up for up in fit if up.cold_until <= now]
-        choices = self._preferences.choices if rule.keyed else FIRST_RANKS
-        left = [up for up in warm if up.id not in tried][:choices]
+        eligible = [up for up in order if up.rest_until <= now]
+        if len(eligible) < len(order) * (1 - MAX_EJECTED_FRACTION):
+            eligible = order
+        warm = [up for up in eligible if up.cold_until <= now]
+        choices = self._preferences.choices if rule.keyed else RANKED_ENDPOINTS
+        untried = [up for up in warm if up.id not in tried][:choices]
         chosen = None
-        if rule.keyed and not tried and len(left) > 1:
-            chosen = self._sooner(left[0], left[1], key, until, now)
+        if rule.keyed and not tried and len(untried) > 1:
+            chosen = self._faster_secondary(untried[0], untried[1], key, until, now)
         if chosen is None:
-            chosen = self._with_room(left, bool(tried), rule, until, now)
+            chosen = self._with_room(untried, bool(tried), rule, until, now)
         if chosen is not None:
-            return Choice(chosen, _reason(chosen, order[0], left[0], bool(tried)))
-        cold = [up for up in fit if up.cold_until > now and up.id not in tried]
+            return Choice(chosen, _reason(chosen, order[0], untried[0], bool(tried)))
+        cold = [up for up in eligible if up.cold_until > now and up.id not in tried]
         if not warm:
             chosen = self._cold_with_room(cold, now)
         if chosen is not None:
-            return Choice(chosen, Reason.REPEAT if tried else Reason.COLD)
-        seen = ", ".join(described(up, now) for up in left) or f"{len(cold)} cold"
+            return Choice(chosen, Reason.RETRY if tried else Reason.COLD)
+        seen = ", ".join(describe_load(up, now) for up in untried) or f"{len(cold)} cold"
         return Refusal(RefusalReason.OVERLOAD, f"no endpoint has room for {key}: {seen}")
 
     def _with_room(
         self,
         warm: list[Upstream],
-        repeated: bool,
+        is_retry: bool,
         rule: RouteRule,
         until: timedelta,
         now: timedelta,
     ) -> Upstream | None:
-        """Return the first in order of preference that is expected to answer in time."""
+        """Return the first endpoint in order that has room and is expected to answer in time."""
         preferences = self._preferences
-        other = preferences.repeat_load if repeated else preferences.second_load
+        other = preferences.repeat_load if is_retry else preferences.second_load
         for place, upstream in enumerate(warm):
             if upstream.full_until > now:
                 continue
-            is_first = not rule.keyed or not (place or repeated)
-            usual = 0.0 if is_first else self._usual_load(upstream)
-            load = expected_load(upstream, now, usual)
-            bound = self._bound(upstream, rule) if is_first else other
+            is_primary = not rule.keyed or not (place or is_retry)
+            assumed = 0.0 if is_primary else self._assumed_load(upstream)
+            load = expected_load(upstream, now, assumed)
+            bound = self._primary_bound(upstream, rule) if is_primary else other
             has_room = load < bound * upstream.registration.slots
             if has_room and now + expected_time(upstream, load) < until:
                 return upstream
         return None
 
-    def _sooner(
-        self, first: Upstream, second: Upstream, key: str, until: timedelta, now: timedelta
+    def _faster_secondary(
+        self, primary: Upstream, secondary: Upstream, key: str, until: timedelta, now: timedelta
     ) -> Upstream | None:
-        """Return the second endpoint if it has the object at hand and is to answer clearly sooner.
+        """Return the secondary endpoint if it has the key cached and should answer much sooner.
 
-        It evens out what hashing divides unevenly, without further first touches: an object gets
-        to its second endpoint only when the first is full.
+        This evens out the imbalance of hashing without additional cache misses, since a key is
+        cached at its secondary endpoint only after its primary was full.
         """
-        load = expected_load(second, now)
-        bound = self._preferences.known_load * second.registration.slots
-        if load >= bound or second.full_until > now:
+        load = expected_load(secondary, now)
+        bound = self._preferences.known_load * secondary.registration.slots
+        if load >= bound or secondary.full_until > now:
             return None
-        if self.touches.look(second, key) is not Touch.KNOWN:
+        if self.touches.look(secondary, key) is not Touch.HIT:
             return None
-        there = expected_time(second, load)
-        here = expected_time(first, expected_load(first, now))
-        if self.touches.look(first, key) is Touch.FIRST:
-            here *= UNKNOWN_WORK
-        return second if there < CLEARLY * here and now + there < until else None
-
-    def _usual_load(self, upstream: Upstream) -> float:
-        """Return what others' requests take up of the slots of an endpoint that is not heard of.
-
-        With many entries and few endpoints most reports are old. If nothing known counted as
-        nothing there, every entry would send the objects of full endpoints on to the same others,
-        which are as full, and push what they have at hand out.
+        secondary_time = expected_time(secondary, load)
+        primary_time = expected_time(primary, expected_load(primary, now))
+        if self.touches.look(primary, key) is Touch.MISS:
+            primary_time *= CACHE_MISS_FACTOR
+        return (
+            secondary
+            if secondary_time < MAX_SECONDARY_TIME_RATIO * primary_time
+            and now + secondary_time < until
+            else None
+        )
+
+    def _assumed_load(self, upstream: Upstream) -> float:
+        """Return the load by other entries to assume at an endpoint without a fresh report.
+
+        With many entries and few endpoints most reports are old. If such endpoints counted as
+        idle, all entries would overflow to the same ones and evict the keys cached there.
         """
-        return USUAL_PART * self._usual.get(upstream.registration.service, 0.0)
+        return ASSUMED_LOAD_FRACTION * self._average_loads.get(upstream.registration.service, 0.0)
 
-    def _bound(self, upstream: Upstream, rule: RouteRule) -> float:
-        """Return the load, in parts of the slots, at which an answer would miss its target."""
+    def _primary_bound(self, upstream: Upstream, rule: RouteRule) -> float:
+        """Return the load, in multiples of the slots, at which an answer would miss its target."""
         preferences = self._preferences
         if not upstream.work:
             return preferences.usual_load
@@ -323,110 +326,124 @@
         for upstream in cold:
             policy = self.policies.get(upstream.registration.service)
             rate = policy.cold_per_s if policy else 0.0
-            place = self._ranks.of(upstream.id, upstream.seed)
-            part = cold_part(rate, self.cold, self.entries, place)
-            if may_send_cold(upstream.cold_sends, part, now):
+            rank = self._ranks.rank_for(upstream.id, upstream.seed)
+            allowance = cold_allowance(rate, self.cold, self.entries, rank)
+            if may_send_cold(upstream.cold_sends, allowance, now):
                 return upstream
         return None
 
     def _order(self, rule: RouteRule, service: str, key: str) -> list[Upstream]:
-        """Return the endpoints that the key prefers, in that order: the first few, or else all."""
+        """Return the first endpoints in the order of preference of the key."""
         ranking = self._ranking(rule, service)
-        found = ranking.known.get(key)
+        found = ranking.by_key.get(key)
         if found is None:
-            found = first_ranked(key, ranking.candidates, FIRST_RANKS)
-            if rule.keyed and len(ranking.known) < RANKS_KEPT:
-                ranking.known[key] = found
+            found = first_ranked(key, ranking.candidates, RANKED_ENDPOINTS)
+            if rule.keyed and len(ranking.by_key) < MAX_CACHED_RANKINGS:
+                ranking.by_key[key] = found
         return found
 
     def _ranking(self, rule: RouteRule, service: str) -> "_Ranking":
-        bulky = self.sizes.is_bulky(rule.name)
+        large = self.sizes.has_large_bodies(rule.name)
         version = self._book.version(service)
-        held = self._rankings.get((service, rule.homes, bulky))
-        if held is not None and held.version == version:
-            return held
+        cached = self._rankings.get((service, rule.homes, large))
+        if cached is not None and cached.version == version:
+            return cached
         usable = [
             up for up in self._book.of_service(service) if not rule.homes or up.region in rule.homes
         ]
-        near = bulky and _fills_zones(usable)
-        area = _zone_of if near else _region_of
-        weights = self._weigh(usable, rule.homes, near)
+        by_zone = large and _fills_zones(usable)
+        area = _zone_of if by_zone else _region_of
+        weights = self._weigh(usable, rule.homes, by_zone)
         candidates = [
             Candidate(up, up.seed, up.registration.slots * weights[area(up)]) for up in usable
         ]
         ranking = _Ranking(version, candidates, {})
-        self._rankings[service, rule.homes, bulky] = ranking
+        self._rankings[service, rule.homes, large] = ranking
         return ranking
 
     def _weigh(
-        self, candidates: list[Upstream], homes: frozenset[str], near: bool
+        self, candidates: list[Upstream], homes: frozenset[str], by_zone: bool
     ) -> dict[str, float]:
-        """Return the weight of a slot of each zone (`near`) or else of each region."""
-        area = _zone_of if near else _region_of
+        """Return the weight of a slot in each zone if `by_zone`, otherwise in each region."""
+        area = _zone_of if by_zone else _region_of
         slots: Counter[str] = Counter()
         for upstream in candidates:
             slots[area(upstream)] += upstream.registration.slots
         regions = {
-            zone if near else region: region
+            zone if by_zone else region: region
             for zone, region in self._book.regions.items()
             if not homes or region in homes
         }
-        here = self._zone if near else self._book.regions.get(self._zone, "")
+        here = self._zone if by_zone else self._book.regions.get(self._zone, "")
         return slot_weights(slots, here, regions)
 
-    # What became of requests.
+    # Feedback from requests.
 
     def sent(self, upstream: Upstream, now: timedelta) -> None:
-        """Note that a request goes to `upstream`."""
+        """Record that a request is sent to `upstream`."""
         upstream.in_flight += 1
         if upstream.cold_until > now:
             upstream.cold_sends.append(now)
 
     def ended(self, upstream: Upstream) -> None:
-        """Note that a request there is over."""
+        """Record the end of a request, whatever its outcome."""
         upstream.in_flight -= 1
 
     def reported(self, upstream: Upstream, report: LoadReport) -> None:
-        """Note what an endpoint says of its load."""
+        """Record a load report of an endpoint, and update the average load of its service."""
         upstream.report = report
         service = upstream.registration.service
-        found = others_load(report) / max(1, report.slots)
-        known = self._usual.get(service, 0.0)
-        self._usual[service] = known + (found - known) * SMOOTHING
+        load = others_load(report) / max(1, report.slots)
+        average = self._average_loads.get(service, 0.0)
+        self._average_loads[service] = average + (load - average) * SMOOTHING_FACTOR
 
     def answered(self, upstream: Upstream, took: timedelta, load: float) -> None:
-        """Note an answer from an endpoint that had `load` requests when this one was sent."""
+        """Record an answer, and update the service time of the endpoint.
+
+        Parameters
+        ----------
+        upstream
+            The endpoint.
+        took
+            Time from sending the request to the end of its answer, waiting included.
+        load
+            Requests that the endpoint had when this one was sent.
+        """
         upstream.failures = 0
         upstream.rest_until = _ZERO
-        alone = took / max(1.0, (load + 1) / upstream.registration.slots)
-        known = upstream.work
-        upstream.work = alone if known is None else known + (alone - known) * SMOOTHING
+        observed = took / max(1.0, (load + 1) / upstream.registration.slots)
+        average = upstream.work
+        upstream.work = (
+            observed if average is None else average + (observed - average) * SMOOTHING_FACTOR
+        )
 
     def refused(self, upstream: Upstream, now: timedelta, *, had_room: bool) -> None:
-        """Note that the endpoint refused a request; `had_room` if it reported a free slot then."""
+        """Record that the endpoint refused a request; `had_room` if it reported a free slot."""
         if not had_room:
             upstream.full_until = now + _FULL_TIME
 
     def failed(self, upstream: Upstream, now: timedelta) -> None:
-        """Note that a request there failed; after some in a row the endpoint rests."""
+        """Record a failed request, and eject the endpoint after consecutive failures."""
         upstream.failures += 1
-        if upstream.failures >= _FAILURES_TO_REST:
-            rest = _FIRST_REST * 2 ** min(upstream.failures - _FAILURES_TO_REST, 4)
-            upstream.rest_until = now + min(rest, _LONGEST_REST)
+        if upstream.failures >= _FAILURES_TO_EJECT:
+            ejection = _INITIAL_EJECTION * 2 ** min(upstream.failures - _FAILURES_TO_EJECT, 4)
+            upstream.rest_until = now + min(ejection, _MAX_EJECTION)
 
 
-def _reason(chosen: Upstream, home: Upstream, first_fit: Upstream, repeated: bool) -> Reason:
-    if repeated:
-        return Reason.REPEAT
-    if chosen is home:
+def _reason(
+    chosen: Upstream, primary: Upstream, first_eligible: Upstream, is_retry: bool
+) -> Reason:
+    if is_retry:
+        return Reason.RETRY
+    if chosen is primary:
         return Reason.HOME
-    return Reason.MOVED if chosen is first_fit else Reason.OVERFLOW
+    return Reason.MOVED if chosen is first_eligible else Reason.OVERFLOW
 
 
 def _fills_zones(usable: list[Upstream]) -> bool:
-    """Tell whether zones have endpoints enough to keep objects within them."""
+    """Return whether there are enough endpoints per zone to keep requests within zones."""
     zones = {upstream.registration.zone for upstream in usable}
-    return len(usable) >= ENDPOINTS_IN_ZONE * len(zones)
+    return len(usable) >= MIN_ENDPOINTS_PER_ZONE * len(zones)
 
 
 def _zone_of(upstream: Upstream) -> str:
--- a/packages/core/src/cardamomloft/core/sizes.py
+++ b/packages/core/src/cardamomloft/core/sizes.py
@@ -1,27 +1,26 @@
-"""How large the requests of each rule are: large ones are better kept within a zone."""
+"""Average size of the request bodies of each rule."""
 
-from cardamomloft.core.estimates import SMOOTHING
+from cardamomloft.core.estimates import SMOOTHING_FACTOR
 
-BULKY_BYTES = 16 * 1024
-"""Size of a rule's bodies from which its objects are placed by zone instead of by region.
+LARGE_BODY_BYTES = 16 * 1024
+"""Average body size from which a rule's requests are placed by zone instead of by region.
 
-Placing all by zone spares nearly all bytes between zones, but gives objects that two zones' entries
-ask for two sets of endpoints: worth on Pimento's scale-2 0.566 against 0.684 by region, on Anwani's
-0.579 against 0.630 (one run each). Uploads of 60 KB are 8 % of the requests and 90 % of the bytes.
+Placement by zone saves traffic between zones, but a key that is requested in two zones is then
+cached in both. That is worth it only for rules with large bodies.
 """
 
 
-class Sizes:
-    """How large the bodies of each rule's requests are, smoothed."""
+class BodySizes:
+    """Exponential moving averages of the body sizes, by rule."""
 
     def __init__(self) -> None:
         self._bytes: dict[str, float] = {}
 
     def note(self, rule: str, size: int) -> None:
-        """Note the size of one request's body in bytes."""
-        known = self._bytes.get(rule, size)
-        self._bytes[rule] = known + (size - known) * SMOOTHING
+        """Record the body size of one request in bytes."""
+        average = self._bytes.get(rule, size)
+        self._bytes[rule] = average + (size - average) * SMOOTHING_FACTOR
 
-    def is_bulky(self, rule: str) -> bool:
-        """Tell whether the rule's requests are better kept within a zone."""
-        return self._bytes.get(rule, 0.0) >= BULKY_BYTES
+    def has_large_bodies(self, rule: str) -> bool:
+        """Return whether the rule's requests should be kept within a zone."""
+        return self._bytes.get(rule, 0.0) >= LARGE_BODY_BYTES
--- a/packages/core/src/cardamomloft/core/touches.py
+++ b/packages/core/src/cardamomloft/core/touches.py
@@ -1,7 +1,7 @@
-"""Which objects this entry has had worked on at which endpoints.
+"""Estimated cache states of affinity keys at endpoints.
 
-An endpoint works about three times as long on an object that it has not handled lately. This tells
-such first touches from the others, as far as one entry can: those of other entries it does not see.
+An endpoint answers much faster for a key that it has served recently. An entry sees only its own
+requests, so a key that another entry has sent to an endpoint is still taken for a cache miss.
 """
 
 import enum
@@ -9,51 +9,51 @@
 
 from cardamomloft.core.upstreambook import Upstream
 
-PAIRS_KEPT = 20_000
-"""Pairs of endpoint and object that are kept, the longest unused forgotten first, at 0.2 KB each
-(tracemalloc, 20,000 of them)."""
+MAX_TRACKED_PAIRS = 20_000
+"""Pairs of endpoint and key that are tracked; the least recently used ones are dropped first."""
 
 
 class Touch(enum.StrEnum):
-    """What a request is for its object at its endpoint, as this entry sees it.
+    """Cache state of a key at an endpoint, as this entry sees it.
 
-    `FIRST`: nothing was done there before. `BESIDE`: the first has not ended yet, and this one is
-    slow at times. `KNOWN`: the object was handled there. `NONE`: the request is about no object.
+    `MISS`: no request for the key was sent there. `PENDING`: the first such request has not been
+    answered yet, and another one may be as slow. `HIT`: the endpoint has served the key. `NONE`:
+    the request has no affinity key.
     """
 
-    FIRST = "first"
-    BESIDE = "beside-first"
-    KNOWN = "known"
+    MISS = "first"
+    PENDING = "beside-first"
+    HIT = "known"
     NONE = "no-object"
 
 
 class Touches:
-    """Remembers pairs of endpoint and object; a new life of an endpoint knows nothing."""
+    """Tracks the keys that were sent to each endpoint; a new incarnation starts without any."""
 
     def __init__(self) -> None:
         self._answered: OrderedDict[tuple[str, int, str], bool] = OrderedDict()
 
     def look(self, upstream: Upstream, key: str) -> Touch:
-        """Return what a request for `key` would be at `upstream`."""
+        """Return the cache state of `key` at `upstream`."""
         answered = self._answered.get(_pair(upstream, key))
         if answered is None:
-            return Touch.FIRST
-        return Touch.KNOWN if answered else Touch.BESIDE
+            return Touch.MISS
+        return Touch.HIT if answered else Touch.PENDING
 
     def sent(self, upstream: Upstream, key: str) -> None:
-        """Note that a request for `key` goes to `upstream`."""
+        """Record that a request for `key` is sent to `upstream`."""
         pair = _pair(upstream, key)
         self._answered.setdefault(pair, False)
         self._answered.move_to_end(pair)
-        if len(self._answered) > PAIRS_KEPT:
+        if len(self._answered) > MAX_TRACKED_PAIRS:
             self._answered.popitem(last=False)
 
     def answered(self, upstream: Upstream, key: str) -> None:
-        """Note that `upstream` has handled a request for `key`."""
+        """Record that `upstream` has answered a request for `key`."""
         self._answered[_pair(upstream, key)] = True
 
     def failed(self, upstream: Upstream, key: str) -> None:
-        """Note that a request did not run, or that nobody knows whether it did."""
+        """Record that a request did not run, or that its outcome is unknown."""
         pair = _pair(upstream, key)
         if self._answered.get(pair) is False:
             del self._answered[pair]
--- a/packages/core/tests/test_admission.py
+++ b/packages/core/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Refusal at once of what cannot finish, order and eviction by priority, goodput under overload."""
+"""Admission: deadlines, order and eviction by priority, and goodput under overload."""
 
 import heapq
 import math
@@ -21,7 +21,7 @@
 
 
 class Bench:
-    """One queue whose requests are known to take 20 ms each."""
+    """One queue whose requests take 20 ms each; `known` if this was observed."""
 
     def __init__(self, max_queued=64, known=True):
         self.clock = ManualClock()
@@ -37,7 +37,7 @@
         return [item.number for item in iter(lambda: self.admission.pop("s", "p"), None)]
 
 
-def test_order_is_priority_then_deadline_then_arrival():
+def test_requests_are_ordered_by_priority_then_deadline_then_arrival():
     bench = Bench()
     for number, (priority, within) in enumerate(
         [(BULK, 900), (NORMAL, 800), (CRITICAL, 900), (NORMAL, 700), (CRITICAL, 900)]
@@ -50,7 +50,7 @@
     assert len(bench.admission) == 1
 
 
-def test_what_cannot_finish_is_refused_at_once_with_an_honest_return_time():
+def test_a_request_that_cannot_finish_is_refused_with_a_sufficient_retry_after():
     bench = Bench()
     admitted = sum(bench.offer(number, within=100, slots=2).is_ok() for number in range(20))
     assert admitted == 7
@@ -60,11 +60,11 @@
         bench.clock.advance(ms(10))
         bench.admission.pop("s", "p")
     assert bench.offer(21, within=100, slots=2).is_ok()
-    hopeless = bench.offer(22, within=10, free=2, slots=2).error
-    assert (hopeless.reason, hopeless.retry_after) == (RefusalReason.DEADLINE, None)
+    too_late = bench.offer(22, within=10, free=2, slots=2).error
+    assert (too_late.reason, too_late.retry_after) == (RefusalReason.DEADLINE, None)
 
 
-def test_nobody_is_refused_by_guess_and_a_slow_spell_is_forgotten():
+def test_a_request_is_not_refused_without_recent_observations():
     assert Bench(known=False).offer(1, within=1, slots=1).is_ok()
     bench = Bench()
     for _ in range(100):
@@ -74,7 +74,7 @@
     assert bench.offer(2, free=1).is_ok()
 
 
-def test_a_full_queue_gives_up_its_last_for_a_higher_priority_only():
+def test_a_full_queue_evicts_its_last_request_for_a_higher_priority_only():
     bench = Bench(max_queued=3)
     for number, priority in enumerate([BULK, NORMAL, BULK]):
         bench.offer(number, priority, 5000 - number)
@@ -85,7 +85,7 @@
     assert bench.pop_all() == [4, 1, 2]
 
 
-def test_one_pushed_back_too_far_leaves_before_its_deadline():
+def test_a_request_delayed_by_higher_priorities_is_evicted_before_its_deadline():
     bench = Bench()
     bench.offer(1, BULK, within=80)
     for number in range(2, 9):
@@ -105,7 +105,7 @@
         self.admission = Admission(self.clock)
         self.running, self.queue = [], []
         self.good = self.fifo = 0
-        self.started, self.refused, self.asked = Counter(), Counter(), Counter()
+        self.started, self.refused, self.offered = Counter(), Counter(), Counter()
         at = 0.0
         self.arrivals = []
         for _ in range(count):
@@ -125,7 +125,7 @@
                 self.admission.observe("s", ms(duration))
                 fill()
             self.advance(at)
-            self.asked[priority] += 1
+            self.offered[priority] += 1
             arrive(number, priority)
             fill()
         return self
@@ -161,25 +161,25 @@
             assert ahead is None or ahead.priority >= item.priority
             self.start(item.number)
 
-    def fill_in_order(self):
+    def fill_fifo(self):
         while self.queue and len(self.running) < SLOTS:
             self.start(self.queue.pop(0))
 
 
 @pytest.mark.parametrize("load", [2, 5])
-def test_overload_leaves_the_goodput_whole_and_inverts_no_priority(load):
+def test_goodput_and_priorities_are_preserved_under_overload(load):
     trace = Trace(load)
     trace.play(trace.admit, trace.fill)
     assert trace.goodput() >= 0.95
-    served = [trace.started[priority] / trace.asked[priority] for priority in Priority]
+    served = [trace.started[priority] / trace.offered[priority] for priority in Priority]
     assert served[0] > 0.93 > served[1] > served[2]
-    plain = Trace(load)
-    plain.play(lambda number, _: plain.queue.append(number), plain.fill_in_order)
-    assert plain.goodput() < 0.1
+    fifo = Trace(load)
+    fifo.play(lambda number, _: fifo.queue.append(number), fifo.fill_fifo)
+    assert fifo.goodput() < 0.1
 
 
-def test_with_no_time_seen_a_request_is_not_sent_in_its_last_moments():
-    """It would end as unknown, where a refusal can still say that it was not run."""
+def test_without_observations_a_request_is_evicted_shortly_before_its_deadline():
+    """Once sent, its outcome would be unknown; a refusal still proves that it was not run."""
     bench = Bench(known=False)
     assert bench.offer(1, within=500.0).is_ok()
     bench.clock.advance(ms(460))
--- a/packages/core/tests/test_budgets.py
+++ b/packages/core/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets that hold over all entries together."""
+"""Retry budgets that hold over all entries together, and the entries that share them."""
 
 import random
 from datetime import timedelta
@@ -14,10 +14,10 @@
 
 @pytest.mark.parametrize("entries", [1, 4, 12])
 @pytest.mark.parametrize("seed", range(3))
-def test_repeats_of_all_entries_stay_within_the_budget_in_every_window(entries, seed):
+def test_retries_of_all_entries_stay_within_the_budget_in_every_window(entries, seed):
     rng = random.Random(seed)
     budgets = [RetryBudget(0.2, 60, WINDOW) for _ in range(entries)]
-    requests, repeats = [], []
+    requests, retries = [], []
     for step in range(3000):
         now = step * 10 * MS
         budget = rng.choice(budgets)
@@ -25,15 +25,15 @@
         requests.append(now)
         while budget.may_repeat(entries, now) and rng.random() < 0.9:
             budget.spend(now)
-            repeats.append(now)
-    assert repeats
-    for start in repeats[::50]:
-        asked = sum(1 for at in requests if start <= at < start + WINDOW)
-        again = sum(1 for at in repeats if start <= at < start + WINDOW)
-        assert again <= 0.2 * max(asked, 1000) + 60
+            retries.append(now)
+    assert retries
+    for start in retries[::50]:
+        requested = sum(1 for at in requests if start <= at < start + WINDOW)
+        retried = sum(1 for at in retries if start <= at < start + WINDOW)
+        assert retried <= 0.2 * max(requested, 1000) + 60
 
 
-def test_a_new_entry_has_only_its_part_of_the_slack():
+def test_a_new_entry_gets_only_its_share_of_the_slack():
     budget = RetryBudget(0.2, 60, WINDOW)
     spent = 0
     while budget.may_repeat(12, timedelta(0)):
@@ -42,7 +42,7 @@
     assert spent == 4
 
 
-def test_repeats_are_forgotten_after_the_window():
+def test_retries_expire_after_the_window():
     budget = RetryBudget(0.0, 2, WINDOW)
     budget.spend(timedelta(0))
     assert not budget.may_repeat(1, WINDOW)
@@ -60,7 +60,7 @@
     return book
 
 
-def test_an_entry_that_went_still_counts_while_its_part_may_be_spent():
+def test_a_removed_entry_counts_as_long_as_its_share_may_be_in_use():
     book = _book("own", "b", "c")
     assert book.sharing(timedelta(0)) == 3
     book.withdraw("c", 20_000 * MS)
@@ -73,13 +73,13 @@
     assert _book("b").sharing(timedelta(0)) == 2
 
 
-def test_the_own_entry_is_named_only_if_it_may_be():
+def test_the_own_entry_is_listed_only_on_request():
     book = _book("own", "b")
     assert [record.name for record in book.records(with_own=False)] == ["b"]
     assert [record.name for record in book.records(with_own=True)] == ["b", "own"]
 
 
-def test_records_that_lapsed_with_the_store_may_come_back():
+def test_records_lost_with_the_store_are_kept_until_the_return_time():
     book = _book("b", "c")
     book.expect_returns(timedelta(0))
     assert book.listed(set(), timedelta(0)) == []
--- a/packages/core/tests/test_comeback.py
+++ b/packages/core/tests/test_comeback.py
@@ -1,4 +1,4 @@
-"""Refused callers return later, and more spread, the more of a service's requests are refused."""
+"""Retry-after times grow and spread with the fraction of refused requests."""
 
 import random
 from datetime import timedelta
@@ -12,62 +12,64 @@
 
 
 def _after(*refused: bool) -> ComeBack:
-    come_back = ComeBack(WAITS)
-    for one in refused:
-        come_back.note(one)
-    return come_back
+    policy = ComeBack(WAITS)
+    for each in refused:
+        policy.note(each)
+    return policy
 
 
-def test_a_single_refusal_asks_to_return_soon():
-    come_back = _after(*[False] * 100, True)
-    assert 100 * MS <= come_back.wait(0.0, LONG) < 120 * MS
-    assert 500 * MS <= come_back.wait(1.0, LONG) < 560 * MS
+def test_a_single_refusal_gives_a_short_time():
+    policy = _after(*[False] * 100, True)
+    assert 100 * MS <= policy.wait(0.0, LONG) < 120 * MS
+    assert 500 * MS <= policy.wait(1.0, LONG) < 560 * MS
 
 
-def test_an_overload_asks_to_return_later_and_more_spread():
-    calm, full = _after(), _after(*[True] * 500)
-    assert full.wait(0.0, LONG) == pytest.approx(900 * MS, rel=0.01)
-    assert full.wait(1.0, LONG) == pytest.approx(2500 * MS, rel=0.01)
+def test_an_overload_gives_longer_and_more_spread_times():
+    normal, overload = _after(), _after(*[True] * 500)
+    assert overload.wait(0.0, LONG) == pytest.approx(900 * MS, rel=0.01)
+    assert overload.wait(1.0, LONG) == pytest.approx(2500 * MS, rel=0.01)
     assert (
-        calm.wait(0.5, LONG) < _after(*[True, False] * 100).wait(0.5, LONG) < full.wait(0.5, LONG)
+        normal.wait(0.5, LONG)
+        < _after(*[True, False] * 100).wait(0.5, LONG)
+        < overload.wait(0.5, LONG)
     )
 
 
-def test_it_forgets_an_overload_that_is_over():
+def test_the_time_becomes_short_again_after_an_overload():
     assert _after(*[True] * 500, *[False] * 300).wait(1.0, LONG) < 520 * MS
 
 
-@pytest.mark.parametrize(("left", "most"), [(900, 300), (30, 10), (0, 0), (-50, 0)])
-def test_nobody_is_asked_to_wait_for_more_than_a_third_of_its_time(left, most):
-    assert _after(*[True] * 500).wait(1.0, left * MS) == most * MS
+@pytest.mark.parametrize(("left_ms", "max_ms"), [(900, 300), (30, 10), (0, 0), (-50, 0)])
+def test_the_time_is_at_most_a_third_of_the_remaining_time(left_ms, max_ms):
+    assert _after(*[True] * 500).wait(1.0, left_ms * MS) == max_ms * MS
 
 
-def _served_at_return(adaptive: bool, seed: int) -> float:
-    """Play ten seconds of an overload; return the part of refused callers that find room later.
+def _retry_success_rate(adaptive: bool, seed: int) -> float:
+    """Simulate a ten-second overload; return the fraction of refused callers served on retry.
 
-    100 callers a second come while there is room for 60, and after four seconds for 140; each
-    returns once. This stands for the load of 3 to 10 s on a heavy day, with a zone drained.
+    100 callers arrive per second. There is room for 60 per second, and for 140 after four seconds;
+    each refused caller retries once.
     """
-    rng, come_back = random.Random(seed), ComeBack(Waits())
+    rng, policy = random.Random(seed), ComeBack(Waits())
     returns, served, refused = [], 0, 0
     for tick in range(200):
         now = tick * 0.05
         room = 3 if now < 4 else 7
-        back = [at for at in returns if at <= now]
+        returned = [at for at in returns if at <= now]
         returns = [at for at in returns if at > now]
-        served += min(len(back), room)
-        fresh_room = max(0, room - len(back))
-        come_back_or_calm = come_back if adaptive else ComeBack(Waits())
+        served += min(len(returned), room)
+        fresh_room = max(0, room - len(returned))
+        used = policy if adaptive else ComeBack(Waits())
         for caller in range(5):
-            come_back.note(caller >= fresh_room)
+            policy.note(caller >= fresh_room)
             if caller >= fresh_room:
                 refused += 1
-                returns.append(now + come_back_or_calm.wait(rng.random(), LONG).total_seconds())
+                returns.append(now + used.wait(rng.random(), LONG).total_seconds())
     return served / refused
 
 
-def test_more_refused_callers_find_room_at_their_return():
-    """0.68 of them with fixed bounds of 0.15 to 0.6 s, 0.92 with these; five seeds."""
-    fixed = sum(_served_at_return(False, seed) for seed in range(5)) / 5
-    adaptive = sum(_served_at_return(True, seed) for seed in range(5)) / 5
+def test_adaptive_times_let_more_refused_callers_succeed_on_retry():
+    """Under overload, adaptive bounds must serve clearly more retries than fixed ones."""
+    fixed = sum(_retry_success_rate(False, seed) for seed in range(5)) / 5
+    adaptive = sum(_retry_success_rate(True, seed) for seed in range(5)) / 5
     assert adaptive > fixed + 0.15
--- a/packages/core/tests/test_fingerprints.py
+++ b/packages/core/tests/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""A request that comes again is recognised, and another is not taken for it."""
+"""Fingerprints match for repeated requests of a caller, and differ for all others."""
 
 import pytest
 from cardamomloft.core.fingerprints import CALLER_HEADERS, fingerprint
@@ -14,17 +14,17 @@
 
 
 @given(REQUESTS, REQUESTS)
-def test_only_the_same_request_of_the_same_caller_has_the_same_one(one, other):
+def test_fingerprints_match_only_for_the_same_request_of_the_same_caller(one, other):
     assert (fingerprint(*one) == fingerprint(*other)) == (one == other)
 
 
-def test_it_is_the_same_in_every_process():
+def test_a_fingerprint_is_the_same_in_every_process():
     found = fingerprint("GET", "/menus/7?a=1", [("host", "a.example")], b"")
     assert found == "7db0ae7ffd143d0fce97a25e059c6f79"
 
 
 @pytest.mark.parametrize("name", ["x-request-id", "x-deadline-ms", "x-placement-key", "accept"])
-def test_what_differs_between_attempts_has_no_part_in_it(name):
+def test_headers_that_differ_between_attempts_are_ignored(name):
     headers = [("host", "a.example")]
     assert fingerprint("GET", "/", headers, b"") == fingerprint(
         "GET", "/", [*headers, (name, "1")], b""
--- a/packages/core/tests/test_limits.py
+++ b/packages/core/tests/test_limits.py
@@ -1,3 +1,5 @@
+"""Limits of a document: base shares add up, and holders are few, near and stable."""
+
 import typing as t
 from collections import Counter
 
@@ -28,7 +30,9 @@
 
 @settings(derandomize=True, database=None, deadline=None)
 @given(st.integers(0, 2000), st.integers(1, MAX_HOLDERS))
-def test_shares_add_up_to_the_capacity_and_differ_by_one_at_most(capacity: int, n: int) -> None:
+def test_base_shares_add_up_to_the_capacity_and_differ_by_at_most_one(
+    capacity: int, n: int
+) -> None:
     holders = tuple(f"e{i}" for i in range(n))
     limit = Limit("k", LimitKind.CONCURRENCY, capacity, holders, t.cast(t.Any, None))
     shares = base_shares(limit)
@@ -54,14 +58,14 @@
     assert (spill.capacity, sum(base_shares(spill).values())) == (5, 5)
 
 
-def test_no_entry_gets_the_odd_unit_of_every_endpoint() -> None:
+def test_the_remainders_of_all_endpoints_are_spread_over_the_entries() -> None:
     limits = limits_of(document({"n1": 4}, endpoints=40, slots=1))
     first = Counter(limit.holders[0] for key, limit in limits.items() if key.startswith("slots"))
     assert set(first) == {"n1-0", "n1-1", "n1-2", "n1-3"}
     assert max(first.values()) <= 40
 
 
-def test_a_large_fleet_keeps_holders_and_partners_few() -> None:
+def test_an_entry_of_a_large_fleet_shares_limits_with_few_others() -> None:
     limits = limits_of(document(dict.fromkeys(("n1", "n2", "s1", "s2"), 375), endpoints=400))
     partners: dict[str, set[str]] = {}
     for limit in limits.values():
@@ -72,7 +76,7 @@
     assert len([seat for seat in partners if seat.startswith("n1")]) == 375
 
 
-def test_one_more_entry_replaces_one_holder_at_most() -> None:
+def test_an_additional_entry_replaces_at_most_one_holder() -> None:
     before = limits_of(document({"n1": 40}, endpoints=30))
     after = limits_of(document({"n1": 41}, endpoints=30))
     lost = [len(set(limit.holders) - set(after[key].holders)) for key, limit in before.items()]
--- a/packages/core/tests/test_quarantine.py
+++ b/packages/core/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are sent to no upstream any more, and which are not held to blame."""
+"""Requests that crash upstreams are quarantined, and harmless ones are cleared."""
 
 from datetime import timedelta
 
@@ -15,7 +15,7 @@
     return quarantine.apply(quarantine.crashed(fingerprint, Life(upstream, started_ms), now), now)
 
 
-def test_a_request_that_has_met_three_crashes_is_refused():
+def test_a_request_is_quarantined_after_three_crashes():
     quarantine = Quarantine()
     assert [crash(quarantine, "f", f"i-{n}") for n in range(4)] == [False, False, True, False]
     assert quarantine.refused_until("f", NOW) == NOW + REQUEST_LIFE
@@ -30,7 +30,7 @@
     assert quarantine.refused_until("f", NOW) is None
 
 
-def test_what_several_requests_lose_at_once_at_one_upstream_is_one_crash():
+def test_connection_losses_in_quick_succession_count_as_one_crash():
     quarantine = Quarantine()
     for offset in range(5):
         crash(quarantine, "f", "i-1", NOW + offset * 100 * MS)
@@ -38,15 +38,15 @@
 
 
 @pytest.mark.parametrize("started", [(0, 0, 0), (1, 2, 3)])
-def test_an_upstream_that_is_back_and_crashes_again_counts_again(started):
+def test_each_crash_of_a_restarted_upstream_counts(started):
     quarantine = Quarantine()
     for number, started_ms in enumerate(started):
         crash(quarantine, "f", "i-1", NOW + number * RESTART_TIME, started_ms)
     assert quarantine.refused_until("f", NOW + 3 * RESTART_TIME) is not None
 
 
-def test_an_answer_excuses_a_request():
-    """It had met the crashes that another request at the same upstreams was the cause of."""
+def test_an_answer_clears_a_request():
+    """A harmless request must not be blamed for crashes caused by another one."""
     quarantine = Quarantine()
     for upstream in ("i-1", "i-2"):
         crash(quarantine, "harmless", upstream)
@@ -58,7 +58,7 @@
     assert quarantine.refused(NOW) == ["poison"]
 
 
-def test_an_answer_heard_of_late_ends_the_refusal():
+def test_a_late_notice_of_an_answer_ends_the_quarantine():
     quarantine = Quarantine()
     for number in range(3):
         crash(quarantine, "f", f"i-{number}")
@@ -68,7 +68,7 @@
     assert not quarantine
 
 
-def test_it_ends_when_the_third_crash_is_too_old():
+def test_the_quarantine_ends_when_its_crashes_expire():
     quarantine = Quarantine()
     for number in range(4):
         crash(quarantine, "f", f"i-{number}", NOW + number * 1000 * MS)
--- a/packages/core/tests/test_ranks.py
+++ b/packages/core/tests/test_ranks.py
@@ -1,4 +1,4 @@
-"""Places of an entry among all, and what they cost when everything is cold."""
+"""Ranks of an entry among all entries, and their cost while all endpoints are cold."""
 
 from datetime import timedelta
 
@@ -7,7 +7,7 @@
 from cardamomloft.core.affinity import text_hash, unit_hash
 from cardamomloft.core.budgets import ColdLimit
 from cardamomloft.core.model import Refusal
-from cardamomloft.core.ranks import OwnRanks
+from cardamomloft.core.ranks import EntryRanks
 from cardamomloft.core.registrations import Registration
 from cardamomloft.core.routes import ServicePolicy
 from cardamomloft.core.selection import Preferences, Selector
@@ -18,38 +18,38 @@
 NOW = timedelta(seconds=100)
 
 
-def _ranks_of(name: str) -> OwnRanks:
-    found = OwnRanks(name)
-    found.use([other for other in NAMES if other != name])
+def _ranks_of(name: str) -> EntryRanks:
+    found = EntryRanks(name)
+    found.set_others([other for other in NAMES if other != name])
     return found
 
 
 @pytest.mark.parametrize("endpoint", ["i-1", "i-2"])
-def test_each_entry_has_another_place_and_all_know_alike_which(endpoint):
-    places = [_ranks_of(name).of(endpoint, text_hash(endpoint)) for name in NAMES]
+def test_all_entries_agree_on_a_distinct_rank_for_each(endpoint):
+    found = [_ranks_of(name).rank_for(endpoint, text_hash(endpoint)) for name in NAMES]
     ordered = sorted(NAMES, key=lambda name: unit_hash(endpoint, name))
-    assert [ordered[place] for place in places] == NAMES
+    assert [ordered[rank] for rank in found] == NAMES
 
 
-def test_places_follow_the_entries_that_are_known():
+def test_ranks_follow_the_known_entries():
     found = _ranks_of("e-3")
-    before = found.of("i-1", text_hash("i-1"))
-    found.use(())
-    assert found.of("i-1", text_hash("i-1")) == 0
-    found.use([other for other in NAMES if other != "e-3"])
-    assert found.of("i-1", text_hash("i-1")) == before
+    before = found.rank_for("i-1", text_hash("i-1"))
+    found.set_others(())
+    assert found.rank_for("i-1", text_hash("i-1")) == 0
+    found.set_others([other for other in NAMES if other != "e-3"])
+    assert found.rank_for("i-1", text_hash("i-1")) == before
 
 
-def test_the_places_of_endpoints_that_have_gone_are_not_kept_for_ever(monkeypatch):
-    monkeypatch.setattr(ranks, "PLACES_KEPT", 10)
+def test_the_cache_of_ranks_is_bounded(monkeypatch):
+    monkeypatch.setattr(ranks, "MAX_CACHED_RANKS", 10)
     found = _ranks_of("e-3")
     for number in range(100):
-        found.of(f"i-{number}", text_hash(f"i-{number}"))
-    assert len(found._places) <= 10
+        found.rank_for(f"i-{number}", text_hash(f"i-{number}"))
+    assert len(found._ranks) <= 10
 
 
-def test_a_refusal_while_everything_is_cold_ranks_no_entry_anew(monkeypatch):
-    """Before hundreds of endpoints and beside hundreds of entries each took 0.2 s of processor."""
+def test_a_refusal_while_all_endpoints_are_cold_uses_cached_ranks(monkeypatch):
+    """Computing all ranks for each refusal is too slow with hundreds of endpoints and entries."""
     hashed = []
     unit_of = ranks.unit_of
     monkeypatch.setattr(ranks, "unit_of", lambda *pair: hashed.append(1) or unit_of(*pair))
--- a/packages/core/tests/test_retries.py
+++ b/packages/core/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries only where harmless, and few."""
+"""Retries happen only where they are safe, and within the budget."""
 
 import itertools
 from datetime import timedelta
@@ -10,12 +10,12 @@
 
 
 def check_at_most_once(decide):
-    """Fail if a request that may have run, and must not run twice, would be sent again."""
+    """Fail if a non-idempotent request that may have run would be sent again."""
     for attempts, left in itertools.product((0, 1, 4), (-LONG, SHORT, LONG)):
         assert not decide(False, False, attempts, left, SHORT)
 
 
-def test_nothing_that_may_have_run_is_sent_again_unless_idempotent():
+def test_a_request_that_may_have_run_is_retried_only_if_idempotent():
     check_at_most_once(may_retry)
     for idempotent, not_run in ((True, False), (False, True), (True, True)):
         assert may_retry(idempotent, not_run, 1, LONG, SHORT)
@@ -24,22 +24,22 @@
         assert not may_retry(idempotent, not_run, 1, timedelta(0), timedelta(0))
 
 
-def test_check_catches_a_retry_after_sending():
+def test_the_check_detects_an_unsafe_retry():
     with pytest.raises(AssertionError):
         check_at_most_once(lambda idempotent, not_run, left, *_: left > 0)
 
 
-@pytest.mark.parametrize(("percent", "most"), [(0, 0), (10, 110), (50, 510)])
-def test_retries_stay_within_their_part_of_requests(percent, most):
+@pytest.mark.parametrize(("percent", "max_retries"), [(0, 0), (10, 110), (50, 510)])
+def test_retries_stay_within_their_percentage_of_requests(percent, max_retries):
     budget, retries = RetryBudget(percent), 0
     for _ in range(1000):
         budget.on_request()
         retries += budget.try_retry()
         retries += budget.try_retry()
-    assert retries in (most - 1, most) if percent else retries == 0
+    assert retries in (max_retries - 1, max_retries) if percent else retries == 0
 
 
-def test_a_quiet_time_saves_up_no_more_than_the_burst():
+def test_unused_retries_accumulate_up_to_the_burst_only():
     budget = RetryBudget(20, burst=5)
     for _ in range(10_000):
         budget.on_request()
--- a/packages/core/tests/test_selection.py
+++ b/packages/core/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Placement by object: stable, bounded by load, and gentle to cold and failing endpoints."""
+"""Endpoint selection: stable by affinity key, bounded by load, careful with cold endpoints."""
 
 from collections import Counter
 from datetime import timedelta
@@ -6,7 +6,7 @@
 import pytest
 from cardamomloft.core.affinity import Candidate, first_ranked, text_hash, unit_hash
 from cardamomloft.core.budgets import ColdLimit
-from cardamomloft.core.estimates import REPORT_LIFE, expected_load
+from cardamomloft.core.estimates import REPORT_MAX_AGE, expected_load
 from cardamomloft.core.model import Refusal
 from cardamomloft.core.registrations import Registration
 from cardamomloft.core.routes import ServicePolicy
@@ -40,14 +40,14 @@
     upstream.report = LoadReport(load, 0, 4, own=0, at=now)
 
 
-def test_entries_that_know_the_same_endpoints_place_alike():
+def test_entries_that_know_the_same_endpoints_choose_the_same_one():
     first, second = _selector(), _selector()
     for key in map(str, range(50)):
         assert _choose(first, key).id == _choose(second, key).id
 
 
 @pytest.mark.parametrize("gone", range(8))
-def test_only_the_keys_of_an_endpoint_that_goes_move(gone):
+def test_only_the_keys_of_a_removed_endpoint_move(gone):
     selector = _selector(near=8, far=0)
     before = {key: _choose(selector, key).id for key in map(str, range(60))}
     selector._book.withdraw(f"i-{gone}", NOW)
@@ -56,8 +56,8 @@
 
 
 @pytest.mark.parametrize("gone", range(4))
-def test_no_key_moves_within_a_region_that_loses_an_endpoint_but_its_own(gone):
-    """Some leave the region, for which it has too few slots now."""
+def test_other_keys_do_not_move_within_a_region_that_loses_an_endpoint(gone):
+    """Some keys leave the region, which has too few slots without that endpoint."""
     selector = _selector()
     before = {key: _choose(selector, key).id for key in map(str, range(200))}
     selector._book.withdraw(f"i-{gone}", NOW)
@@ -67,11 +67,11 @@
     assert sum(up.region == "west" for up in after.values()) / 200 < 0.25
 
 
-def test_a_region_with_slots_enough_keeps_its_keys():
+def test_a_region_with_enough_slots_keeps_its_keys():
     assert {_choose(_selector(), str(key)).region for key in range(200)} == {"east"}
 
 
-def test_a_region_with_too_few_slots_sends_the_rest_away():
+def test_a_region_with_too_few_slots_sends_the_excess_to_another_region():
     counts = Counter(_choose(_selector(near=2, far=6), str(key)).region for key in range(400))
     assert counts["east"] / 400 == pytest.approx(0.5, abs=0.08)
 
@@ -89,123 +89,123 @@
     assert {_choose(selector, str(key)).registration.zone for key in range(200)} == {"a"}
 
 
-def test_without_own_endpoints_all_goes_away():
+def test_a_region_without_endpoints_sends_all_requests_to_another_region():
     assert _choose(_selector(near=0, far=2)).region == "west"
 
 
-def test_a_key_leaves_a_full_endpoint_for_its_second_choice_and_returns():
+def test_a_key_leaves_a_full_primary_for_its_secondary_and_returns():
     selector = _selector()
-    first = _choose(selector)
-    _fill(first, 9)
-    second = _choose(selector)
-    assert second is not first
-    assert all(_choose(selector) is second for _ in range(5))
-    assert _choose(selector, now=NOW + REPORT_LIFE) is first
+    primary = _choose(selector)
+    _fill(primary, 9)
+    secondary = _choose(selector)
+    assert secondary is not primary
+    assert all(_choose(selector) is secondary for _ in range(5))
+    assert _choose(selector, now=NOW + REPORT_MAX_AGE) is primary
 
 
-def test_a_key_waits_at_a_busy_first_choice():
+def test_a_key_waits_at_a_busy_primary():
     selector = _selector()
-    first = _choose(selector)
-    _fill(first, 8)
-    assert _choose(selector) is first
+    primary = _choose(selector)
+    _fill(primary, 8)
+    assert _choose(selector) is primary
 
 
-def test_a_key_that_both_choices_are_too_full_for_is_refused():
-    """A third endpoint would push its own objects out, and be slow for this one too."""
+def test_a_key_is_refused_when_both_its_endpoints_are_too_full():
+    """At a third endpoint it would be a cache miss and evict that endpoint's own keys."""
     selector = _selector()
-    first = _choose(selector)
-    _fill(first, 9)
-    second = _choose(selector)
-    _fill(second, 2)
+    primary = _choose(selector)
+    _fill(primary, 9)
+    secondary = _choose(selector)
+    _fill(secondary, 2)
     assert isinstance(_choose(selector), Refusal)
 
 
-def test_an_endpoint_that_refused_counts_as_full_and_keeps_its_place():
-    """For want of room, for 60 ms: its keys may use their second endpoint, and never fill it."""
+def test_an_endpoint_that_refused_counts_as_full_for_a_short_time():
+    """Its keys use their secondary endpoint up to the overflow bound, and return after 60 ms."""
     selector = _selector()
-    first = _choose(selector)
-    selector.refused(first, NOW, had_room=False)
-    second = _choose(selector)
-    assert second is not first
-    _fill(second, 2)
+    primary = _choose(selector)
+    selector.refused(primary, NOW, had_room=False)
+    secondary = _choose(selector)
+    assert secondary is not primary
+    _fill(secondary, 2)
     assert isinstance(_choose(selector), Refusal)
-    assert _choose(selector, now=NOW + 60 * MS) is first
+    assert _choose(selector, now=NOW + 60 * MS) is primary
 
 
 def test_an_endpoint_that_refused_with_a_free_slot_keeps_its_keys():
-    """It sheds a part of its requests; elsewhere they are slow and push others out."""
+    """Such an endpoint sheds load; elsewhere its keys would be cache misses."""
     selector = _selector()
-    first = _choose(selector)
-    selector.refused(first, NOW, had_room=True)
-    assert _choose(selector) is first
+    primary = _choose(selector)
+    selector.refused(primary, NOW, had_room=True)
+    assert _choose(selector) is primary
 
 
-def _known_at(selector: Selector, upstream, key: str = "17") -> None:
+def _mark_cached(selector: Selector, upstream, key: str = "17") -> None:
     selector.touches.sent(upstream, key)
     selector.touches.answered(upstream, key)
 
 
-def _both(selector: Selector):
-    """Return the first and the second endpoint of a key, with the same usual work."""
-    first = _choose(selector)
-    _fill(first, 9)
-    second = _choose(selector)
-    _fill(first, 0)
-    first.work = second.work = 100 * MS
-    _known_at(selector, first)
-    return first, second
+def _primary_and_secondary(selector: Selector):
+    """Return both endpoints of a key with equal service times; the primary has it cached."""
+    primary = _choose(selector)
+    _fill(primary, 9)
+    secondary = _choose(selector)
+    _fill(primary, 0)
+    primary.work = secondary.work = 100 * MS
+    _mark_cached(selector, primary)
+    return primary, secondary
 
 
-def test_an_object_at_hand_at_both_goes_where_it_is_answered_clearly_sooner():
+def test_a_key_cached_at_both_endpoints_goes_to_the_clearly_faster_one():
     selector = _selector()
-    first, second = _both(selector)
-    _fill(first, 6)
-    assert _choose(selector) is first
-    _known_at(selector, second)
-    assert _choose(selector) is second
-    _fill(first, 3)
-    assert _choose(selector) is first
+    primary, secondary = _primary_and_secondary(selector)
+    _fill(primary, 6)
+    assert _choose(selector) is primary
+    _mark_cached(selector, secondary)
+    assert _choose(selector) is secondary
+    _fill(primary, 3)
+    assert _choose(selector) is primary
 
 
-def test_a_slow_first_endpoint_is_left_for_a_second_that_has_the_object():
+def test_a_slow_primary_is_left_for_a_secondary_that_has_the_key_cached():
     selector = _selector()
-    first, second = _both(selector)
-    _known_at(selector, second)
-    first.work = 400 * MS
-    assert _choose(selector) is second
-    _fill(second, 4)
-    assert _choose(selector) is first
+    primary, secondary = _primary_and_secondary(selector)
+    _mark_cached(selector, secondary)
+    primary.work = 400 * MS
+    assert _choose(selector) is secondary
+    _fill(secondary, 4)
+    assert _choose(selector) is primary
 
 
-def test_a_first_endpoint_that_started_again_is_left_for_a_second_that_has_the_object():
+def test_a_restarted_primary_is_left_for_a_secondary_that_has_the_key_cached():
     selector = _selector()
-    first, second = _both(selector)
-    _known_at(selector, second)
-    selector._book.register(first.registration._replace(started_ms=1), NOW)
-    selector._book.get(first.id).work = 100 * MS
-    assert _choose(selector) is second
+    primary, secondary = _primary_and_secondary(selector)
+    _mark_cached(selector, secondary)
+    selector._book.register(primary.registration._replace(started_ms=1), NOW)
+    selector._book.get(primary.id).work = 100 * MS
+    assert _choose(selector) is secondary
 
 
-def test_a_second_endpoint_that_refused_is_not_sooner():
+def test_a_secondary_that_refused_is_not_preferred():
     selector = _selector()
-    first, second = _both(selector)
-    _known_at(selector, second)
-    _fill(first, 6)
-    selector.refused(second, NOW, had_room=False)
-    assert _choose(selector) is first
+    primary, secondary = _primary_and_secondary(selector)
+    _mark_cached(selector, secondary)
+    _fill(primary, 6)
+    selector.refused(secondary, NOW, had_room=False)
+    assert _choose(selector) is primary
 
 
-def test_a_repeat_needs_a_free_slot_at_the_next_endpoint():
+def test_a_retry_needs_a_free_slot_at_the_next_endpoint():
     selector = _selector()
-    first = _choose(selector)
-    second = _choose(selector, tried=[first.id])
-    _fill(second, 3)
-    assert _choose(selector, tried=[first.id]) is second
-    _fill(second, 4)
-    assert _choose(selector, tried=[first.id]) is not second
+    primary = _choose(selector)
+    secondary = _choose(selector, tried=[primary.id])
+    _fill(secondary, 3)
+    assert _choose(selector, tried=[primary.id]) is secondary
+    _fill(secondary, 4)
+    assert _choose(selector, tried=[primary.id]) is not secondary
 
 
-def test_what_is_about_no_object_goes_wherever_there_is_room():
+def test_a_request_without_a_key_goes_to_any_endpoint_with_room():
     selector = _selector(near=6, far=0)
     rule = RULE._replace(keyed=False)
     for loaded in range(6):
@@ -216,63 +216,63 @@
 
 
 @pytest.mark.parametrize(
-    ("work", "most"), [(None, 8), (400, 5), (200, 7), (160, 9), (10, 11), (2000, 5)]
+    ("service_time_ms", "max_load"), [(None, 8), (400, 5), (200, 7), (160, 9), (10, 11), (2000, 5)]
 )
-def test_it_waits_at_its_first_endpoint_as_long_as_the_target_allows(work, most):
-    """Within 1.5 and 3 times the slots; the target is 400 ms."""
+def test_a_key_waits_at_its_primary_as_long_as_the_target_allows(service_time_ms, max_load):
+    """The bound stays between 1.5 and 3 times the slots; the target is 400 ms."""
     selector = _selector()
-    first = _choose(selector)
-    first.work = work and work * MS
+    primary = _choose(selector)
+    primary.work = service_time_ms and service_time_ms * MS
     until = timedelta(minutes=1)
     for load in range(16):
-        _fill(first, load)
+        _fill(primary, load)
         chosen = selector.choose(RULE, "menus", "17", [], NOW + until, NOW)
-        assert (chosen.upstream is first) == (load <= most)
+        assert (chosen.upstream is primary) == (load <= max_load)
 
 
-def test_what_cannot_be_answered_in_time_is_refused():
+def test_a_request_that_cannot_be_answered_in_time_is_refused():
     selector = _selector(near=1, far=0)
-    first = _choose(selector)
-    selector.answered(first, 600 * MS, 0)
-    assert _choose(selector) is first
-    _fill(first, 7)
+    primary = _choose(selector)
+    selector.answered(primary, 600 * MS, 0)
+    assert _choose(selector) is primary
+    _fill(primary, 7)
     assert isinstance(_choose(selector), Refusal)
 
 
-def test_time_spent_waiting_is_not_taken_for_work():
+def test_waiting_time_does_not_count_as_service_time():
     selector = _selector()
-    first = _choose(selector)
-    selector.answered(first, 300 * MS, 7)
-    assert first.work == 150 * MS
+    primary = _choose(selector)
+    selector.answered(primary, 300 * MS, 7)
+    assert primary.work == 150 * MS
 
 
-def test_own_requests_count_beside_a_report():
+def test_own_requests_in_flight_are_added_to_a_report():
     selector = _selector()
-    first = _choose(selector)
-    _fill(first, 7)
-    first.in_flight = 2
-    assert expected_load(first, NOW) == 9
-    assert _choose(selector) is not first
+    primary = _choose(selector)
+    _fill(primary, 7)
+    primary.in_flight = 2
+    assert expected_load(primary, NOW) == 9
+    assert _choose(selector) is not primary
 
 
-def test_a_report_fades_with_its_age():
+def test_the_weight_of_a_report_decreases_with_its_age():
     selector = _selector()
-    first = _choose(selector)
-    _fill(first, 6)
-    loads = [expected_load(first, NOW + part * REPORT_LIFE / 4) for part in range(5)]
+    primary = _choose(selector)
+    _fill(primary, 6)
+    loads = [expected_load(primary, NOW + quarters * REPORT_MAX_AGE / 4) for quarters in range(5)]
     assert loads == sorted(loads, reverse=True)
     assert loads[-1] == 0
 
 
-def test_what_was_tried_is_not_tried_again():
+def test_an_endpoint_is_not_tried_twice_for_a_request():
     selector = _selector(near=2, far=0)
-    first = _choose(selector)
-    second = _choose(selector, tried=[first.id])
-    assert second.id != first.id
-    assert isinstance(_choose(selector, tried=[first.id, second.id]), Refusal)
+    primary = _choose(selector)
+    secondary = _choose(selector, tried=[primary.id])
+    assert secondary.id != primary.id
+    assert isinstance(_choose(selector, tried=[primary.id, secondary.id]), Refusal)
 
 
-def test_homes_are_never_left():
+def test_requests_stay_within_the_regions_of_their_rule():
     selector = _selector(near=1, far=2)
     rule = RULE._replace(homes=frozenset({"east"}))
     for key in map(str, range(30)):
@@ -283,19 +283,19 @@
     assert isinstance(_choose(selector, rule=elsewhere), Refusal)
 
 
-def test_an_endpoint_rests_after_failures_and_is_tried_again():
+def test_an_endpoint_is_ejected_after_failures_and_tried_again():
     selector = _selector()
-    first = _choose(selector)
-    selector.failed(first, NOW)
-    assert _choose(selector) is first
-    selector.failed(first, NOW)
-    assert _choose(selector) is not first
-    assert _choose(selector, now=NOW + timedelta(seconds=5)) is first
-    selector.answered(first, 150 * MS, 0)
-    assert _choose(selector) is first
+    primary = _choose(selector)
+    selector.failed(primary, NOW)
+    assert _choose(selector) is primary
+    selector.failed(primary, NOW)
+    assert _choose(selector) is not primary
+    assert _choose(selector, now=NOW + timedelta(seconds=5)) is primary
+    selector.answered(primary, 150 * MS, 0)
+    assert _choose(selector) is primary
 
 
-def test_when_most_endpoints_fail_none_rests():
+def test_no_endpoint_is_ejected_when_most_of_them_fail():
     selector = _selector()
     for upstream in selector._book.of_service("menus"):
         for _ in range(3):
@@ -303,17 +303,17 @@
     assert not isinstance(_choose(selector), Refusal)
 
 
-def test_a_warm_endpoint_goes_before_a_cold_one():
+def test_a_warm_endpoint_is_preferred_to_a_cold_one():
     selector = _selector(near=2, far=0)
-    first = _choose(selector)
-    first.cold_until = NOW + timedelta(seconds=1)
-    assert _choose(selector) is not first
-    assert _choose(selector, now=NOW + timedelta(seconds=2)) is first
+    primary = _choose(selector)
+    primary.cold_until = NOW + timedelta(seconds=1)
+    assert _choose(selector) is not primary
+    assert _choose(selector, now=NOW + timedelta(seconds=2)) is primary
 
 
 @pytest.mark.parametrize("entries", [1, 3, 10, 40])
-def test_cold_endpoints_get_no_more_than_they_bear_from_all_entries(entries):
-    """With only cold endpoints, in any second of a rush."""
+def test_all_entries_together_stay_within_the_limit_of_a_cold_endpoint(entries):
+    """The limit holds in every second, also when there are only cold endpoints."""
     limit = 7.0 * 1.5 + 5
     minute, names = timedelta(seconds=60), {f"e-{number}" for number in range(entries)}
     selectors = []
@@ -330,17 +330,17 @@
             if not isinstance(chosen, Refusal):
                 selector.sent(chosen, now)
                 sent.append(now)
-    most = max(sum(1 for at in sent if start <= at < start + 1000 * MS) for start in sent)
-    assert 0 < most <= limit
+    max_rate = max(sum(1 for at in sent if start <= at < start + 1000 * MS) for start in sent)
+    assert 0 < max_rate <= limit
 
 
-def test_weights_decide_how_many_keys_come_first():
+def test_the_number_of_keys_is_proportional_to_the_weight():
     candidates = [Candidate("a", text_hash("a"), 1.0), Candidate("b", text_hash("b"), 3.0)]
     firsts = Counter(first_ranked(str(key), candidates, 1)[0] for key in range(4000))
     assert firsts["b"] / firsts["a"] == pytest.approx(3, rel=0.15)
 
 
-def test_keys_are_spread_evenly_over_endpoints_and_second_choices():
+def test_keys_are_spread_evenly_over_primary_and_secondary_endpoints():
     names = [f"i-{number:x}" for number in range(20)]
     candidates = [Candidate(name, text_hash(name), 4.0) for name in names]
     order = [first_ranked(f"{key:x}", candidates, 2) for key in range(8000)]
@@ -348,18 +348,18 @@
         counts = Counter(first[place] for first in order)
         assert set(counts) == set(names)
         assert max(counts.values()) < 1.25 * 400
-    behind = Counter(second for first, second in order if first == names[0])
-    assert len(behind) == 19
+    secondaries = Counter(second for first, second in order if first == names[0])
+    assert len(secondaries) == 19
 
 
-def test_the_first_of_a_rank_are_those_of_the_whole():
+def test_a_partial_ranking_equals_the_start_of_the_full_ranking():
     candidates = [Candidate(name, text_hash(name), 1.0) for name in map(str, range(30))]
     whole = first_ranked("17", candidates, 30)
     assert sorted(whole) == sorted(map(str, range(30)))
     assert first_ranked("17", candidates, 8) == whole[:8]
 
 
-def test_when_the_first_ranked_are_cold_another_endpoint_is_found():
+def test_a_warm_endpoint_is_found_when_all_ranked_ones_are_cold():
     selector = _selector(near=20, far=0)
     for upstream in selector._order(RULE, "menus", "17"):
         upstream.cold_until = NOW + timedelta(seconds=9)
@@ -367,7 +367,7 @@
     assert chosen.cold_until <= NOW
 
 
-def test_a_change_of_one_service_leaves_the_ranks_of_others():
+def test_a_change_of_one_service_keeps_the_cached_ranking_of_others():
     selector = _selector()
     _choose(selector)
     ranking = selector._ranking(RULE, "menus")
@@ -378,11 +378,11 @@
     assert selector._ranking(RULE, "menus") is not ranking
 
 
-def test_ranks_are_kept_for_keys_only():
+def test_rankings_are_cached_for_affinity_keys_only():
     selector = _selector()
     rule = RULE._replace(keyed=False)
     _choose(selector, "some-request", rule=rule)
-    assert selector._ranking(rule, "menus").known == {}
+    assert selector._ranking(rule, "menus").by_key == {}
 
 
 def test_the_hash_is_the_same_in_every_process():
@@ -391,57 +391,57 @@
 
 
 def _report_all(selector: Selector, load: int) -> None:
-    """Let the entry read the same load everywhere, often enough to be usual."""
+    """Report the same load everywhere, often enough to raise the average load."""
     for upstream in selector._book.all():
         for _ in range(5):
             selector.reported(upstream, LoadReport(load, 0, 4, own=0, at=NOW))
 
 
-def test_an_endpoint_of_which_nothing_is_known_counts_as_usually_loaded_as_a_second_choice():
+def test_a_secondary_without_a_fresh_report_is_assumed_to_have_an_average_load():
     selector = _selector(near=8, far=0)
-    home = _choose(selector)
+    primary = _choose(selector)
     _report_all(selector, load=9)
-    later = NOW + 2 * REPORT_LIFE
-    _fill(home, 40, later)
+    later = NOW + 2 * REPORT_MAX_AGE
+    _fill(primary, 40, later)
     assert isinstance(_choose(selector, now=later), Refusal)
 
 
-def test_where_endpoints_are_usually_idle_one_of_which_nothing_is_known_is_a_second_choice():
+def test_a_secondary_without_a_fresh_report_is_used_if_endpoints_are_mostly_idle():
     selector = _selector(near=8, far=0)
-    home = _choose(selector)
+    primary = _choose(selector)
     _report_all(selector, load=1)
-    later = NOW + 2 * REPORT_LIFE
-    _fill(home, 40, later)
-    assert _choose(selector, now=later) in set(selector._book.all()) - {home}
+    later = NOW + 2 * REPORT_MAX_AGE
+    _fill(primary, 40, later)
+    assert _choose(selector, now=later) in set(selector._book.all()) - {primary}
 
 
-def test_a_fresh_report_says_more_than_what_is_usual():
+def test_a_fresh_report_takes_precedence_over_the_average_load():
     selector = _selector(near=8, far=0)
-    home = _choose(selector)
+    primary = _choose(selector)
     _report_all(selector, load=9)
     for upstream in selector._book.all():
-        _fill(upstream, 40 if upstream is home else 0)
-    assert _choose(selector) in set(selector._book.all()) - {home}
+        _fill(upstream, 40 if upstream is primary else 0)
+    assert _choose(selector) in set(selector._book.all()) - {primary}
 
 
-def test_the_first_endpoint_is_used_whatever_is_usual():
-    """Requests wait there, and its answers tell how it is."""
+def test_the_average_load_is_not_assumed_at_a_primary():
+    """Requests may wait there, and the answers report its actual load."""
     selector = _selector(near=8, far=0)
-    home = _choose(selector)
+    primary = _choose(selector)
     _report_all(selector, load=40)
-    assert _choose(selector, now=NOW + 2 * REPORT_LIFE) is home
+    assert _choose(selector, now=NOW + 2 * REPORT_MAX_AGE) is primary
 
 
-def test_a_report_turns_into_what_is_usual_with_its_age():
+def test_an_aging_report_is_blended_into_the_assumed_load():
     upstream = _choose(_selector())
     _fill(upstream, 4)
     assert expected_load(upstream, NOW, 2.0) == 4
-    assert expected_load(upstream, NOW + REPORT_LIFE / 2, 2.0) == 6
-    assert expected_load(upstream, NOW + REPORT_LIFE, 2.0) == 8
+    assert expected_load(upstream, NOW + REPORT_MAX_AGE / 2, 2.0) == 6
+    assert expected_load(upstream, NOW + REPORT_MAX_AGE, 2.0) == 8
 
 
 @pytest.mark.parametrize(("in_zone", "stays"), [(1, False), (2, True)])
-def test_large_bodies_stay_within_their_zone_where_zones_have_endpoints_enough(in_zone, stays):
+def test_large_bodies_stay_within_their_zone_if_zones_have_enough_endpoints(in_zone, stays):
     book = UpstreamBook({"a": "east", "c": "east", "b": "west"})
     zones = ["a"] * in_zone + ["c"] * in_zone + ["b"] * in_zone
     for number, zone in enumerate(zones):
--- a/packages/core/tests/test_touches.py
+++ b/packages/core/tests/test_touches.py
@@ -1,3 +1,5 @@
+"""Cache states: which requests are cache misses, as far as one entry can tell."""
+
 from datetime import timedelta
 
 import pytest
@@ -14,39 +16,39 @@
     return Upstream(row, "east", ZERO)
 
 
-def test_an_object_is_known_once_the_first_request_for_it_was_answered():
-    seen, upstream = Touches(), endpoint(1)
-    assert seen.look(upstream, "17") is Touch.FIRST
-    seen.sent(upstream, "17")
-    assert seen.look(upstream, "17") is Touch.BESIDE
-    seen.answered(upstream, "17")
-    assert seen.look(upstream, "17") is Touch.KNOWN
-    assert seen.look(upstream, "18") is seen.look(endpoint(2), "17") is Touch.FIRST
+def test_a_key_is_cached_once_its_first_request_was_answered():
+    tracker, upstream = Touches(), endpoint(1)
+    assert tracker.look(upstream, "17") is Touch.MISS
+    tracker.sent(upstream, "17")
+    assert tracker.look(upstream, "17") is Touch.PENDING
+    tracker.answered(upstream, "17")
+    assert tracker.look(upstream, "17") is Touch.HIT
+    assert tracker.look(upstream, "18") is tracker.look(endpoint(2), "17") is Touch.MISS
 
 
-def test_a_first_request_that_failed_leaves_the_object_unknown():
-    seen, upstream = Touches(), endpoint(1)
-    seen.sent(upstream, "17")
-    seen.failed(upstream, "17")
-    assert seen.look(upstream, "17") is Touch.FIRST
-    seen.sent(upstream, "17")
-    seen.answered(upstream, "17")
-    seen.failed(upstream, "17")
-    assert seen.look(upstream, "17") is Touch.KNOWN
+def test_a_failed_first_request_leaves_the_key_uncached():
+    tracker, upstream = Touches(), endpoint(1)
+    tracker.sent(upstream, "17")
+    tracker.failed(upstream, "17")
+    assert tracker.look(upstream, "17") is Touch.MISS
+    tracker.sent(upstream, "17")
+    tracker.answered(upstream, "17")
+    tracker.failed(upstream, "17")
+    assert tracker.look(upstream, "17") is Touch.HIT
 
 
-def test_a_new_life_knows_nothing():
-    seen = Touches()
-    seen.sent(endpoint(1, 100), "17")
-    seen.answered(endpoint(1, 100), "17")
-    assert seen.look(endpoint(1, 200), "17") is Touch.FIRST
+def test_a_new_incarnation_starts_with_an_empty_cache():
+    tracker = Touches()
+    tracker.sent(endpoint(1, 100), "17")
+    tracker.answered(endpoint(1, 100), "17")
+    assert tracker.look(endpoint(1, 200), "17") is Touch.MISS
 
 
-def test_what_is_kept_is_bounded(monkeypatch: pytest.MonkeyPatch):
-    monkeypatch.setattr(touches, "PAIRS_KEPT", 2)
-    seen, upstream = Touches(), endpoint(1)
+def test_the_number_of_tracked_pairs_is_bounded(monkeypatch: pytest.MonkeyPatch):
+    monkeypatch.setattr(touches, "MAX_TRACKED_PAIRS", 2)
+    tracker, upstream = Touches(), endpoint(1)
     for key in ("1", "2", "1", "3"):
-        seen.sent(upstream, key)
-        seen.answered(upstream, key)
-    assert seen.look(upstream, "2") is Touch.FIRST
-    assert seen.look(upstream, "1") is Touch.KNOWN
+        tracker.sent(upstream, key)
+        tracker.answered(upstream, key)
+    assert tracker.look(upstream, "2") is Touch.MISS
+    assert tracker.look(upstream, "1") is Touch.HIT
