--- a/packages/upstreams/src/cardamomloft/upstreams/__init__.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP client side towards upstream endpoints."""
+"""HTTP client for upstream endpoints."""
--- a/packages/upstreams/src/cardamomloft/upstreams/body.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/body.py
@@ -1,4 +1,4 @@
-"""The body of an upstream's answer, streamed with back-pressure and checked for completeness."""
+"""Streaming of answer bodies with back-pressure, and detection of truncated bodies."""
 
 import typing as t
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class Delivery(t.NamedTuple):
-    """How the delivery of a body ended; `received` counts the bytes that came."""
+    """Outcome of the delivery of a body; `received` is the number of bytes received."""
 
     complete: bool
     received: int
@@ -24,11 +24,11 @@
 
 @implementer(IPushProducer)
 class AnswerBody(Protocol):
-    """Takes a response's body and passes it to one consumer.
+    """Passes the body of a response to one consumer.
 
-    A body is complete only if its announced length or its last chunk has come: one that is ended
-    by the close of its connection alone may have been cut short, unless `ended_in_order` says that
-    the upstreams close in order after a whole body only.
+    A body is complete if its announced length or its last chunk was received. One that is ended
+    only by the close of its connection may be truncated; it counts as complete only if
+    `closed_cleanly` returns True.
 
     Parameters
     ----------
@@ -38,8 +38,9 @@
         Resets the upstream's connection.
     on_end
         Called once, when the body has ended or was aborted.
-    ended_in_order
-        Asked when a body without a length ends with its connection: whether it counts as whole.
+    closed_cleanly
+        Called when a body without a length ends with its connection; returns whether the upstream
+        closed the connection after a complete body.
     """
 
     def __init__(
@@ -47,9 +48,9 @@
         response: IResponse,
         abort_connection: Callable[[], None],
         on_end: Callable[[], None] = lambda: None,
-        ended_in_order: Callable[[], bool] = lambda: False,
+        closed_cleanly: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._ended_in_order = ended_in_order
+        self._closed_cleanly = closed_cleanly
         self._response = response
         self._abort_connection = abort_connection
         self._on_end: Callable[[], None] | None = on_end
@@ -58,19 +59,19 @@
         self._received = 0
         self._detail = ""
         self._aborted = False
-        self._taken = False
+        self._started = False
 
     def deliver(self, consumer: IConsumer) -> "Deferred[Delivery]":
-        """Write the body to `consumer`; cancelling the result aborts.
+        """Write the body to `consumer`; cancelling the result aborts the delivery.
 
         Raises
         ------
         RuntimeError
-            If the body was already taken.
+            If the body was already delivered or collected.
         """
-        if self._taken:
-            raise RuntimeError("an answer's body can be taken only once")
-        self._taken = True
+        if self._started:
+            raise RuntimeError("the body of an answer can be delivered or collected only once")
+        self._started = True
         done: Deferred[Delivery] = Deferred(lambda _: self.abort("cancelled"))
         if self._aborted:
             done.callback(Delivery(False, 0, self._detail))
@@ -82,11 +83,11 @@
         return done
 
     def collect(self, limit: int) -> "Deferred[Result[bytes, str]]":
-        """Return the whole body if it has at most `limit` bytes."""
+        """Return the whole body, or an error if it exceeds `limit` bytes or is incomplete."""
         return _Collector(self, limit).result
 
     def abort(self, detail: str = "aborted") -> None:
-        """Reset the connection; the delivery ends incomplete. May be called again."""
+        """Reset the connection and end the delivery as incomplete; has no effect after the end."""
         if self._aborted or self._on_end is None:
             return
         self._aborted = True
@@ -94,18 +95,18 @@
         self._abort_connection()
         self._end(Delivery(False, self._received, detail))
 
-    # The connection's side.
+    # Protocol, called by the connection.
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass a part of the body on."""
+        """Pass received bytes on to the consumer."""
         if self._consumer is not None:
             self._received += len(data)
             self._consumer.write(data)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Note the end of the body and whether it was whole."""
-        in_order = reason.check(PotentialDataLoss) and self._ended_in_order()
-        if reason.check(ResponseDone) or in_order:
+        """End the delivery, complete or not."""
+        is_clean = reason.check(PotentialDataLoss) and self._closed_cleanly()
+        if reason.check(ResponseDone) or is_clean:
             self._end(Delivery(True, self._received))
         elif reason.check(PotentialDataLoss):
             self._end(Delivery(False, self._received, "ended only by the close of the connection"))
@@ -113,20 +114,20 @@
             detail = f"cut short after {self._received} bytes: {reason.getErrorMessage()}"
             self._end(Delivery(False, self._received, detail))
 
-    # The consumer's side.
+    # IPushProducer, called by the consumer.
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Stop reading from the upstream."""
+        """Pause reading from the upstream."""
         if self._done is not None:
             self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Read again."""
+        """Resume reading from the upstream."""
         if self._done is not None:
             self.transport.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Abort, since the consumer has gone."""
+        """Abort the delivery, because the consumer accepts no more data."""
         self.abort("the consumer stopped")
 
     def _end(self, delivery: Delivery) -> None:
@@ -143,25 +144,25 @@
 
 @implementer(IConsumer)
 class _Collector:
-    """Joins a body's bytes as long as they stay within a limit."""
+    """Collects a body in memory up to a size limit."""
 
     def __init__(self, body: AnswerBody, limit: int) -> None:
         self._body = body
         self._limit = limit
-        self._left = limit
+        self._remaining = limit
         self._chunks: list[bytes] = []
         self.result: Deferred[Result[bytes, str]] = body.deliver(self).addCallback(self._join)
 
     def registerProducer(self, producer: object, streaming: bool) -> None:  # noqa: N802
-        """Accept the producer; the limit is what bounds it."""
+        """Accept the producer; it is never paused, since the size limit bounds the memory."""
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Forget the producer."""
+        """Do nothing; the end of the delivery is reported to `_join`."""
 
     def write(self, data: bytes) -> None:
-        """Keep `data`, or abort when it is too much."""
-        self._left -= len(data)
-        if self._left < 0:
+        """Store `data`, or abort the delivery when the limit is exceeded."""
+        self._remaining -= len(data)
+        if self._remaining < 0:
             self._body.abort(f"body exceeds {self._limit} bytes")
         else:
             self._chunks.append(data)
@@ -172,22 +173,22 @@
 
 @implementer(IBodyProducer)
 class BytesProducer:
-    """A request body that is in memory already."""
+    """A request body that is held in memory."""
 
     def __init__(self, data: bytes) -> None:
         self.length = len(data)
         self._data = data
 
     def startProducing(self, consumer: IConsumer) -> "Deferred[None]":  # noqa: N802
-        """Write all of it."""
+        """Write the whole body."""
         consumer.write(self._data)
         return succeed(None)
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Do nothing: all is written."""
+        """Do nothing: the whole body has been written."""
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Do nothing: all is written."""
+        """Do nothing: the whole body has been written."""
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: all is written."""
+        """Do nothing: the whole body has been written."""
--- a/packages/upstreams/src/cardamomloft/upstreams/client.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/client.py
@@ -1,8 +1,8 @@
-"""Sending requests to upstream endpoints.
+"""HTTP client that sends requests to upstream endpoints.
 
-A request counts as sent once it has a connection, because from then on its first byte may have
-left. Before that, a failure is a proof that it was not run; afterwards only the upstream's own
-definite refusal is one.
+A request counts as sent once it has a connection, since its first bytes may have left from then on.
+A failure before that proves that the request was not run; afterwards only a definite refusal by the
+upstream proves it.
 """
 
 import typing as t
@@ -30,7 +30,7 @@
 MAX_IN_FLIGHT_PER_ENDPOINT = 64
 _CONTROL_BODY_LIMIT = 4096
 
-# The client frames the body itself, and says for itself whose request it is and how long it has.
+# Headers that the client sets itself: framing of the body, request id and deadline.
 _OWN_HEADERS = frozenset(
     {
         "connection",
@@ -47,10 +47,10 @@
 class UpstreamRequest(t.NamedTuple):
     """One attempt to run a request at `endpoint`.
 
-    `path` is the request target with its query, as the caller sent it. `timeout` covers all of the
+    `path` is the request target with its query, as the caller sent it. `timeout` covers the whole
     exchange, until the last byte of the answer was delivered. A request that is not `idempotent`
-    gets a new connection unless the dialect reuses them. `expected` names the endpoint life that
-    is to run it, where the dialect has a header for that.
+    gets a new connection unless the dialect allows reuse. `expected` identifies the endpoint
+    incarnation that is to run it, if the dialect has a header for that.
     """
 
     endpoint: Endpoint
@@ -67,8 +67,8 @@
 class UpstreamAnswer(t.NamedTuple):
     """The head of an answer; `body` must be delivered, collected or aborted.
 
-    `length` is the announced size of the body in bytes, or None. `not_run` is the upstream's own
-    statement that it refused the request and did nothing.
+    `length` is the announced size of the body in bytes, or None. `not_run` is True if the upstream
+    states that it refused the request without running it.
     """
 
     status: int
@@ -79,10 +79,10 @@
 
 
 class SendFailure(t.NamedTuple):
-    """No answer; `not_run` only if no byte of the request can have left.
+    """The failure of a request without an answer.
 
-    `cut` if the connection ended after that and before an answer began, as when the upstream
-    crashes.
+    `not_run` is True only if no byte of the request can have been sent. `cut` is True if the
+    connection was lost after that and before an answer began, as when the upstream crashes.
     """
 
     not_run: bool
@@ -98,10 +98,10 @@
     reactor
         The reactor for connections and timeouts.
     max_in_flight
-        Bound on simultaneous requests per endpoint, above which `send` fails as not run; the
-        endpoint's limits, held elsewhere, are stricter.
+        Maximum number of concurrent requests per endpoint, above which `send` fails as not run.
+        It is a safeguard: the endpoint's own limits, which are enforced elsewhere, are lower.
     dialect
-        How the upstreams name things.
+        Header names and conventions of the upstreams.
     """
 
     def __init__(
@@ -120,22 +120,23 @@
         self._control_pool = ConnectionPool(reactor)
 
     def send(self, req: UpstreamRequest) -> "Deferred[Result[UpstreamAnswer, SendFailure]]":
-        """Send `req` and wait for the head of its answer.
+        """Send `req` and return the head of its answer.
 
-        Cancelling the result before that aborts the request; afterwards the answer's body does.
-        Either way, and after a timeout, the upstream may go on running it: see `cancel`.
+        Cancelling the result aborts the request; once the head has arrived, aborting the answer's
+        body does. After either one, or a timeout, the upstream may still run the request; `cancel`
+        stops it.
         """
         if req.timeout <= timedelta(0):
-            return succeed(Error(SendFailure(True, "no time left")))
+            return succeed(Error(SendFailure(True, "no time left before the deadline")))
         if self.in_flight[req.endpoint.address] >= self._max_in_flight:
-            detail = f"{self._max_in_flight} requests in flight already"
+            detail = f"limit of {self._max_in_flight} requests in flight to the endpoint reached"
             return succeed(Error(SendFailure(True, detail)))
-        return _Sending(self, req).result
+        return _Exchange(self, req).result
 
     def cancel(self, endpoint: Endpoint, request_id: str) -> "Deferred[bool]":
-        """Ask the upstream to stop a request; True if it confirms that it is not running.
+        """Ask the upstream to stop a request; return whether it confirms that it is not running.
 
-        It frees the slot, but does not tell whether the request had an effect before.
+        This frees the slot, but the request may already have had an effect.
         """
         path = f"/-/requests/{request_id}"
         body = self._control("DELETE", endpoint, path, CANCEL_TIMEOUT)
@@ -144,24 +145,24 @@
     def poll(
         self, endpoint: Endpoint, timeout: timedelta = POLL_TIMEOUT
     ) -> "Deferred[Result[UpstreamLoad, str]]":
-        """Ask the upstream for its load."""
+        """Fetch the upstream's load report."""
         body = self._control("GET", endpoint, "/-/load", timeout)
         return body.addCallback(lambda raw: raw.bind(parse_load))
 
     def forget(self, address: str) -> None:
-        """Close the idle connections to `address`: who listens there has started again."""
+        """Close the idle connections to `address`, because the upstream there was restarted."""
         self.pool.drop(address)
         self._control_pool.drop(address)
 
     def close(self) -> "Deferred[None]":
-        """Close the idle connections."""
+        """Close all idle connections."""
         done = self.pool.closeCachedConnections()
         return done.addCallback(lambda _: self._control_pool.closeCachedConnections())
 
     def _control(
         self, method: str, endpoint: Endpoint, path: str, timeout: timedelta
     ) -> "Deferred[Result[bytes, str]]":
-        """Return the small body of a 200 answer to a request that is not a caller's."""
+        """Send a control request; return the body of its answer if the status is 200."""
         attempt = Attempt(self._control_pool, fresh=False)
         http = HTTPClient(Agent.usingEndpointFactory(self.reactor, self.endpoints, attempt))
         url = f"http://{endpoint.address}{path}"
@@ -181,8 +182,8 @@
         return answered.addErrback(_control_failure, attempt)
 
 
-class _Sending:
-    """One exchange with an upstream, from the connection to the last byte of the answer."""
+class _Exchange:
+    """One exchange with an upstream, from connecting to the last byte of the answer."""
 
     def __init__(self, client: UpstreamClient, req: UpstreamRequest) -> None:
         self.result: Deferred[Result[UpstreamAnswer, SendFailure]] = Deferred(self._cancelled)
@@ -190,7 +191,7 @@
         self._req = req
         self._settled = False
         self._body: AnswerBody | None = None
-        self._stop_detail: str | None = None
+        self._abort_detail: str | None = None
         self._dialect = client.dialect
         fresh = not (req.idempotent or self._dialect.reuses)
         self._attempt = Attempt(client.pool, fresh=fresh)
@@ -209,40 +210,40 @@
     def _answered(self, response: IResponse) -> None:
         headers = _headers_of(response)
         echoed = _value_of(headers, self._dialect.request_id)
-        body = AnswerBody(response, self._attempt.abort, self._end, self._ended_in_order)
+        body = AnswerBody(response, self._attempt.abort, self._end, self._closed_cleanly)
         if echoed is not None and echoed != self._req.request_id:
             body.abort()
             self._settle(Error(SendFailure(False, f"answer to another request: {echoed}")))
             return
         not_run = _value_of(headers, self._dialect.not_run)
-        shed = self._dialect.is_refusal(response.code, not_run)
+        refused = self._dialect.is_refusal(response.code, not_run)
         length = None if response.length is UNKNOWN_LENGTH else response.length
         self._body = body
-        self._settle(Ok(UpstreamAnswer(response.code, headers, length, shed, body)))
+        self._settle(Ok(UpstreamAnswer(response.code, headers, length, refused, body)))
 
     def _failed(self, failure: Failure) -> None:
         not_run = self._attempt.connection is None or bool(failure.check(RequestNotSent))
-        detail = self._stop_detail or _describe(failure)
-        cut = not (not_run or self._stop_detail) and _is_loss(failure)
+        detail = self._abort_detail or _describe(failure)
+        cut = not (not_run or self._abort_detail) and _is_connection_loss(failure)
         self._attempt.abort()
         self._end()
         self._settle(Error(SendFailure(not_run, detail, cut)))
 
-    def _ended_in_order(self) -> bool:
+    def _closed_cleanly(self) -> bool:
         conn = self._attempt.connection
-        return self._dialect.close_ends_body and conn is not None and conn.closed_in_order
+        return self._dialect.close_ends_body and conn is not None and conn.closed_cleanly
 
     def _timed_out(self) -> None:
-        self._stop("deadline passed")
+        self._abort("deadline passed")
 
     def _cancelled(self, _: object) -> None:
-        self._stop("cancelled")
+        self._abort("cancelled")
 
-    def _stop(self, detail: str) -> None:
+    def _abort(self, detail: str) -> None:
         if self._body is not None:
             self._body.abort(detail)
             return
-        self._stop_detail = detail
+        self._abort_detail = detail
         self._pending.cancel()
 
     def _end(self) -> None:
@@ -261,9 +262,9 @@
 
 def _headers_for(req: UpstreamRequest, dialect: Dialect) -> Headers:
     headers = Headers()
-    own = _OWN_HEADERS | {dialect.request_id, dialect.deadline_ms, dialect.expected}
+    replaced = _OWN_HEADERS | {dialect.request_id, dialect.deadline_ms, dialect.expected}
     for name, value in req.headers:
-        if name.lower() not in own:
+        if name.lower() not in replaced:
             headers.addRawHeader(name.encode("latin-1"), value.encode("latin-1"))
     remaining_ms = max(1, req.timeout // timedelta(milliseconds=1))
     headers.setRawHeaders(dialect.request_id, [req.request_id])
@@ -292,15 +293,15 @@
 
 
 def _describe(failure: Failure) -> str:
-    inner = _innermost(failure)
+    inner = _root_cause(failure)
     return f"{inner.type.__name__}: {inner.getErrorMessage()}"
 
 
-def _is_loss(failure: Failure) -> bool:
-    return bool(_innermost(failure).check(ConnectionDone, ConnectionLost))
+def _is_connection_loss(failure: Failure) -> bool:
+    return bool(_root_cause(failure).check(ConnectionDone, ConnectionLost))
 
 
-def _innermost(failure: Failure) -> Failure:
+def _root_cause(failure: Failure) -> Failure:
     reasons = getattr(failure.value, "reasons", None)
     return reasons[0] if reasons else failure
 
--- a/packages/upstreams/src/cardamomloft/upstreams/connections.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/connections.py
@@ -1,4 +1,4 @@
-"""Connections to upstream endpoints: which may be reused, and what an attempt may have sent."""
+"""Connection pool for upstream endpoints, and the connection used by each attempt."""
 
 import re
 import socket
@@ -16,15 +16,15 @@
 
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_PER_ENDPOINT = 4
-# Shorter than what HTTP servers usually grant, so that it is seldom they who close first.
+# Shorter than the keep-alive time of most HTTP servers, so that the client usually closes first.
 IDLE_TIMEOUT_S = 3.0
-# Part of the idle time that an upstream grants in its answers.
-IDLE_PART = 0.7
+# Fraction of the keep-alive time granted by an upstream after which an idle connection is closed.
+IDLE_FRACTION = 0.7
 
-# How long what was sent may stay unacknowledged, in milliseconds, before the connection counts as
-# dead. A round trip between regions takes some 70 ms and a lost packet some 200 ms more; without
-# this a kept connection that has gone silent holds its request until the timeout of the rule.
-SILENCE_MS = 700
+# TCP_USER_TIMEOUT: how long sent data may stay unacknowledged before the kernel closes the
+# connection. It allows for a round trip between regions and a retransmission. Without it, a request
+# on a dead connection would wait for the timeout of its rule.
+USER_TIMEOUT_MS = 700
 
 _KEEP_ALIVE = re.compile(rb"timeout=(\d{1,6})")
 
@@ -38,31 +38,31 @@
 
 
 class UpstreamConnection(HTTP11ClientProtocol):
-    """A connection that is not reused after bytes that no request has asked for.
+    """A connection that is closed instead of reused after unsolicited data.
 
     Attributes
     ----------
     exchange
-        Number of the request in progress, or of the last one; counts from 1.
-    closed_in_order
-        Whether the upstream has ended the connection without a reset.
+        Number of the current or last request on this connection, from 1.
+    closed_cleanly
+        Whether the upstream closed the connection without a reset.
     idle_s
-        How long it may stay idle and be used again, in seconds.
+        Idle time in seconds after which the connection is closed.
     """
 
     exchange = 0
-    closed_in_order = False
+    closed_cleanly = False
     idle_s = IDLE_TIMEOUT_S
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Let the kernel end the connection soon when the other side has gone silent."""
+        """Set `TCP_USER_TIMEOUT`, so that the kernel closes an unresponsive connection."""
         super().connectionMade()
         handle = getattr(self.transport, "getHandle", lambda: None)()
         if isinstance(handle, socket.socket):
-            handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+            handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     def request(self, request: t.Any) -> "Deferred[t.Any]":
-        """Send one request; an error status stops an upload that is still under way."""
+        """Send one request; an error status stops an upload that is still in progress."""
         self.exchange += 1
         result = super().request(request)
         if self.state == _TRANSMITTING:
@@ -70,7 +70,7 @@
         return result
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Drop the connection if an answer arrives that belongs to no request."""
+        """Reset the connection if data arrives while no request is in progress."""
         if self.state == _QUIESCENT:
             self.abort()
             self.transport.abortConnection()
@@ -78,13 +78,14 @@
             super().dataReceived(data)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Note how the connection ended."""
-        self.closed_in_order = bool(reason.check(ConnectionDone))
+        """Record whether the connection was closed without a reset."""
+        self.closed_cleanly = bool(reason.check(ConnectionDone))
         super().connectionLost(reason)
 
     def _answered_early(self, response: IResponse, request: t.Any) -> IResponse:
-        # Without this the answer would stay unseen until the whole body was sent, and be lost if
-        # the upstream closed the connection before. An upstream that answers well may still read.
+        # Otherwise an early error answer would be delivered only after the whole body was sent, and
+        # be lost if the upstream closed the connection before. After a success status the upstream
+        # may still be reading the body.
         transmitting = self.state in (_TRANSMITTING, _TRANSMITTING_AFTER_RESPONSE)
         if response.code < _FIRST_ERROR_STATUS or not transmitting:
             return response
@@ -97,7 +98,7 @@
         return response
 
     def _finishResponse_WAITING(self, rest: bytes) -> None:  # noqa: N802
-        # What follows a whole answer could pass for the answer to the next request.
+        # Data after a complete answer could be mistaken for the answer to the next request.
         if rest and self._currentRequest is not None:
             self._currentRequest.persistent = False
         granted = self._parser and self._parser.connHeaders.getRawHeaders(b"keep-alive")
@@ -107,13 +108,13 @@
 
 
 def usable_idle_s(granted: bytes) -> float:
-    """Return how long a connection is used again whose server sent this ``Keep-Alive`` header.
+    """Return the idle timeout in seconds for a connection with this ``Keep-Alive`` header value.
 
-    The server counts from when it sent its answer, so a part of the time granted is left out: a
-    request that crosses the server's close may or may not have run.
+    It is shorter than the time granted, which the server counts from when it sent its answer. If a
+    request was sent while the server closes the connection, it would be unknown whether it ran.
     """
     found = _KEEP_ALIVE.search(granted)
-    return IDLE_TIMEOUT_S if found is None else IDLE_PART * int(found[1])
+    return IDLE_TIMEOUT_S if found is None else IDLE_FRACTION * int(found[1])
 
 
 class _ConnectionFactory(HTTPConnectionPool._factory):
@@ -122,7 +123,7 @@
 
 
 class ConnectionPool(HTTPConnectionPool):
-    """Idle connections, few per endpoint and never for long; nothing is retried here."""
+    """Pool of idle connections with a small limit per endpoint, without automatic retries."""
 
     _factory = _ConnectionFactory
     retryAutomatically = False  # noqa: N815
@@ -130,7 +131,7 @@
     cachedConnectionTimeout = IDLE_TIMEOUT_S  # noqa: N815
 
     def _putConnection(self, key: t.Hashable, connection: UpstreamConnection) -> None:  # noqa: N802
-        # Read by the method that this extends, for this connection only.
+        # The base class reads this attribute when it schedules the close of this connection.
         self.cachedConnectionTimeout = connection.idle_s
         super()._putConnection(key, connection)
 
@@ -143,24 +144,24 @@
             self._removeConnection(key, connection)
 
     def open(self, key: t.Hashable, endpoint: IStreamClientEndpoint) -> "Deferred[t.Any]":
-        """Open a new connection, which joins the pool after its first answer."""
+        """Open a new connection, which is added to the pool after its first answer."""
         return self._newConnection(key, endpoint)
 
 
 class Attempt:
-    """One request's use of the pool: gives `Agent` its connection, and remembers it.
+    """Pool adapter for one request: passes a connection to `Agent` and keeps a reference to it.
 
     Parameters
     ----------
     pool
-        Where idle connections are kept.
+        The pool of idle connections.
     fresh
-        Whether to open a new connection even if there is an idle one.
+        Whether to open a new connection even if an idle one is available.
 
     Attributes
     ----------
     connection
-        The connection, or None; as long as it is None, no byte can have left.
+        The connection, or None; while it is None, no byte can have been sent.
     """
 
     persistent = True
@@ -171,15 +172,15 @@
         self._fresh = fresh
         self._exchange = 0
 
-    def getConnection(  # noqa: N802  (the name that Agent calls)
+    def getConnection(  # noqa: N802  (called by Agent)
         self, key: t.Hashable, endpoint: IStreamClientEndpoint
     ) -> "Deferred[UpstreamConnection]":
-        """Return a connection for one request."""
+        """Return a connection for this request, from the pool or a new one."""
         find = self._pool.open if self._fresh else self._pool.getConnection
         return find(key, endpoint).addCallback(self._connected)
 
     def abort(self) -> None:
-        """Reset the connection, unless this attempt's exchange on it is over."""
+        """Reset the connection, unless this attempt's exchange on it has ended."""
         conn = self.connection
         if conn is None or conn.exchange != self._exchange or conn.state == _QUIESCENT:
             return
@@ -193,14 +194,14 @@
 
 @implementer(IAgentEndpointFactory)
 class NumericEndpoints:
-    """Connects to IPv4 numbers without a resolver, which would use threads."""
+    """Endpoint factory for numeric IPv4 addresses; it bypasses the threaded name resolver."""
 
     def __init__(self, reactor: t.Any, timeout: float = CONNECT_TIMEOUT_S) -> None:
         self._reactor = reactor
         self._timeout = timeout
 
     def endpointForURI(self, uri: URI) -> IStreamClientEndpoint:  # noqa: N802
-        """Return the endpoint for the address in `uri`."""
+        """Return an endpoint for the numeric address in `uri`."""
         return TCP4ClientEndpoint(
             self._reactor, uri.host.decode("ascii"), uri.port, timeout=self._timeout
         )
--- a/packages/upstreams/src/cardamomloft/upstreams/dialect.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/dialect.py
@@ -1,4 +1,4 @@
-"""Names and customs in which upstreams differ; the defaults are this project's own."""
+"""Header names and HTTP conventions of upstreams; the defaults are this project's own."""
 
 import re
 import typing as t
@@ -12,36 +12,35 @@
 SHED_STATUS = 503
 
 MAX_RETRY_AFTER = timedelta(hours=1)
-"""Longest time for which an upstream is left alone by its own wish; a longer one is taken for an
-error, and means this much."""
+"""Upper bound of the Retry-After time that an upstream may request; longer ones are cut to it."""
 
 _SECONDS = re.compile(r"\d{1,9}(\.\d{1,9})?\Z", re.ASCII)
 _LOAD = re.compile(r"(\d{1,6}),(\d{1,6}),(\d{1,6})\Z")
 
 
 class Dialect(t.NamedTuple):
-    """How upstream endpoints name things; header names are lower-case.
+    """Header names and conventions of upstream endpoints; header names are lower-case.
 
     Attributes
     ----------
     request_id, deadline_ms
-        Headers of a request: its id, which the answer repeats, and the milliseconds left.
+        Request headers: the id, which the answer may echo, and the remaining milliseconds.
     not_run
-        Header of a definite refusal; its value is ``1``.
+        Answer header of a definite refusal; its value is ``1``.
     refusing
-        Statuses that are a definite refusal together with `not_run`.
+        Statuses that are a definite refusal in combination with `not_run`.
     misdirected
-        Status by which an endpoint refuses a request that expects another one, or None.
+        Status with which an endpoint refuses a request meant for another incarnation, or None.
     expected
-        Header that names the endpoint life that is to run the request, or None.
+        Request header with the endpoint incarnation that is to run the request, or None.
     leaving
-        Header of the answers of an endpoint that is leaving; its value is ``1``.
+        Answer header of an endpoint that is shutting down; its value is ``1``.
     load
-        Header of answers with the endpoint's load as ``running,waiting,slots``, or None.
+        Answer header with the endpoint's load as ``running,waiting,slots``, or None.
     close_ends_body
-        Whether a body without a length is whole when its connection ends in order.
+        Whether a body without a length is complete when its connection is closed cleanly.
     reuses
-        Whether kept connections also carry requests that must not run twice.
+        Whether idle connections are reused for non-idempotent requests as well.
     """
 
     request_id: str = REQUEST_ID_HEADER
@@ -56,14 +55,14 @@
     reuses: bool = False
 
     def is_refusal(self, status: int, not_run: str | None) -> bool:
-        """Tell whether an answer proves that the request was not run."""
+        """Return whether an answer proves that the request was not run."""
         if status == self.misdirected:
             return True
         return status in self.refusing and not_run == "1"
 
 
 class HeaderLoad(t.NamedTuple):
-    """A load report in an answer's header."""
+    """A load report from a header of an answer."""
 
     running: int
     waiting: int
@@ -71,15 +70,15 @@
 
 
 def parse_header_load(text: str | None) -> HeaderLoad | None:
-    """Return the report, or None if there is none or it is malformed."""
+    """Return the load report, or None if it is missing or malformed."""
     found = _LOAD.match(text) if text else None
     return HeaderLoad(*(int(part) for part in found.groups())) if found else None
 
 
 def parse_retry_after(text: str | None) -> timedelta | None:
-    """Return the time that a refusing endpoint wants to be left alone, or None.
+    """Return the Retry-After time of a refusal, or None if it is missing or malformed.
 
-    Only seconds are read, with fractions; a date depends on two clocks.
+    Only seconds, with fractions, are accepted: a date would depend on the clocks of both hosts.
     """
     found = _SECONDS.match(text) if text else None
     return min(timedelta(seconds=float(found[0])), MAX_RETRY_AFTER) if found else None
--- a/packages/upstreams/src/cardamomloft/upstreams/hints.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/hints.py
@@ -1,4 +1,4 @@
-"""Load reports that upstreams give about themselves: hints, since they lag and may mislead."""
+"""Load reports of upstreams. They lag behind and may be wrong, so they are used as hints only."""
 
 import typing as t
 
@@ -9,7 +9,7 @@
 
 
 class UpstreamLoad(t.NamedTuple):
-    """One upstream's report; the receiver adds its age, counted from before it asked."""
+    """Load report of one upstream; the receiver adds its age, counted from the request for it."""
 
     running: int
     slots: int
@@ -31,16 +31,16 @@
 
 
 def parse_load(raw: bytes) -> Result[UpstreamLoad, str]:
-    """Read the body of ``GET /-/load``."""
+    """Decode the body of an answer to ``GET /-/load``."""
     try:
         row = _loads.decode(raw)
     except (msgspec.DecodeError, ValueError) as exc:
-        return Error(f"not a load report: {exc}")
+        return Error(f"malformed load report: {exc}")
     return Ok(UpstreamLoad(row["running"], row["slots"], row["state"]))
 
 
 def confirms_stopped(raw: bytes) -> bool:
-    """Return whether the body of ``DELETE /-/requests/<id>`` says that it no longer runs."""
+    """Return whether an answer to ``DELETE /-/requests/<id>`` says that it is not running."""
     try:
         return not _running.decode(raw)["running"]
     except (msgspec.DecodeError, ValueError):
--- a/packages/upstreams/tests/test_dialect.py
+++ b/packages/upstreams/tests/test_dialect.py
@@ -1,4 +1,4 @@
-"""Upstreams that name things otherwise, keep connections, and end bodies by closing."""
+"""Dialects: header names, definite refusals, connection reuse and bodies ended by a close."""
 
 import socket
 from datetime import timedelta
@@ -7,9 +7,9 @@
 from cardamomloft.core.model import Endpoint
 from cardamomloft.upstreams.client import UpstreamClient, UpstreamRequest
 from cardamomloft.upstreams.connections import (
-    IDLE_PART,
+    IDLE_FRACTION,
     IDLE_TIMEOUT_S,
-    SILENCE_MS,
+    USER_TIMEOUT_MS,
     UpstreamConnection,
     usable_idle_s,
 )
@@ -58,7 +58,7 @@
         return result.result, protocol
 
 
-def test_the_request_carries_the_names_of_the_dialect_and_no_forged_ones():
+def test_headers_of_the_dialect_are_set_and_those_of_the_caller_are_replaced():
     harness = Harness()
     harness.send()
     _, transport = harness.connect()
@@ -86,28 +86,28 @@
     assert outcome.ok.not_run is not_run
 
 
-def test_an_answer_to_another_request_is_a_failure_that_may_have_run():
+def test_an_answer_with_another_request_id_may_have_run():
     raw = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Attempt: r0\r\n\r\n"
     outcome, _ = Harness().answered(raw)
     assert not outcome.error.not_run
 
 
 @pytest.mark.parametrize(
-    ("dialect", "reason", "whole"),
+    ("dialect", "reason", "complete"),
     [(OTHER, ConnectionDone(), True), (OTHER, ConnectionLost(), False)]
     + [(Dialect(), ConnectionDone(), False)],
 )
-def test_a_body_without_a_length_is_whole_only_if_its_connection_ends_in_order(
-    dialect, reason, whole
+def test_a_body_without_a_length_is_complete_only_if_its_connection_is_closed_cleanly(
+    dialect, reason, complete
 ):
     outcome, protocol = Harness(dialect).answered(b"HTTP/1.1 200 OK\r\n\r\nabc")
     collected = outcome.ok.body.collect(100)
     protocol.connectionLost(Failure(reason))
-    assert collected.result.is_ok() is whole
+    assert collected.result.is_ok() is complete
 
 
 @pytest.mark.parametrize(("dialect", "connections"), [(OTHER, 1), (Dialect(), 2)])
-def test_a_kept_connection_carries_what_must_not_run_twice_only_if_the_dialect_says_so(
+def test_a_non_idempotent_request_reuses_a_connection_only_if_the_dialect_allows_it(
     dialect, connections
 ):
     harness = Harness(dialect)
@@ -117,7 +117,7 @@
     assert len(harness.reactor.tcpClients) == connections
 
 
-def test_a_connection_with_bytes_that_nobody_asked_for_is_not_used_again():
+def test_a_connection_with_unsolicited_data_is_not_reused():
     harness = Harness()
     extra = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
     outcome, protocol = harness.answered(extra)
@@ -129,34 +129,38 @@
 
 @pytest.mark.parametrize(
     ("granted", "seconds"),
-    [(b"timeout=10", 10 * IDLE_PART), (b"max=5, timeout=2", 2 * IDLE_PART), (b"x", IDLE_TIMEOUT_S)],
+    [
+        (b"timeout=10", 10 * IDLE_FRACTION),
+        (b"max=5, timeout=2", 2 * IDLE_FRACTION),
+        (b"x", IDLE_TIMEOUT_S),
+    ],
 )
-def test_a_connection_is_used_again_for_a_part_of_what_its_server_grants(granted, seconds):
+def test_the_idle_timeout_is_a_fraction_of_what_the_server_grants(granted, seconds):
     assert usable_idle_s(granted) == pytest.approx(seconds)
 
 
-def test_a_kept_connection_is_dropped_before_its_server_would_close_it():
+def test_an_idle_connection_is_closed_before_its_server_would_close_it():
     harness = Harness()
     outcome, _ = harness.answered(
         b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=1\r\n\r\n"
     )
     outcome.ok.body.collect(10)
-    harness.reactor.advance(IDLE_PART)
+    harness.reactor.advance(IDLE_FRACTION)
     harness.send("r2")
     assert len(harness.reactor.tcpClients) == 2
 
 
-def test_the_kernel_ends_connections_whose_other_side_is_silent():
+def test_connections_have_a_tcp_user_timeout():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         with socket.create_connection(listener.getsockname()) as handle:
             transport = StringTransport()
             transport.getHandle = lambda: handle
             UpstreamConnection(lambda conn: None).makeConnection(transport)
             option = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
-    assert option == SILENCE_MS
+    assert option == USER_TIMEOUT_MS
 
 
-def test_a_load_report_in_a_header():
+def test_a_load_report_in_a_header_is_parsed_strictly():
     assert parse_header_load("3,0,8") == (3, 0, 8)
     assert parse_header_load(None) is None
     assert parse_header_load("3, 0, 8") is None
@@ -165,12 +169,12 @@
 @pytest.mark.parametrize(
     ("text", "seconds"), [("2", 2), ("0.25", 0.25), ("0", 0), ("999999999", 3600)]
 )
-def test_the_time_for_which_an_endpoint_wants_nothing(text, seconds):
+def test_retry_after_is_parsed_and_bounded(text, seconds):
     assert parse_retry_after(text) == timedelta(seconds=seconds)
 
 
 @pytest.mark.parametrize(
     "text", [None, "", "-1", "1e9", "nan", "1 s", "Wed, 21 Oct 2026 07:28:00 GMT", "\u0663"]
 )
-def test_an_odd_time_is_none(text):
+def test_a_malformed_retry_after_is_ignored(text):
     assert parse_retry_after(text) is None
--- a/packages/upstreams/tests/test_upstreams_client.py
+++ b/packages/upstreams/tests/test_upstreams_client.py
@@ -1,3 +1,5 @@
+"""Requests to upstreams: what may have run, complete bodies, and connection reuse."""
+
 from datetime import timedelta
 from unittest.mock import Mock
 
@@ -30,18 +32,18 @@
         self.protocol = factory.buildProtocol(None)
         self.protocol.makeConnection(self.transport)
 
-    def say(self, data):
+    def send(self, data):
         self.protocol.dataReceived(data)
 
     def close(self):
         self.protocol.connectionLost(Failure(ConnectionDone()))
 
-    def heard(self):
+    def received(self):
         return self.transport.value()
 
 
 def streamed():
-    """Return a request body that a test feeds by hand."""
+    """Return a request body that the test writes step by step."""
     return Mock(length=100, **{"startProducing.return_value": Deferred()})
 
 
@@ -73,14 +75,14 @@
 
 
 @pytest.mark.parametrize("reason", [ConnectionRefusedError(), TimeoutError()])
-def test_a_failure_to_connect_is_not_run(reason):
+def test_a_request_is_not_run_if_the_connection_fails(reason):
     harness = Harness()
     result = harness.send()
     harness.refuse(reason)
     assert result.result.error.not_run and not harness.client.in_flight
 
 
-def test_a_timeout_or_cancellation_before_the_connection_is_not_run():
+def test_a_request_is_not_run_if_it_ends_before_the_connection():
     harness = Harness()
     late, cancelled = harness.send(), harness.send()
     cancelled.cancel()
@@ -90,33 +92,31 @@
 
 
 @pytest.mark.parametrize("answer", [b"", b"HTTP/1.1 20", b"HTTP/1.1 200 OK\r\nA: b\r\n", b"x\r\n"])
-def test_a_connection_lost_before_the_answer_s_head_may_have_run(answer):
+def test_a_request_may_have_run_if_the_connection_is_lost_before_the_head(answer):
     harness = Harness()
     result = harness.send()
     wire = harness.connect()
-    wire.say(answer)
+    wire.send(answer)
     wire.close()
     assert not result.result.error.not_run and not harness.client.in_flight
 
 
 @pytest.mark.parametrize("reason", [ConnectionDone(), ConnectionLost()])
 @pytest.mark.parametrize(("answer", "cut"), [(b"", True), (b"HTTP/1.1 20", True), (OK[:-1], False)])
-def test_a_connection_that_ends_before_an_answer_is_told_from_one_that_ends_within_it(
-    reason, answer, cut
-):
+def test_only_a_connection_lost_before_the_answer_counts_as_cut(reason, answer, cut):
     harness = Harness()
     result = harness.send()
     wire = harness.connect()
-    wire.say(answer)
+    wire.send(answer)
     wire.protocol.connectionLost(Failure(reason))
     assert (result.result.is_error() and result.result.error.cut) == cut
 
 
-def test_what_ends_for_another_reason_is_not_cut():
+def test_timeouts_cancellations_and_malformed_answers_do_not_count_as_cut():
     harness = Harness()
     late, cancelled, malformed = harness.send(), harness.send(), harness.send()
     wires = [Wire(factory) for _, _, factory, *_ in harness.reactor.tcpClients]
-    wires[2].say(b"x\r\n\r\n")
+    wires[2].send(b"x\r\n\r\n")
     cancelled.cancel()
     harness.reactor.advance(1)
     for result in (late, cancelled, malformed):
@@ -124,7 +124,7 @@
         assert not result.result.error.cut
 
 
-def test_a_timeout_after_sending_may_have_run_and_its_late_answer_reaches_nobody():
+def test_a_late_answer_after_a_timeout_is_discarded():
     harness = Harness()
     result = harness.send()
     first = harness.connect()
@@ -133,13 +133,13 @@
     assert first.transport.disconnected
     after = harness.send(request_id="r2")
     second = harness.connect()
-    first.say(OK)
+    first.send(OK)
     assert not after.called and second is not first
-    second.say(OK.replace(b"ok", b"k2"))
+    second.send(OK.replace(b"ok", b"k2"))
     assert delivered(after)[1].value() == b"k2"
 
 
-def test_an_upload_that_breaks_off_resets_the_connection_and_may_have_run():
+def test_an_aborted_upload_resets_the_connection_and_may_have_run():
     harness = Harness()
     upload = streamed()
     result = harness.send(body=upload, method="POST")
@@ -155,22 +155,24 @@
     ("status", "header", "not_run"),
     [(503, b"X-Not-Run: 1\r\n", True), (503, b"", False), (500, b"X-Not-Run: 1\r\n", False)],
 )
-def test_only_the_upstream_s_definite_refusal_is_not_run(status, header, not_run):
+def test_only_a_definite_refusal_of_the_upstream_is_not_run(status, header, not_run):
     harness = Harness()
     result = harness.send()
     head = b"HTTP/1.1 %d Busy\r\n%bContent-Length: 0\r\n\r\n" % (status, header)
-    harness.connect().say(head)
+    harness.connect().send(head)
     assert result.result.ok.not_run is not_run
 
 
-def test_the_request_carries_its_id_deadline_and_one_framing():
+def test_the_request_has_its_id_its_deadline_and_a_single_framing():
     harness = Harness()
     harness.send(body=b"12345", method="POST")
-    heard = harness.connect().heard().lower()
-    assert heard.startswith(b"post /menus?a=%ff http/1.1\r\n") and heard.endswith(b"\r\n\r\n12345")
+    request = harness.connect().received().lower()
+    assert request.startswith(b"post /menus?a=%ff http/1.1\r\n") and request.endswith(
+        b"\r\n\r\n12345"
+    )
     for line in (b"x-request-id: r1", b"x-deadline-ms: 1000", b"idempotency-key: k1"):
-        assert line in heard
-    assert heard.count(b"content-length") == 1 and heard.count(b"host: shop") == 1
+        assert line in request
+    assert request.count(b"content-length") == 1 and request.count(b"host: shop") == 1
 
 
 @pytest.mark.parametrize(
@@ -186,43 +188,43 @@
         (b"HTTP/1.1 204 Done\r\n\r\n", True, b""),
     ],
 )
-def test_an_answer_is_complete_only_with_its_announced_end(answer, complete, body):
+def test_a_body_is_complete_only_with_its_announced_end(answer, complete, body):
     harness = Harness()
     result = harness.send()
     wire = harness.connect()
-    wire.say(answer)
+    wire.send(answer)
     delivery, sink = delivered(result)
     wire.close()
     assert delivery.result.complete is complete and sink.value() == body
     assert not harness.client.in_flight
 
 
-def test_collect_gives_the_body_or_says_why_not():
+def test_collect_returns_the_body_or_an_error():
     harness = Harness()
     results = []
     for limit in (2, 1):
         result = harness.send(idempotent=False)
-        harness.connect().say(OK)
+        harness.connect().send(OK)
         result.result.ok.body.collect(limit).addCallback(results.append)
     assert results[0].ok == b"ok" and "exceeds 1" in results[1].error
 
 
-def test_the_deadline_holds_for_the_body_too():
+def test_the_deadline_covers_the_body():
     harness = Harness()
     result = harness.send()
     wire = harness.connect()
-    wire.say(OK[:-1])
+    wire.send(OK[:-1])
     delivery, _ = delivered(result)
     harness.reactor.advance(1)
     assert delivery.result == Delivery(False, 1, "deadline passed")
     assert wire.transport.disconnected and not harness.client.in_flight
 
 
-def test_a_slow_consumer_stops_the_reading_from_the_upstream():
+def test_a_slow_consumer_pauses_reading_from_the_upstream():
     harness = Harness()
     result = harness.send()
     wire = harness.connect()
-    wire.say(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n")
+    wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n")
     assert wire.transport.producerState == "paused"
     _, sink = delivered(result)
     assert wire.transport.producerState == "producing"
@@ -236,11 +238,11 @@
     ("idempotent", "pause", "connections"),
     [(True, 0, 1), (True, IDLE_TIMEOUT_S, 2), (False, 0, 2)],
 )
-def test_only_idempotent_requests_use_an_idle_connection(idempotent, pause, connections):
+def test_only_idempotent_requests_reuse_an_idle_connection(idempotent, pause, connections):
     harness = Harness()
     first = harness.send(idempotent=idempotent)
     wire = harness.connect()
-    wire.say(OK)
+    wire.send(OK)
     assert delivered(first)[0].result.complete
     harness.reactor.advance(pause)
     assert wire.transport.disconnecting is bool(pause)
@@ -250,49 +252,49 @@
 
 @pytest.mark.parametrize("extra", [b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad", b"H"])
 @pytest.mark.parametrize("together", [True, False])
-def test_a_second_answer_is_never_the_answer_to_the_next_request(extra, together):
+def test_extra_data_is_never_taken_as_the_answer_to_the_next_request(extra, together):
     harness = Harness()
     first = harness.send()
     wire = harness.connect()
-    wire.say(OK + extra if together else OK)
+    wire.send(OK + extra if together else OK)
     assert delivered(first)[1].value() == b"ok"
     if not together:
-        wire.say(extra)
+        wire.send(extra)
     second = harness.send(request_id="r2")
     assert len(harness.reactor.tcpClients) == 2
-    harness.connect().say(OK.replace(b"ok", b"k2"))
+    harness.connect().send(OK.replace(b"ok", b"k2"))
     assert delivered(second)[1].value() == b"k2"
 
 
-def test_an_answer_that_names_another_request_is_not_taken():
+def test_an_answer_with_another_request_id_is_rejected():
     harness = Harness()
     result = harness.send(request_id="r2")
     wire = harness.connect()
-    wire.say(OK.replace(b"\r\n\r\n", b"\r\nX-Request-Id: r1\r\n\r\n"))
+    wire.send(OK.replace(b"\r\n\r\n", b"\r\nX-Request-Id: r1\r\n\r\n"))
     assert result.result.error == SendFailure(False, "answer to another request: r1")
     assert wire.transport.disconnected and not harness.client.in_flight
 
 
-def test_an_abort_after_the_end_spares_the_next_request_on_the_connection():
+def test_an_abort_after_the_end_does_not_affect_the_next_request():
     harness = Harness()
     first = harness.send()
     wire = harness.connect()
-    wire.say(b"HTTP/1.1 204 Done\r\n\r\n")
+    wire.send(b"HTTP/1.1 204 Done\r\n\r\n")
     second = harness.send(request_id="r2")
     first.result.ok.body.abort()
     assert len(harness.reactor.tcpClients) == 1 and not wire.transport.disconnected
-    wire.say(OK)
+    wire.send(OK)
     assert delivered(second)[1].value() == b"ok"
 
 
 @pytest.mark.parametrize("body", [b"2\r\nno\r\n0\r\n\r\n", b""])
-def test_an_early_refusal_is_seen_and_stops_the_upload(body):
+def test_an_early_refusal_is_delivered_and_stops_the_upload(body):
     harness = Harness()
     upload = streamed()
     result = harness.send(body=upload, method="POST")
     wire = harness.connect()
     framing = b"Transfer-Encoding: chunked" if body else b"Content-Length: 0"
-    wire.say(b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\n" + framing + b"\r\n\r\n" + body)
+    wire.send(b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\n" + framing + b"\r\n\r\n" + body)
     assert result.result.ok.not_run and upload.stopProducing.called
     delivery, sink = delivered(result)
     assert delivery.result.complete and sink.value() == (b"no" if body else b"")
@@ -301,20 +303,20 @@
     assert len(harness.reactor.tcpClients) == 2
 
 
-def test_an_early_good_answer_does_not_cut_the_upload_short():
+def test_an_early_success_does_not_stop_the_upload():
     harness = Harness()
     upload = streamed()
     result = harness.send(body=upload, method="POST")
     wire = harness.connect()
-    wire.say(OK)
+    wire.send(OK)
     assert not upload.stopProducing.called
     consumer_of(upload).write(b"x" * 100)
     upload.startProducing.return_value.callback(None)
-    assert wire.heard().endswith(b"x" * 100)
+    assert wire.received().endswith(b"x" * 100)
     assert delivered(result)[1].value() == b"ok"
 
 
-def test_requests_beyond_the_bound_are_not_run():
+def test_requests_beyond_the_in_flight_limit_are_not_run():
     harness = Harness(max_in_flight=1)
     harness.send()
     assert harness.send().result.error.not_run
@@ -332,20 +334,20 @@
         (200, b'{"running": 2, "slots": 4, "state": "odd"}', False, None),
     ],
 )
-def test_control_answers_are_believed_only_if_well_formed(status, body, stopped, load):
+def test_control_answers_are_accepted_only_if_well_formed(status, body, stopped, load):
     harness = Harness()
     answer = b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%b" % (status, len(body), body)
     cancelled = harness.client.cancel(ENDPOINT, "r1")
     wire = harness.connect()
-    wire.say(answer)
-    assert wire.heard().startswith(b"DELETE /-/requests/r1 ") and cancelled.result is stopped
+    wire.send(answer)
+    assert wire.received().startswith(b"DELETE /-/requests/r1 ") and cancelled.result is stopped
     wire.close()
     polled = harness.client.poll(ENDPOINT)
-    harness.connect().say(answer)
+    harness.connect().send(answer)
     assert (tuple(polled.result.ok) if polled.result.is_ok() else None) == load
 
 
-def test_a_poll_without_an_answer_times_out_and_resets_its_connection():
+def test_a_poll_without_an_answer_times_out_and_resets_the_connection():
     harness = Harness()
     polled = harness.client.poll(ENDPOINT, timedelta(milliseconds=500))
     wire = harness.connect()
