--- a/packages/core/src/cardamomloft/core/selection.py
+++ b/packages/core/src/cardamomloft/core/selection.py
@@ -155,7 +155,7 @@
         The registered endpoints.
     name, zone
         This entry's name and zone.
-    cold
+    cold_limit
         Requests that a cold endpoint accepts beyond its service's rate.
     preferences
         Tuning parameters.
@@ -166,7 +166,7 @@
         The policy of each service.
     entries
         Number of entries that share the budgets.
-    sizes
+    sizes : BodySizes
         Body sizes of the requests of each rule.
     touches : Touches
         Cache states of the keys at the endpoints.
@@ -177,12 +177,12 @@
         book: UpstreamBook,
         name: str,
         zone: str,
-        cold: ColdLimit,
+        cold_limit: ColdLimit,
         preferences: Preferences,
     ) -> None:
         self._book = book
         self._zone = zone
-        self.cold = cold
+        self.cold = cold_limit
         self._preferences = preferences
         self._rankings: dict[tuple[str, frozenset[str], bool], _Ranking] = {}
         self.sizes = BodySizes()
@@ -242,8 +242,8 @@
         if len(eligible) < len(order) * (1 - MAX_EJECTED_FRACTION):
             eligible = order
         warm = [up for up in eligible if up.cold_until <= now]
-        choices = self._preferences.choices if rule.keyed else RANKED_ENDPOINTS
-        untried = [up for up in warm if up.id not in tried][:choices]
+        count = self._preferences.choices if rule.keyed else RANKED_ENDPOINTS
+        untried = [up for up in warm if up.id not in tried][:count]
         chosen = None
         if rule.keyed and not tried and len(untried) > 1:
             chosen = self._faster_secondary(untried[0], untried[1], key, until, now)
