--- a/packages/core/src/cardamomloft/core/replication.py
+++ b/packages/core/src/cardamomloft/core/replication.py
@@ -1,8 +1,9 @@
-"""One entry's copy of the configuration: it only goes up, and spreads by announce and pull.
+"""One entry's replica of the configuration, which spreads from peer to peer by announce and pull.
 
-An entry with a new revision announces it to a few peers, who pull it and announce it in turn.
-Digests that peers exchange all the time repair whatever that misses. After a pause, and at a start
-with the store away, the copy is not served before others have answered.
+The revision of a replica never decreases. An entry with a new revision announces it to a few
+peers, which pull it and announce it in turn; the periodic digests repair what this misses. After
+the process was paused, and at a start without the store, the replica is not served until peers or
+the store have confirmed it.
 """
 
 import json
@@ -26,26 +27,38 @@
 
 FAN_OUT = 4
 MAX_DOCUMENT_BYTES = 16_000_000
-PROBE = 2**62
-PROBED_PEERS = 16
+# Above any revision, so that the answer to a request for it is a digest, never a document.
+PROBE_REVISION = 2**62
+MAX_PROBED_PEERS = 16
 MAX_PULL_ATTEMPTS = 3
 
 
 class ReplicaTimes(t.NamedTuple):
     """Durations of the protocol.
 
-    `pull` is how long a document may take before another peer is asked. `pause` is the longest gap
-    between ticks that is no pause. `settle` is how long answers after a pause are ignored, since
-    they may have waited in the socket all along. `patience` bounds the wait for peers that don't
-    answer. `correct` is the least time between two digests sent to one outdated peer.
+    Attributes
+    ----------
+    pull_timeout
+        How long a document may take before another peer is asked.
+    max_tick_gap
+        Time between ticks above which the process counts as paused.
+    settle_time
+        How long answers are ignored after a pause, since they may have been waiting in the socket
+        buffer during it.
+    confirmation_timeout
+        How long to wait for peers that don't answer; then the answers of some are enough.
+    probe_interval
+        Time between two rounds of requests for confirmation.
+    correction_interval
+        Minimum time between two digests sent to one outdated peer.
     """
 
-    pull: timedelta = timedelta(seconds=1)
-    pause: timedelta = timedelta(seconds=2)
-    settle: timedelta = timedelta(milliseconds=200)
-    patience: timedelta = timedelta(seconds=5)
-    probe: timedelta = timedelta(milliseconds=500)
-    correct: timedelta = timedelta(seconds=1)
+    pull_timeout: timedelta = timedelta(seconds=1)
+    max_tick_gap: timedelta = timedelta(seconds=2)
+    settle_time: timedelta = timedelta(milliseconds=200)
+    confirmation_timeout: timedelta = timedelta(seconds=5)
+    probe_interval: timedelta = timedelta(milliseconds=500)
+    correction_interval: timedelta = timedelta(seconds=1)
 
 
 def pack(document: Document) -> bytes:
@@ -54,38 +67,41 @@
 
 
 def unpack(packed: bytes) -> Result[Document, str]:
-    """Read what :func:`pack` wrote; refuse what expands beyond `MAX_DOCUMENT_BYTES`."""
+    """Read the output of :func:`pack`; an error if it inflates beyond `MAX_DOCUMENT_BYTES`."""
     inflater = zlib.decompressobj()
     try:
         raw = inflater.decompress(packed, MAX_DOCUMENT_BYTES)
         if not inflater.eof:
-            return Error("cut short or too large")
+            return Error("truncated, or above the size limit when decompressed")
         document = json.loads(raw)
     except (zlib.error, ValueError, RecursionError) as exc:
         return Error(str(exc))
     if not isinstance(document, dict):
-        return Error("not an object")
+        return Error("not a JSON object")
     return Ok(t.cast("Document", document))
 
 
 class _Pull(t.NamedTuple):
     seat: str
-    until: timedelta
+    deadline: timedelta
     attempt: int
 
 
 class _Confirmation:
-    """The wait for others to confirm that a copy is current."""
+    """The wait for peers or the store to confirm that the replica is current.
+
+    Answers before `accepts_from` are ignored. At `deadline` the answers of some peers are enough.
+    """
 
-    def __init__(self, asked_from: timedelta, until: timedelta) -> None:
-        self.asked_from = asked_from
-        self.until = until
+    def __init__(self, accepts_from: timedelta, deadline: timedelta) -> None:
+        self.accepts_from = accepts_from
+        self.deadline = deadline
         self.answered: set[str] = set()
-        self.next_probe = asked_from
+        self.next_probe = accepts_from
 
     def probe_at(self, now: timedelta) -> None:
-        """Ask again at once; whom to ask has changed."""
-        self.next_probe = max(now, self.asked_from)
+        """Make the next probe due at once, since the peers to ask have changed."""
+        self.next_probe = max(now, self.accepts_from)
 
 
 class Replica:
@@ -96,14 +112,14 @@
     me
         This process.
     rng
-        Chooses the peers to announce to.
+        Selects the peers to announce to.
     describe
         Builds this entry's digest for the revision given.
     check
-        Judges a document that a peer sent; a faulty one is not taken.
+        Validates a document; one with an error is not adopted.
     seeds
-        Seats or addresses to ask while no roster is known. Whose address it is shows only in the
-        answers, and what is sent to a seat that only an answer named would not arrive.
+        Seats or addresses to ask while no roster is known. Until then messages must go to all
+        seeds: a seat known only as the sender of an answer has no address yet.
     times
         Durations of the protocol.
     """
@@ -130,20 +146,22 @@
         self._held: Revision | None = None
         self._packed = b""
         self._peers: tuple[str, ...] = ()
-        self._better: dict[str, int] = {}
+        self._higher_revisions: dict[str, int] = {}
         self._up_to_date: set[str] = set()
-        self._corrected: dict[str, timedelta] = {}
-        self._refused: dict[str, int] = {}
+        self._last_corrections: dict[str, timedelta] = {}
+        self._refused_revisions: dict[str, int] = {}
         self._pull: _Pull | None = None
         self._outbox: list[Outgoing] = []
         now = clock.monotonic()
         self._last_tick = now
         self._last_wall = clock.utcnow()
-        self._confirmation: _Confirmation | None = _Confirmation(now, now + times.patience)
+        self._confirmation: _Confirmation | None = _Confirmation(
+            now, now + times.confirmation_timeout
+        )
 
     @property
     def held(self) -> Revision | None:
-        """The revision this copy has, whether or not it may be served."""
+        """The revision held, whether or not it may be served; None before the first."""
         return self._held
 
     @property
@@ -153,35 +171,35 @@
 
     @property
     def fresh(self) -> bool:
-        """Whether others have answered since the start or the last pause.
+        """Whether the replica was confirmed since the start or the last pause.
 
-        It looks at the clocks, because a paused process may get requests before its next tick.
+        The clocks are read here too, since a resumed process may get requests before its next tick.
         """
-        return self._confirmation is None and self._gap() <= self._times.pause
+        return self._confirmation is None and self._time_since_tick() <= self._times.max_tick_gap
 
     @property
     def ready(self) -> bool:
-        """Whether requests may be taken under this copy."""
+        """Whether requests may be served under the revision held."""
         return self._held is not None and self.fresh
 
     def offer(self, number: int, packed: bytes) -> Result[Revision | None, str]:
-        """Take what the store holds; the answer is the revision if it is new here.
+        """Process the document read from the store; return its revision if it was adopted.
 
-        The store is the truth, so a readable answer also ends the wait for confirmation, but for
-        one that came with the end of a pause and may be as old as that.
+        The store is authoritative, so a valid answer also ends the wait for confirmation, unless
+        it arrives right after a pause and may be as old as the pause is long.
 
         Raises
         ------
         AssertionError
             If the store has another document under the number held: a number was used twice.
         """
-        self._notice_pause()
-        document = self._read(number, packed)
+        self._detect_pause()
+        document = self._parse(number, packed)
         if document.is_error():
             self.counters["store_documents_refused"] += 1
             return Error(str(document.error))
         if number == self.number and self._held and document.ok != self._held.document:
-            raise AssertionError(f"two documents under revision {number}")
+            raise AssertionError(f"the store has a second document under revision {number}")
         self._confirm_by_store()
         if number < self.number:
             self.counters["store_behind"] += 1
@@ -189,18 +207,18 @@
         return Ok(self._adopt(Revision(number, document.ok), packed))
 
     def on_store_empty(self) -> None:
-        """Take the store's answer that it has no configuration."""
-        self._notice_pause()
+        """Process the store's answer that it holds no configuration."""
+        self._detect_pause()
         self._confirm_by_store()
 
     def on_digest(self, sender: Incarnation, digest: Digest) -> list[Outgoing]:
-        """Compare revisions: pull a higher one, tell an outdated sender about ours."""
-        self._notice_pause()
+        """Compare revisions: pull a higher one, send our digest to an outdated peer."""
+        self._detect_pause()
         if digest.revision > self.number:
-            if digest.revision > self._refused.get(sender.seat, 0):
-                self._better[sender.seat] = digest.revision
+            if digest.revision > self._refused_revisions.get(sender.seat, 0):
+                self._higher_revisions[sender.seat] = digest.revision
             return self._pull_best()
-        self._better.pop(sender.seat, None)
+        self._higher_revisions.pop(sender.seat, None)
         if self._pull and self._pull.seat == sender.seat:
             self._pull = None
         self._confirm(sender, ready=digest.state != "starting")
@@ -208,23 +226,23 @@
             self._up_to_date.add(sender.seat)
             return []
         self._up_to_date.discard(sender.seat)
-        return self._correct(sender.seat)
+        return self._send_correction(sender.seat)
 
     def on_document_request(self, sender: Incarnation, req: DocumentRequest) -> list[Outgoing]:
-        """Answer with the document if it is above what the sender has, else with a digest."""
+        """Answer with the document if its revision is above the sender's, else with a digest."""
         if self._held and self._held.number > req.above:
             return [Outgoing(sender.seat, DocumentReply(self._held.number, self._packed))]
         return [Outgoing(sender.seat, self._describe(self.number))]
 
     def on_document_reply(self, sender: Incarnation, reply: DocumentReply) -> list[Outgoing]:
-        """Take a peer's copy if it is higher; announce what is new."""
-        self._notice_pause()
+        """Adopt a peer's document if its revision is higher, and announce it."""
+        self._detect_pause()
         if self._pull and self._pull.seat == sender.seat:
             self._pull = None
         if reply.revision < self.number:
             self.counters["late_documents"] += 1
             return []
-        document = self._read(reply.revision, reply.document)
+        document = self._parse(reply.revision, reply.document)
         if document.is_error():
             return self._refuse(sender, reply)
         if self._held and reply.revision == self.number:
@@ -233,36 +251,41 @@
                 return []
             self._confirm(sender, ready=False)
             return []
-        self._better[sender.seat] = reply.revision
+        self._higher_revisions[sender.seat] = reply.revision
         self._adopt(Revision(reply.revision, document.ok), reply.document)
         self._confirm(sender, ready=False)
         return self._flush() + self._pull_best()
 
     def tick(self) -> list[Outgoing]:
-        """Notice pauses, repeat pulls and questions that got no answer; call every 20-50 ms."""
-        self._notice_pause()
+        """Detect pauses and repeat unanswered requests; to be called every 20 to 50 ms."""
+        self._detect_pause()
         now = self._clock.monotonic()
         self._last_tick, self._last_wall = now, self._clock.utcnow()
         self._outbox += self._pull_best()
         self._outbox += self._probe(now)
         return self._flush()
 
-    def _gap(self) -> timedelta:
-        """Return the time since the last tick; a suspended VM may show it on one clock only."""
+    def _time_since_tick(self) -> timedelta:
+        """Return the time since the last tick by the clock that shows more.
+
+        A suspension of the VM may be visible on one of the clocks only.
+        """
         elapsed = self._clock.monotonic() - self._last_tick
         return max(elapsed, self._clock.utcnow() - self._last_wall)
 
-    def _notice_pause(self) -> None:
-        if self._gap() <= self._times.pause:
+    def _detect_pause(self) -> None:
+        if self._time_since_tick() <= self._times.max_tick_gap:
             return
         self.counters["pauses"] += 1
         now = self._clock.monotonic()
         self._last_tick, self._last_wall = now, self._clock.utcnow()
         self._pull = None
-        asked_from = now + self._times.settle
-        self._confirmation = _Confirmation(asked_from, asked_from + self._times.patience)
+        accepts_from = now + self._times.settle_time
+        self._confirmation = _Confirmation(
+            accepts_from, accepts_from + self._times.confirmation_timeout
+        )
 
-    def _read(self, number: int, packed: bytes) -> Result[Document, t.Any]:
+    def _parse(self, number: int, packed: bytes) -> Result[Document, t.Any]:
         if self._held and number == self.number and packed == self._packed:
             return Ok(self._held.document)
         return unpack(packed).bind(self._check)
@@ -274,21 +297,23 @@
         self._packed = packed
         self._peers = tuple(sorted(set(revision.document.get("entries", ())) - {self._me.seat}))
         self._up_to_date = {
-            seat for seat, number in self._better.items() if number >= revision.number
+            seat for seat, number in self._higher_revisions.items() if number >= revision.number
+        }
+        self._higher_revisions = {
+            seat: n for seat, n in self._higher_revisions.items() if n > revision.number
         }
-        self._better = {seat: n for seat, n in self._better.items() if n > revision.number}
-        self._corrected.clear()
-        self._refused.clear()
+        self._last_corrections.clear()
+        self._refused_revisions.clear()
         if self._confirmation:
             self._confirmation.probe_at(self._clock.monotonic())
         self._announce()
         return revision
 
     def _refuse(self, sender: Incarnation, reply: DocumentReply) -> list[Outgoing]:
-        """Count a document that can't be used, and don't ask this peer for it again."""
+        """Count an invalid document and remember not to request it from this peer again."""
         self.counters["peer_documents_refused"] += 1
-        self._refused[sender.seat] = reply.revision
-        self._better.pop(sender.seat, None)
+        self._refused_revisions[sender.seat] = reply.revision
+        self._higher_revisions.pop(sender.seat, None)
         return self._pull_best()
 
     def _announce(self) -> None:
@@ -298,78 +323,81 @@
             self._outbox.append(Outgoing(seat, digest))
 
     def _pull_best(self) -> list[Outgoing]:
-        """Ask one of the peers with the highest known revision, one at a time."""
+        """Request the document from one of the peers with the highest known revision."""
         now = self._clock.monotonic()
-        if self._pull and now < self._pull.until:
+        if self._pull and now < self._pull.deadline:
             return []
-        attempt = self._give_up_pull()
-        if not self._better:
+        attempt = self._end_unanswered_pull()
+        if not self._higher_revisions:
             return []
-        highest = max(self._better.values())
-        holders = sorted(seat for seat, n in self._better.items() if n == highest)
+        highest = max(self._higher_revisions.values())
+        holders = sorted(seat for seat, n in self._higher_revisions.items() if n == highest)
         seat = self._rng.choice(holders)
-        self._pull = _Pull(seat, now + self._times.pull, attempt)
-        # Without a roster no seat has an address yet, and all seeds are asked instead.
+        self._pull = _Pull(seat, now + self._times.pull_timeout, attempt)
+        # Without a roster no seat has an address, so all seeds are asked.
         targets = [seat] if self._held else sorted(self._seeds)
         return [Outgoing(target, DocumentRequest(self.number)) for target in targets]
 
-    def _give_up_pull(self) -> int:
-        """Forget a peer that doesn't answer, unless it is the only one known; count its tries."""
+    def _end_unanswered_pull(self) -> int:
+        """End an unanswered pull and return the number of the next attempt.
+
+        The peer is dropped as a source, unless it is the only one and has attempts left.
+        """
         pull, self._pull = self._pull, None
         if pull is None:
             return 1
         self.counters["pulls_unanswered"] += 1
-        sole = len(self._better) == 1 and pull.seat in self._better
-        if sole and pull.attempt < MAX_PULL_ATTEMPTS:
+        is_only_source = len(self._higher_revisions) == 1 and pull.seat in self._higher_revisions
+        if is_only_source and pull.attempt < MAX_PULL_ATTEMPTS:
             return pull.attempt + 1
-        self._better.pop(pull.seat, None)
+        self._higher_revisions.pop(pull.seat, None)
         return 1
 
-    def _correct(self, seat: str) -> list[Outgoing]:
+    def _send_correction(self, seat: str) -> list[Outgoing]:
         now = self._clock.monotonic()
-        last = self._corrected.get(seat)
-        if last is not None and now - last < self._times.correct:
+        last = self._last_corrections.get(seat)
+        if last is not None and now - last < self._times.correction_interval:
             return []
-        self._corrected[seat] = now
+        self._last_corrections[seat] = now
         return [Outgoing(seat, self._describe(self.number))]
 
     def _probe(self, now: timedelta) -> list[Outgoing]:
-        """Ask peers for their digests while this copy awaits confirmation."""
+        """Request the digests of peers while the replica awaits confirmation."""
         wait = self._confirmation
         if wait is None or now < wait.next_probe:
             return []
-        self._conclude(now)
-        wait.next_probe = now + self._times.probe
-        unheard = sorted((self._seeds | set(self._peers)) - wait.answered)
-        chosen = self._rng.sample(unheard, min(PROBED_PEERS, len(unheard)))
-        return [Outgoing(seat, DocumentRequest(PROBE)) for seat in chosen]
+        self._end_confirmation_if_complete(now)
+        wait.next_probe = now + self._times.probe_interval
+        unanswered = sorted((self._seeds | set(self._peers)) - wait.answered)
+        chosen = self._rng.sample(unanswered, min(MAX_PROBED_PEERS, len(unanswered)))
+        return [Outgoing(seat, DocumentRequest(PROBE_REVISION)) for seat in chosen]
 
     def _confirm(self, sender: Incarnation, *, ready: bool) -> None:
-        """Note that `sender` has nothing above this copy; a ready peer's word is enough."""
+        """Record that `sender` has no higher revision; a single ready peer is enough."""
         wait = self._confirmation
         if wait is None or self._held is None or sender.seat == self._me.seat:
             return
         now = self._clock.monotonic()
-        if now < wait.asked_from:
+        if now < wait.accepts_from:
             return
         wait.answered.add(sender.seat)
-        if ready and not self._better:
+        if ready and not self._higher_revisions:
             self._confirmation = None
             return
-        self._conclude(now)
+        self._end_confirmation_if_complete(now)
 
     def _confirm_by_store(self) -> None:
         wait = self._confirmation
-        if wait and self._clock.monotonic() >= wait.asked_from:
+        if wait and self._clock.monotonic() >= wait.accepts_from:
             self._confirmation = None
 
-    def _conclude(self, now: timedelta) -> None:
-        """End the wait without a ready peer: all have answered, or some have and time is up."""
+    def _end_confirmation_if_complete(self, now: timedelta) -> None:
+        """End the wait without a ready peer if all have answered, or some by the deadline."""
         wait = self._confirmation
-        if wait is None or self._held is None or self._better or now < wait.asked_from:
+        if wait is None or self._held is None or self._higher_revisions or now < wait.accepts_from:
             return
-        all_heard = wait.answered.issuperset(self._peers)
-        if all_heard or (wait.answered and now >= wait.until):
+        all_answered = wait.answered.issuperset(self._peers)
+        if all_answered or (wait.answered and now >= wait.deadline):
             self._confirmation = None
 
     def _flush(self) -> list[Outgoing]:
--- a/packages/core/src/cardamomloft/core/suspicion.py
+++ b/packages/core/src/cardamomloft/core/suspicion.py
@@ -1,8 +1,9 @@
-"""Which endpoints are suspected, from what several entries have seen of them.
+"""Shared failure detection: which endpoints are suspected from the requests of several entries.
 
-Among hundreds of entries each sends to an endpoint too seldom to find out in time that it has
-failed. Two failures in a row, whoever saw them, are enough here; an answer to anybody ends the
-suspicion. One entry alone, whose own network may be at fault, raises none for the others.
+In a large fleet a single entry sends too few requests to an endpoint to detect its failure in
+time. Consecutive failures are therefore counted across entries, and an answer to any entry ends
+the suspicion. Failures seen by one other entry only are not enough, since its own network may be
+at fault.
 """
 
 import typing as t
@@ -11,38 +12,38 @@
 
 from cardamomloft.core.registrations import Life
 
-FAILURES_TO_REST = 2
-"""Failures in a row after which an endpoint rests; one may be an answer that was lost."""
+FAILURES_TO_EJECT = 2
+"""Consecutive failures that eject an endpoint; a single one may be a lost answer."""
 
-FIRST_REST = timedelta(seconds=1)
-"""The first rest, doubled with each failure after it. An endpoint that failed by chance loses its
-objects for as long. In the model of ``make experiment`` (scenario ``crowd-heavy``, one play each)
-callers get 0.892 of the credit at 0.3 s, 0.895 at 1 s and 0.897 at 2 s."""
+INITIAL_EJECTION = timedelta(seconds=1)
+"""Duration of the first ejection, doubled with each further failure.
 
-LONGEST_REST = timedelta(seconds=4)
-"""The longest rest, after which an endpoint is tried again."""
+Meanwhile its keys go to other endpoints, where they are cache misses.
+"""
+
+MAX_EJECTION = timedelta(seconds=4)
+"""Maximum duration of an ejection, after which the endpoint is tried again."""
 
-MOST_DOUBLINGS = 2
-"""Doublings after which a rest is no longer than the longest one anyway."""
+MAX_DOUBLINGS = 2
+"""Number of doublings that reaches `MAX_EJECTION`."""
 
-SUSPECTS_KEPT = 5_000
-"""Endpoints that are suspected at one time; more than that fail together only if this entry's own
-network does, and the one suspected longest ago is let go."""
+MAX_SUSPECTS = 5_000
+"""Maximum number of suspected endpoints; beyond it the one that failed longest ago is dropped."""
 
 
 class _Suspect(t.NamedTuple):
-    """A life that has failed since its last answer.
+    """The failures of an incarnation since its last answer.
 
     Attributes
     ----------
     others
-        Other entries that have seen it fail since its last rest began.
+        Other entries that have reported a failure since the last ejection began.
     count
-        Failures that count.
+        Number of failures that count towards ejection.
     failed_at
         Instant of the latest of them.
     rest_until
-        Instant until which it is left alone.
+        Instant at which the ejection ends.
     """
 
     others: frozenset[str]
@@ -52,11 +53,11 @@
 
 
 _NEVER = timedelta(days=-1)
-_WELL = _Suspect(frozenset(), 0, _NEVER, _NEVER)
+_UNSUSPECTED = _Suspect(frozenset(), 0, _NEVER, _NEVER)
 
 
 class Suspicions:
-    """What one entry suspects, by its own failures and those that others tell of.
+    """The endpoints that one entry suspects, by its own failures and those reported by others.
 
     Parameters
     ----------
@@ -67,53 +68,58 @@
     def __init__(self, own: str) -> None:
         self._own = own
         self._suspects: OrderedDict[Life, _Suspect] = OrderedDict()
-        self._answered: OrderedDict[Life, timedelta] = OrderedDict()
+        self._last_answers: OrderedDict[Life, timedelta] = OrderedDict()
 
     def is_suspected(self, life: Life) -> bool:
-        """Tell whether a failure is known since the last answer, so that the next one is news."""
+        """Tell whether a failure is known since the last answer.
+
+        The next answer of a suspected endpoint must be reported to the other entries.
+        """
         return life in self._suspects
 
     def rest_until(self, life: Life) -> timedelta:
-        """Return the instant until which an endpoint is left alone; long ago if it is not."""
-        return self._suspects.get(life, _WELL).rest_until
+        """Return the instant at which the endpoint's ejection ends; in the past if not ejected."""
+        return self._suspects.get(life, _UNSUSPECTED).rest_until
 
     def failed(self, life: Life, entry: str, at: timedelta, now: timedelta) -> None:
-        """Note that a request of `entry` failed there.
+        """Record that a request of `entry` to the endpoint failed.
 
         Parameters
         ----------
         at
-            Instant of the failure by this entry's clock. What entries tell each other arrives in
-            any order: it counts for nothing if an answer came later. During a rest it is of a
-            request that was sent before, and says nothing new.
+            Instant of the failure by this entry's clock. Reports arrive in any order, so one that
+            is older than an answer is ignored. So is one within an ejection, which concerns a
+            request sent before it.
         now
-            Monotonic instant, from which a rest begins.
+            Monotonic instant at which an ejection begins.
         """
-        before = self._suspects.get(life, _WELL)
-        if at <= self._answered.get(life, _NEVER) or at < before.rest_until:
+        before = self._suspects.get(life, _UNSUSPECTED)
+        if at <= self._last_answers.get(life, _NEVER) or at < before.rest_until:
             return
         if entry in before.others:
             return
         others = before.others if entry == self._own else before.others | {entry}
         found = _Suspect(others, before.count + 1, max(at, before.failed_at), before.rest_until)
-        if found.count >= FAILURES_TO_REST:
-            found = found._replace(others=frozenset(), rest_until=now + _rest_after(found.count))
+        if found.count >= FAILURES_TO_EJECT:
+            found = found._replace(
+                others=frozenset(), rest_until=now + _ejection_after(found.count)
+            )
         self._suspects.pop(life, None)
         self._suspects[life] = found
-        if len(self._suspects) > SUSPECTS_KEPT:
+        if len(self._suspects) > MAX_SUSPECTS:
             self._suspects.popitem(last=False)
 
     def answered(self, life: Life, at: timedelta) -> None:
-        """Note that the endpoint answered some entry at that instant."""
-        if at < self._suspects.get(life, _WELL).failed_at:
+        """Record that the endpoint answered a request of any entry at the instant `at`."""
+        if at < self._suspects.get(life, _UNSUSPECTED).failed_at:
             return
         self._suspects.pop(life, None)
-        last = self._answered.pop(life, _NEVER)
-        self._answered[life] = max(at, last)
-        if len(self._answered) > SUSPECTS_KEPT:
-            self._answered.popitem(last=False)
+        last = self._last_answers.pop(life, _NEVER)
+        self._last_answers[life] = max(at, last)
+        if len(self._last_answers) > MAX_SUSPECTS:
+            self._last_answers.popitem(last=False)
 
 
-def _rest_after(failures: int) -> timedelta:
-    doublings = min(failures - FAILURES_TO_REST, MOST_DOUBLINGS)
-    return min(FIRST_REST * 2**doublings, LONGEST_REST)
+def _ejection_after(failures: int) -> timedelta:
+    doublings = min(failures - FAILURES_TO_EJECT, MAX_DOUBLINGS)
+    return min(INITIAL_EJECTION * 2**doublings, MAX_EJECTION)
--- a/packages/core/tests/test_replication.py
+++ b/packages/core/tests/test_replication.py
@@ -10,7 +10,7 @@
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.messages import Digest, DocumentReply, DocumentRequest, Outgoing
 from cardamomloft.core.model import Incarnation
-from cardamomloft.core.replication import PROBE, Replica, pack, unpack
+from cardamomloft.core.replication import PROBE_REVISION, Replica, pack, unpack
 from expression import Error, Ok
 
 SEATS = ("a", "b", "c")
@@ -84,7 +84,7 @@
     assert replica.on_digest(B, digest(4)) == [Outgoing("b", digest(5))]
     assert replica.on_digest(B, digest(4)) == []
     assert replica.on_document_request(B, DocumentRequest(4)) == [Outgoing("b", reply(5))]
-    assert replica.on_document_request(B, DocumentRequest(PROBE)) == [Outgoing("b", digest(5))]
+    assert replica.on_document_request(B, DocumentRequest(PROBE_REVISION)) == [Outgoing("b", digest(5))]
 
 
 @pytest.mark.parametrize(
--- a/packages/core/tests/test_suspicion.py
+++ b/packages/core/tests/test_suspicion.py
@@ -5,7 +5,7 @@
 import pytest
 from cardamomloft.core import suspicion
 from cardamomloft.core.registrations import Life
-from cardamomloft.core.suspicion import FIRST_REST, LONGEST_REST, Suspicions
+from cardamomloft.core.suspicion import INITIAL_EJECTION, MAX_EJECTION, Suspicions
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("entries", [("e-1", "e-2"), (OWN, "e-1"), ("e-1", OWN), (OWN, OWN)])
 def test_two_failures_in_a_row_let_an_endpoint_rest(entries):
-    assert failing(*entries).rest_until(LIFE) == START + FIRST_REST
+    assert failing(*entries).rest_until(LIFE) == START + INITIAL_EJECTION
     assert failing(entries[0]).rest_until(LIFE) < START
 
 
@@ -53,14 +53,14 @@
     assert not found.is_suspected(LIFE)
     resting = failing("e-1", "e-2")
     resting.answered(LIFE, seconds(-0.1))
-    assert resting.rest_until(LIFE) == START + FIRST_REST
+    assert resting.rest_until(LIFE) == START + INITIAL_EJECTION
 
 
 def test_failures_of_what_was_sent_before_a_rest_do_not_lengthen_it():
     found = failing("e-1", "e-2")
     for number in range(3, 20):
         found.failed(LIFE, f"e-{number}", seconds(0.2), seconds(0.2))
-    assert found.rest_until(LIFE) == START + FIRST_REST
+    assert found.rest_until(LIFE) == START + INITIAL_EJECTION
 
 
 def test_a_rest_is_longer_with_each_failure_after_it_up_to_a_bound():
@@ -69,8 +69,8 @@
         now = found.rest_until(LIFE)
         found.failed(LIFE, "e-1", now, now)
         rests.append(found.rest_until(LIFE) - now)
-    assert rests[0] == 2 * FIRST_REST
-    assert rests == sorted(rests) and rests[-1] == LONGEST_REST
+    assert rests[0] == 2 * INITIAL_EJECTION
+    assert rests == sorted(rests) and rests[-1] == MAX_EJECTION
 
 
 def test_a_new_life_under_an_old_id_is_not_suspected():
@@ -84,7 +84,7 @@
     for number in range(100):
         found.failed(Life(f"i-{number}", 1), "e-1", START, START)
         found.answered(Life(f"j-{number}", 1), START)
-    assert len(found._suspects) <= 10 and len(found._answered) <= 10
+    assert len(found._suspects) <= 10 and len(found._last_answers) <= 10
 
 
 SEEN = st.tuples(
@@ -108,7 +108,7 @@
             found.failed(LIFE, entry, at, now)
         else:
             found.answered(LIFE, at)
-        assert found.rest_until(LIFE) - now <= LONGEST_REST
+        assert found.rest_until(LIFE) - now <= MAX_EJECTION
         if found.rest_until(LIFE) > now:
             last_answer = max((at for kind, at in seen if kind == "answered"), default=None)
             failures = [at for kind, at in seen if kind == "failed"]
