--- a/packages/core/src/cardamomloft/core/entrybook.py
+++ b/packages/core/src/cardamomloft/core/entrybook.py
@@ -1,4 +1,4 @@
-"""The entries that record themselves in the control store."""
+"""The table of entries that are recorded in the control store."""
 
 from collections import deque
 from datetime import timedelta
@@ -6,25 +6,25 @@
 from cardamomloft.core.recent import Recent
 from cardamomloft.core.registrations import RETURN_TIME, EntryRecord
 
-GONE_KEPT = 5_000
-"""Names of entries that have gone and are remembered: several times the largest fleet."""
+MAX_GONE_ENTRIES = 5_000
+"""Maximum number of withdrawn entries whose names are remembered."""
 
 
 class EntryBook:
-    """Which entries are there, and among how many a budget is to be divided.
+    """The recorded entries, and the number of entries by which a budget is divided.
 
     Parameters
     ----------
     own
-        This entry, which is there whatever the store says.
+        This entry, which counts as present whatever the store holds.
     memory
-        How long an entry that has gone still counts for `sharing`: the length of the longest
-        sliding window of a budget, in which it may have spent its part.
+        How long a withdrawn entry still counts for `sharing`. It is the length of the longest
+        sliding window of a budget, within which the entry may have spent its share.
 
     Attributes
     ----------
     version
-        Grows whenever the records change.
+        Increases whenever the records change.
     """
 
     def __init__(self, own: EntryRecord, memory: timedelta) -> None:
@@ -33,68 +33,71 @@
         self.version = 0
         self._records: dict[str, EntryRecord] = {}
         self._missing: set[str] = set()
-        self._gone = Recent[str](GONE_KEPT)
-        self._patience_until = timedelta(0)
-        self._counts: deque[tuple[timedelta, int]] = deque()
+        self._gone = Recent[str](MAX_GONE_ENTRIES)
+        self._grace_until = timedelta(0)
+        self._count_history: deque[tuple[timedelta, int]] = deque()
 
     def records(self, *, with_own: bool) -> list[EntryRecord]:
-        """Return the entries that are there; this one only if it may be named."""
+        """Return the recorded entries; this entry is included only with `with_own`."""
         others = [record for name, record in self._records.items() if name != self._own.name]
         return [*others, self._own] if with_own else others
 
     def sharing(self, now: timedelta) -> int:
-        """Return the largest number of entries that were there at one time lately, at least 1."""
-        self._count(now)
-        return max(count for _, count in self._counts)
+        """Return the maximum number of entries present at one time within `memory`, at least 1."""
+        self._record_count(now)
+        return max(count for _, count in self._count_history)
 
     def add(self, record: EntryRecord, now: timedelta) -> bool:
-        """Take an entry's record; return whether that changes anything."""
+        """Store an entry's record; return whether it is new or changed."""
         changed = self._records.get(record.name) != record
         self._records[record.name] = record
         self.version += changed
         self._missing.discard(record.name)
         self._gone.discard(record.name)
-        self._count(now)
+        self._record_count(now)
         return changed
 
     def has_gone(self, name: str) -> bool:
-        """Tell whether an entry was there and is not any more."""
+        """Tell whether an entry was recorded and has been withdrawn since."""
         return name in self._gone
 
     def withdraw(self, name: str, now: timedelta) -> bool:
-        """Forget an entry; soon after the store's return only if it stays away."""
+        """Remove an entry and return whether it is removed now.
+
+        In the grace period after the store's return the entry is only marked as missing.
+        """
         if name not in self._records:
             return False
-        if now < self._patience_until:
+        if now < self._grace_until:
             self._missing.add(name)
             return False
         del self._records[name]
         self._gone.add(name)
         self.version += 1
-        self._count(now)
+        self._record_count(now)
         return True
 
     def listed(self, names: set[str], now: timedelta) -> list[str]:
-        """Withdraw all that are not among `names`; return those withdrawn."""
+        """Withdraw all entries that are not among `names`; return the names removed now."""
         return [
             name for name in list(self._records) if name not in names and self.withdraw(name, now)
         ]
 
     def expect_returns(self, now: timedelta) -> None:
-        """Note that the store answers again: records that lapsed meanwhile may come back."""
-        self._patience_until = now + RETURN_TIME
+        """Start the grace period after the store's return, for entries to renew lapsed records."""
+        self._grace_until = now + RETURN_TIME
 
     def tick(self, now: timedelta) -> list[str]:
-        """Withdraw what did not come back in time; return the names."""
-        if now < self._patience_until:
+        """Withdraw entries still missing after the grace period; return their names."""
+        if now < self._grace_until:
             return []
         missing, self._missing = self._missing, set()
         return [name for name in missing if self.withdraw(name, now)]
 
-    def _count(self, now: timedelta) -> None:
+    def _record_count(self, now: timedelta) -> None:
         count = len(self._records.keys() | {self._own.name})
-        # A count holds until the next one: the first must reach back to the memory's begin.
-        while len(self._counts) > 1 and now - self._counts[1][0] > self.memory:
-            self._counts.popleft()
-        if not self._counts or self._counts[-1][1] != count:
-            self._counts.append((now, count))
+        # A count is valid until the next one, so the first kept may begin before the window.
+        while len(self._count_history) > 1 and now - self._count_history[1][0] > self.memory:
+            self._count_history.popleft()
+        if not self._count_history or self._count_history[-1][1] != count:
+            self._count_history.append((now, count))
--- a/packages/core/src/cardamomloft/core/membership.py
+++ b/packages/core/src/cardamomloft/core/membership.py
@@ -408,7 +408,7 @@
         return [groups[rank] for rank in sorted(groups)]
 
     def _seat_sort_key(self, seat: str) -> bytes:
-        """Return a sort key that differs per entry, so that entries list seats in different order."""
+        """Return a sort key that differs per entry, so that entries list seats differently."""
         return hashlib.blake2b(f"{self._me.seat}/{seat}".encode(), digest_size=8).digest()
 
     def _retire(self, incarnation: Incarnation) -> None:
--- a/packages/core/src/cardamomloft/core/notices.py
+++ b/packages/core/src/cardamomloft/core/notices.py
@@ -1,8 +1,8 @@
-"""What one entry notices about upstreams and requests that all entries must soon know.
+"""Notices about upstreams and requests that are spread to all entries by gossip.
 
-The store has no part in it: it may be away at that very moment. Each entry keeps what it has heard
-for a bounded time and passes on what is new to it, so every notice reaches everybody whatever the
-order, however often it comes.
+They don't go through the control store, which may be unavailable. Each entry keeps received notices
+for a bounded time and forwards those that are new to it, so every notice reaches all entries
+regardless of order and repetition.
 """
 
 import typing as t
@@ -12,62 +12,66 @@
 
 from cardamomloft.core.affinity import text_hash
 
-NOTICES_KEPT = 2_000
-"""Notices kept at one time, at some 0.1 KB each on the wire; the oldest go first beyond that."""
+MAX_NOTICES = 2_000
+"""Maximum number of notices held; beyond it the oldest are evicted."""
 
 BUCKETS = 16
-"""Parts by which two entries compare what they hold: a few bytes each, and only parts that differ
-are sent."""
+"""Number of buckets that two entries compare by checksum; only differing buckets are sent."""
 
-BUCKET_BITS = 53
-"""Bits of the sum that stands for a part: whatever decodes numbers as floats keeps them whole."""
+CHECKSUM_BITS = 53
+"""Bits of a checksum, so that decoders which read numbers as 64-bit floats keep it exact."""
 
 REQUEST_LIFE = timedelta(minutes=5)
-"""How long a crash under a request is remembered. Callers give up after seconds, so a request that
-comes later is a new one, and may find a mended upstream."""
+"""How long a crash under a request is kept. Callers time out after seconds, so a request that
+arrives later is a new one, and the upstream may have been repaired."""
 
-EXCUSED_LIFE = timedelta(seconds=30)
-"""How long it is remembered that a request was not the cause: until everybody has heard it."""
+EXCUSE_RETENTION = timedelta(seconds=30)
+"""How long an excuse is kept, which must be enough for it to reach all entries."""
 
-LEAVING_LIFE = timedelta(minutes=1)
-"""How long others are told that an upstream leaves. Each of its answers says it again."""
+LEAVING_RETENTION = timedelta(minutes=1)
+"""How long a leaving notice is kept. Each answer of the upstream repeats that it is leaving."""
+
+
+# The class names and fields of notices are part of their `repr`, which `NoticeBoard` hashes into
+# checksums that entries compare: a rename makes entries of different versions resend everything.
 
 
 class UpstreamLeaving(t.NamedTuple):
-    """The upstream `id`, in the life that began at `started_ms`, has said that it leaves."""
+    """The incarnation of upstream `id` that began at `started_ms` reported that it is leaving."""
 
     id: str
     started_ms: int
 
     @property
     def key(self) -> tuple[t.Any, ...]:
-        """What the notice is about."""
+        """Identifies the subject; of notices with the same key one is kept."""
         return (self.id, self.started_ms)
 
     @property
     def rank(self) -> int:
-        """Of two notices with one key the one of higher rank holds."""
+        """Of two notices with the same key the one of higher rank is kept."""
         return 0
 
     @property
-    def life(self) -> timedelta:
-        """How long the notice is kept."""
-        return LEAVING_LIFE
+    def retention(self) -> timedelta:
+        """How long the notice is kept after its creation."""
+        return LEAVING_RETENTION
 
 
 class CrashUnderRequest(t.NamedTuple):
-    """An upstream ended its connection without an answer while it had a request.
+    """An upstream closed its connection without an answer while it was processing a request.
 
     Attributes
     ----------
     fingerprint
         Of the request, by :func:`~cardamomloft.core.fingerprints.fingerprint`.
     upstream, started_ms
-        The life that ended it.
+        The incarnation that closed it.
     number
-        Counts the crashes of that life from 1: it may be back before its new life is known.
+        Counts the crashes of that incarnation from 1, since the upstream may restart before its
+        new incarnation is known.
     excused
-        Whether the request was answered since, so that it can't be the cause.
+        Whether the request was answered since, so that it is not the cause of the crash.
     """
 
     fingerprint: str
@@ -78,82 +82,84 @@
 
     @property
     def key(self) -> tuple[t.Any, ...]:
-        """What the notice is about."""
+        """Identifies the subject; of notices with the same key one is kept."""
         return (self.fingerprint, self.upstream, self.started_ms, self.number)
 
     @property
     def rank(self) -> int:
-        """Of two notices with one key the one of higher rank holds."""
+        """Of two notices with the same key the one of higher rank is kept."""
         return int(self.excused)
 
     @property
-    def life(self) -> timedelta:
-        """How long the notice is kept."""
-        return EXCUSED_LIFE if self.excused else REQUEST_LIFE
+    def retention(self) -> timedelta:
+        """How long the notice is kept after its creation."""
+        return EXCUSE_RETENTION if self.excused else REQUEST_LIFE
 
 
 Notice = UpstreamLeaving | CrashUnderRequest
 
 
 class Dated(t.NamedTuple):
-    """A notice, and the instant of this process's clock at which it was made."""
+    """A notice with the instant of its creation on this process's monotonic clock."""
 
     notice: Notice
     at: timedelta
 
 
-class _Held(t.NamedTuple):
+class _HeldNotice(t.NamedTuple):
     dated: Dated
-    hashed: int
+    checksum: int
 
 
 class NoticeBoard:
-    """The notices that one entry holds."""
+    """The notices that one entry holds, with checksums to compare them with another entry's."""
 
     def __init__(self) -> None:
-        self._held: OrderedDict[tuple[t.Any, ...], _Held] = OrderedDict()
+        self._held: OrderedDict[tuple[t.Any, ...], _HeldNotice] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._held)
 
-    def take(self, told: Iterable[Dated], now: timedelta) -> list[Dated]:
-        """Keep what is told; return what is new here."""
+    def take(self, received: Iterable[Dated], now: timedelta) -> list[Dated]:
+        """Store the received notices and return those that are new here."""
         self._expire(now)
-        return [dated for dated in told if self._take(dated, now)]
+        return [dated for dated in received if self._take(dated, now)]
 
     def sums(self, now: timedelta) -> tuple[int, ...]:
-        """Return a number for each part of what is held; equal ones stand for equal parts."""
+        """Return a checksum for each bucket; equal checksums mean equal contents."""
         self._expire(now)
         sums = [0] * BUCKETS
-        for _, hashed in self._held.values():
-            sums[hashed % BUCKETS] ^= hashed
+        for _, checksum in self._held.values():
+            sums[checksum % BUCKETS] ^= checksum
         return tuple(sums)
 
     def differing(self, sums: Sequence[int], now: timedelta) -> list[Dated]:
-        """Return what is held in the parts in which another entry, with these sums, differs."""
+        """Return the notices in buckets whose checksum differs from another entry's `sums`."""
         own = self.sums(now)
         if len(sums) != BUCKETS:
             return [dated for dated, _ in self._held.values()]
         return [
             dated
-            for dated, hashed in self._held.values()
-            if sums[hashed % BUCKETS] != own[hashed % BUCKETS]
+            for dated, checksum in self._held.values()
+            if sums[checksum % BUCKETS] != own[checksum % BUCKETS]
         ]
 
     def _take(self, dated: Dated, now: timedelta) -> bool:
         notice = dated.notice
-        if now - dated.at > notice.life:
+        if now - dated.at > notice.retention:
             return False
         key = (type(notice).__name__, *notice.key)
-        held = self._held.get(key)
-        if held is not None and held.dated.notice.rank >= notice.rank:
+        known = self._held.get(key)
+        if known is not None and known.dated.notice.rank >= notice.rank:
             return False
-        self._held[key] = _Held(dated, text_hash(repr(notice)) % (1 << BUCKET_BITS))
-        if len(self._held) > NOTICES_KEPT:
+        self._held[key] = _HeldNotice(dated, text_hash(repr(notice)) % (1 << CHECKSUM_BITS))
+        if len(self._held) > MAX_NOTICES:
             self._held.popitem(last=False)
         return True
 
     def _expire(self, now: timedelta) -> None:
-        over = [key for key, ((notice, at), _) in self._held.items() if now - at > notice.life]
-        for key in over:
+        expired = [
+            key for key, ((notice, at), _) in self._held.items() if now - at > notice.retention
+        ]
+        for key in expired:
             del self._held[key]
--- a/packages/core/src/cardamomloft/core/positions.py
+++ b/packages/core/src/cardamomloft/core/positions.py
@@ -1,16 +1,16 @@
-"""Places in the history of the control store."""
+"""Positions in the change history of the control store."""
 
 import typing as t
 
 
 class Position(t.NamedTuple):
-    """All that the store held and had told at one revision; later ones are greater.
+    """The state of the store at one revision; later positions compare greater.
 
     Attributes
     ----------
     era
-        Rises each time the store comes back from an older copy of itself, after which it gives
-        revisions out a second time. 0 where the store does not tell it.
+        Increases each time the store is restored from an older copy, after which it assigns
+        revision numbers a second time. 0 for stores that don't report it.
     revision
         Counts the changes within an era.
     """
@@ -20,4 +20,4 @@
 
 
 BEGINNING = Position(0, 0)
-"""Before anything is known."""
+"""The position before the first change."""
--- a/packages/core/src/cardamomloft/core/registrations.py
+++ b/packages/core/src/cardamomloft/core/registrations.py
@@ -1,7 +1,8 @@
-"""What entries learn from the control store: the configuration, upstreams, drained zones, entries.
+"""Facts read from the control store: the configuration, upstreams, drained zones and entries.
 
-Each item of the store becomes one fact of these types, decoded where it is read. The book of
-upstreams applies them and tells which endpoints may get new work.
+Each item of the store is decoded into one fact where it is read. The names of these types and of
+their fields are visible outside the process: the log writes facts out, and entries store their
+records under the field names.
 """
 
 import typing as t
@@ -10,26 +11,28 @@
 from cardamomloft.core.routes import RoutePlan
 
 RETURN_TIME = timedelta(milliseconds=2100)
-"""How long registrations that lapsed while the store was away may take to come back.
+"""Grace period after the store's return in which lapsed registrations may be renewed.
 
-The platform promises about 2 s after the store's return, which is noticed up to 0.7 s late; in
-all this must stay below the 3 s after which a leaving endpoint counts against an entry again.
+The platform promises renewal about 2 s after the store's return, which is detected up to 0.7 s
+late. The total must stay below the 3 s after which sending to a leaving endpoint counts as an
+error of the entry.
 """
 
 
 class Life(t.NamedTuple):
-    """One life of an endpoint: a new one under the same id holds and knows nothing of before."""
+    """Identifies one incarnation of an endpoint; a later one with the same id shares no state."""
 
     upstream_id: str
     started_ms: int
 
 
 class Registration(t.NamedTuple):
-    """One life of an upstream endpoint, as it describes itself in the store.
+    """One incarnation of an upstream endpoint, as it registered itself in the store.
 
-    `cold_left` is how long it said that it will be cold, counted from when the registration was
-    written. An endpoint may start again under its old `id`: `started_ms`, the Unix millisecond of
-    its start, tells its lives apart; 0 where endpoints don't say it and ids are new each time.
+    `cold_left` is the announced remaining time for which it is cold, counted from when the
+    registration was written. An endpoint may restart under its old `id`: `started_ms`, the Unix
+    time of its start in milliseconds, distinguishes its incarnations. It is 0 on platforms where
+    endpoints don't report it and each start has a new id.
     """
 
     id: str
@@ -43,14 +46,15 @@
 
     @property
     def life(self) -> Life:
-        """What tells this life from others under the same id."""
+        """Identifies this incarnation among all with the same id."""
         return Life(self.id, self.started_ms)
 
 
 class EntryRecord(t.NamedTuple):
     """One running entry, as it records itself in the store.
 
-    `address` is for callers. `peers` is for other entries, empty if it takes nothing from them.
+    `address` is for callers. `peers` is the address for other entries, empty if it accepts no
+    messages from them.
     """
 
     name: str
@@ -61,32 +65,32 @@
 
 
 class PlanRead(t.NamedTuple):
-    """The configuration as it now is."""
+    """The present configuration."""
 
     plan: RoutePlan
 
 
 class UpstreamRegistered(t.NamedTuple):
-    """An endpoint is registered, newly or with other values."""
+    """An endpoint was registered, or its registration has changed."""
 
     registration: Registration
 
 
 class UpstreamWithdrawn(t.NamedTuple):
-    """The registration of endpoint `id` is no longer there."""
+    """The registration of endpoint `id` was removed."""
 
     id: str
 
 
 class UpstreamUnreadable(t.NamedTuple):
-    """The registration of endpoint `id` can't be decoded: it names no endpoint to use."""
+    """The registration of endpoint `id` can't be decoded, so the endpoint must not be used."""
 
     id: str
     detail: str
 
 
 class ZoneDrained(t.NamedTuple):
-    """Endpoints of `zone` must get nothing more."""
+    """Endpoints of `zone` must not get new requests."""
 
     zone: str
 
@@ -98,19 +102,19 @@
 
 
 class EntryRecorded(t.NamedTuple):
-    """An entry is there."""
+    """An entry was recorded, or its record has changed."""
 
     record: EntryRecord
 
 
 class EntryWithdrawn(t.NamedTuple):
-    """The record of entry `name` is gone."""
+    """The record of entry `name` was removed."""
 
     name: str
 
 
 class Unreadable(t.NamedTuple):
-    """The item under `key` can't be decoded; the last good state of it stays."""
+    """The item under `key` can't be decoded; its last valid state remains in force."""
 
     key: str
     detail: str
--- a/packages/core/src/cardamomloft/core/restoration.py
+++ b/packages/core/src/cardamomloft/core/restoration.py
@@ -1,16 +1,15 @@
-"""What to believe of a control store that has come back from an older copy of itself.
-
-What was written since the copy is missing or stands there in an older form until those who wrote it
-write it again. What is known here may be later than the copy or earlier, so each kind of fact is
-taken in the way that breaks no promise if it is wrong:
-
-- a configuration never goes back, restored or not;
-- an endpoint or entry that is missing is kept for the time in which it writes itself again;
-- an endpoint that had said it leaves, or was gone, gets nothing on the word of the copy, and an
-  entry that was gone is not named, until they write themselves again or have stood there for longer
-  than the dead do: they may have written before the list was read;
-- a zone that is drained in the copy is drained, and one that was drained before stays so for a
-  while: the operators' later word, either way, is written again.
+"""Which facts to accept from a control store that was restored from an older copy.
+
+Items written after the copy was made are missing or outdated until their owners write them again.
+This entry's state may be newer or older than the copy, so each kind of fact is handled in the way
+that is safe if it is wrong:
+
+- the revision of the configuration never decreases;
+- a missing endpoint or entry is kept for the grace period in which it registers again;
+- an endpoint known as leaving or gone gets no requests, and an entry known as gone is not
+  recommended, until it registers again or its record has outlasted the leases of dead processes;
+- a zone drained in the copy is drained, and one drained before stays drained for a while, until
+  the operators have repeated what they changed since the copy.
 """
 
 import typing as t
@@ -23,41 +22,44 @@
 from cardamomloft.core.upstreambook import UpstreamBook
 
 DOUBT_TIME = timedelta(seconds=10)
-"""How long the copy is doubted. The leases of the dead run out in it, and operators write again
-what they had announced; a zone that they had opened again idles for so long."""
+"""How long facts that contradict this entry's state stay unconfirmed.
+
+The leases of dead processes expire within it, and operators repeat lost changes. A zone whose drain
+had ended before the restore gets no requests for this long.
+"""
 
 
-class Sifted(t.NamedTuple):
-    """The facts of a restored store: those to take, and those that are known to be out of date."""
+class ClassifiedFacts(t.NamedTuple):
+    """The facts of a restored store: those to apply now, and those known to be outdated."""
 
-    taken: tuple[Fact, ...]
-    doubted: tuple[Fact, ...]
+    accepted: tuple[Fact, ...]
+    unconfirmed: tuple[Fact, ...]
 
 
-def sift(facts: Iterable[Fact], book: UpstreamBook, entries: EntryBook) -> Sifted:
-    """Divide the list of a restored store by what is known here."""
-    taken: list[Fact] = []
-    doubted: list[Fact] = []
+def sift(facts: Iterable[Fact], table: UpstreamBook, entries: EntryBook) -> ClassifiedFacts:
+    """Divide the facts of a restored store by comparing them with this entry's state."""
+    accepted: list[Fact] = []
+    unconfirmed: list[Fact] = []
     for fact in facts:
-        (doubted if _is_outdated(fact, book, entries) else taken).append(fact)
-    return Sifted(tuple(taken), tuple(doubted))
+        (unconfirmed if _is_outdated(fact, table, entries) else accepted).append(fact)
+    return ClassifiedFacts(tuple(accepted), tuple(unconfirmed))
 
 
-def missing_drains(facts: Iterable[Fact], book: UpstreamBook) -> set[str]:
-    """Return the zones that are drained here and not in the list."""
-    return book.drained_zones - {fact.zone for fact in facts if isinstance(fact, ZoneDrained)}
+def missing_drains(facts: Iterable[Fact], table: UpstreamBook) -> set[str]:
+    """Return the zones that are drained at this entry but not in the restored store."""
+    return table.drained_zones - {fact.zone for fact in facts if isinstance(fact, ZoneDrained)}
 
 
 @singledispatch
-def _is_outdated(fact: Fact, book: UpstreamBook, entries: EntryBook) -> bool:
+def _is_outdated(fact: Fact, table: UpstreamBook, entries: EntryBook) -> bool:
     return False
 
 
 @_is_outdated.register
-def _(fact: UpstreamRegistered, book: UpstreamBook, entries: EntryBook) -> bool:
-    return book.is_outdated(fact.registration)
+def _(fact: UpstreamRegistered, table: UpstreamBook, entries: EntryBook) -> bool:
+    return table.is_outdated(fact.registration)
 
 
 @_is_outdated.register
-def _(fact: EntryRecorded, book: UpstreamBook, entries: EntryBook) -> bool:
+def _(fact: EntryRecorded, table: UpstreamBook, entries: EntryBook) -> bool:
     return entries.has_gone(fact.record.name)
--- a/packages/core/src/cardamomloft/core/upstreambook.py
+++ b/packages/core/src/cardamomloft/core/upstreambook.py
@@ -1,4 +1,4 @@
-"""The book of upstream endpoints: which are registered, and which of them may get new work."""
+"""The table of upstream endpoints: which are registered and which may get new requests."""
 
 import typing as t
 from collections import Counter
@@ -9,27 +9,25 @@
 from cardamomloft.core.recent import Recent
 from cardamomloft.core.registrations import RETURN_TIME, Life, Registration
 
-LEAST_LAPSED = 3
-"""Fewer registrations that vanish at once count as planned, on deployments with few endpoints."""
+MIN_LAPSED = 3
+"""Minimum number of registrations that vanish at once to count as lapsed; fewer may be planned."""
 
-LAPSED_PART = 0.5
-"""Part of all registrations beyond which those that vanish at once have lapsed with the store.
+LAPSED_FRACTION = 0.5
+"""Fraction of all registrations above which those that vanish at once count as lapsed.
 
-Their endpoints most likely live: on the known deployments a region has up to 0.49 of a service's
-endpoints, and planned changes take those of one service step by step.
+Lapsed registrations were lost by the store, and their endpoints are most likely still running. The
+loss of a region or a planned change removes a smaller fraction at once.
 """
 
-STARTS_KEPT = 10_000
-"""Endpoints whose latest start is kept, those heard of longest ago forgotten first, at 0.12 KB each
-(tracemalloc, 10,000 of them)."""
+MAX_STARTS = 10_000
+"""Maximum number of endpoints whose latest start is kept; the least recently seen are evicted."""
 
-LEAVERS_KEPT = 10_000
-"""Lives that have said they leave, or are gone, and are remembered without a registration; none of
-them comes back, so only a very old one is let go."""
+MAX_LEAVING = 10_000
+"""Maximum number of incarnations remembered as leaving, and of those remembered as gone."""
 
 
 class LoadReport(t.NamedTuple):
-    """What an endpoint said of its load; `own` were this entry's requests there at that time."""
+    """The load that an endpoint reported; `own` is this entry's requests there at that time."""
 
     running: int
     waiting: int
@@ -39,32 +37,38 @@
 
 
 class Upstream:
-    """One life of an endpoint, with what this entry knows of it.
+    """One incarnation of an endpoint with its state at this entry.
 
     Attributes
     ----------
     in_flight
-        This entry's own requests there.
+        Number of this entry's requests in progress there.
     report
         The last load report, or None.
     cold_until
-        Monotonic instant until which it is cold.
+        Monotonic instant until which the endpoint is cold.
+    cold_sends
+        Monotonic instants of the requests sent to it while it was cold.
     joined_at
-        Monotonic instant at which it was first seen; None if it was there at the start.
+        Monotonic instant at which it was first seen; None if it was in the first list.
     failures
-        Own requests in a row that failed.
+        Number of this entry's consecutive failed requests.
     rest_until
-        Monotonic instant until which it is left alone after failures.
+        Monotonic instant until which it is ejected after failures.
     full_until
         Monotonic instant until which it counts as full after a refusal.
     alone_until
-        Monotonic instant until which it wants nothing from this entry, as it said with a refusal.
+        Monotonic instant until which the endpoint asked this entry, with a refusal, to pause.
+    leaving
+        Whether it gets no new requests because it is leaving.
+    missing
+        Whether its registration has lapsed and may still be renewed.
     unreadable
-        Whether its registration can't be read now, so that it must not be used.
+        Whether its present registration can't be decoded, so that it must not be used.
     seed
-        Hash of its id, for the placement of objects: the same in all of its lives.
+        Hash of its id, which ranks it for affinity keys; the same for all incarnations.
     work
-        How long its answers take without waiting, smoothed; None if not known.
+        Smoothed service time without queueing; None if not known.
     """
 
     __slots__ = (
@@ -106,12 +110,12 @@
 
     @property
     def id(self) -> str:
-        """The id of this life."""
+        """The endpoint's id, which other incarnations may share."""
         return self.registration.id
 
     @property
     def life(self) -> Life:
-        """What tells this life from others under the same id."""
+        """Identifies this incarnation among all with the same id."""
         return self.registration.life
 
     def __repr__(self) -> str:
@@ -125,7 +129,6 @@
     ----------
     regions
         The region of each zone.
-
     """
 
     def __init__(self, regions: Mapping[str, str]) -> None:
@@ -133,14 +136,14 @@
         self.drained_zones: set[str] = set()
         self._by_id: dict[str, Upstream] = {}
         self._by_service: dict[str, list[Upstream]] = {}
-        self._placements: dict[str, list[_Placed]] = {}
+        self._candidates_by_service: dict[str, list[_Candidate]] = {}
         self._stale = False
         self._versions: Counter[str] = Counter()
         self._starts = _Starts()
-        self._leavers = Recent[Life](LEAVERS_KEPT)
-        self._gone = Recent[Life](LEAVERS_KEPT)
-        self._patience_until = timedelta(0)
-        self._started = False
+        self._leaving = Recent[Life](MAX_LEAVING)
+        self._gone = Recent[Life](MAX_LEAVING)
+        self._grace_until = timedelta(0)
+        self._has_list = False
 
     def __len__(self) -> int:
         return len(self._by_id)
@@ -150,7 +153,7 @@
         return list(self._by_id.values())
 
     def use_regions(self, regions: Mapping[str, str]) -> None:
-        """Use another division of zones into regions from now on."""
+        """Replace the mapping of zones to regions."""
         if regions == self.regions:
             return
         self.regions = regions
@@ -163,7 +166,7 @@
         return self._by_id.get(upstream_id)
 
     def of_service(self, service: str) -> list[Upstream]:
-        """Return the endpoints of `service` that may get new work, by registration."""
+        """Return the endpoints of `service` that may get new requests, ordered by id."""
         self._refresh()
         return self._by_service.get(service, [])
 
@@ -172,10 +175,10 @@
         return {upstream.registration.zone for upstream in self._by_id.values()}
 
     def register(self, registration: Registration, now: timedelta) -> bool:
-        """Take a registration; return whether anything but its age has changed.
+        """Apply a registration; return whether anything but its age has changed.
 
-        A new life under an old id holds nothing of before, so nothing that was known of the
-        endpoint is kept. A registration of an earlier life, written late, is left aside.
+        A new incarnation starts with fresh state, since it shares only the id with the old one. A
+        registration of an earlier incarnation, written late, is ignored.
         """
         if not self._starts.note(registration):
             return False
@@ -184,8 +187,8 @@
         region = self.regions.get(registration.zone, "")
         if known is None or known.registration.started_ms != registration.started_ms:
             upstream = Upstream(registration, region, now)
-            upstream.leaving = upstream.life in self._leavers
-            if not self._started:
+            upstream.leaving = upstream.life in self._leaving
+            if not self._has_list:
                 upstream.joined_at = None
             self._by_id[registration.id] = upstream
             self._stale = True
@@ -201,9 +204,9 @@
         return changed
 
     def hide(self, upstream_id: str) -> bool:
-        """Use an endpoint no more until its registration can be read; return whether it was used.
+        """Exclude an endpoint until its registration is readable; return whether it was in use.
 
-        What is known of it stays: its next own registration replaces the one of another writer.
+        Its state is kept: the endpoint's next own registration replaces the unreadable one.
         """
         upstream = self._by_id.get(upstream_id)
         if upstream is None or upstream.unreadable:
@@ -213,11 +216,14 @@
         return True
 
     def withdraw(self, upstream_id: str, now: timedelta) -> bool:
-        """Forget an endpoint; soon after many have lapsed at once only if it stays away."""
+        """Remove an endpoint and return whether it is removed now.
+
+        In the grace period after a mass lapse the endpoint is only marked as missing.
+        """
         upstream = self._by_id.get(upstream_id)
         if upstream is None:
             return False
-        if now < self._patience_until:
+        if now < self._grace_until:
             upstream.missing = True
             return False
         del self._by_id[upstream_id]
@@ -226,39 +232,39 @@
         return True
 
     def is_outdated(self, registration: Registration) -> bool:
-        """Tell whether a registration from an older copy of the store is known to be overtaken."""
+        """Tell whether a registration from an older copy of the store is known to be outdated."""
         known = self._by_id.get(registration.id)
         if known is not None and known.life == registration.life:
             return known.registration.draining and not registration.draining
         return registration.life in self._gone
 
     def listed(self, ids: Iterable[str], now: timedelta) -> list[str]:
-        """Withdraw all that are not among `ids`, the whole of a list; return the ids withdrawn."""
+        """Withdraw all endpoints not in the complete list `ids`; return the ids removed now."""
         present = set(ids)
         absent = [upstream_id for upstream_id in self._by_id if upstream_id not in present]
         if self.have_lapsed(absent):
             self.expect_returns(now)
-        self._started = True
+        self._has_list = True
         return [upstream_id for upstream_id in absent if self.withdraw(upstream_id, now)]
 
     def have_lapsed(self, ids: Iterable[str]) -> bool:
-        """Tell whether so many of the registrations vanish at once that the store must be why."""
+        """Tell whether so many registrations vanish at once that the store must have lost them."""
         vanished = sum(1 for upstream_id in ids if upstream_id in self._by_id)
-        return vanished >= LEAST_LAPSED and vanished > LAPSED_PART * len(self._by_id)
+        return vanished >= MIN_LAPSED and vanished > LAPSED_FRACTION * len(self._by_id)
 
     def expect_returns(self, now: timedelta) -> None:
-        """Note that registrations have lapsed with the store: they may still come back."""
-        self._patience_until = now + RETURN_TIME
+        """Start the grace period for endpoints to renew registrations that the store lost."""
+        self._grace_until = now + RETURN_TIME
 
     def tick(self, now: timedelta) -> list[str]:
-        """Withdraw what did not come back in time; return the ids withdrawn."""
-        if now < self._patience_until:
+        """Withdraw endpoints still missing after the grace period; return their ids."""
+        if now < self._grace_until:
             return []
         missing = [upstream.id for upstream in self._by_id.values() if upstream.missing]
         return [upstream_id for upstream_id in missing if self.withdraw(upstream_id, now)]
 
     def drain_zone(self, zone: str) -> bool:
-        """Use no endpoint of `zone` any more; return whether that is new."""
+        """Exclude the endpoints of `zone`; return whether that is new."""
         if zone in self.drained_zones:
             return False
         self.drained_zones.add(zone)
@@ -266,9 +272,9 @@
         return True
 
     def restore_zone(self, zone: str, now: timedelta, cold_times: Mapping[str, timedelta]) -> bool:
-        """Use endpoints of `zone` again, at first as cold; return whether that is new.
+        """Use the endpoints of `zone` again, at first as cold; return whether that is new.
 
-        Nobody used them meanwhile, so they have forgotten what they had at hand.
+        They got no requests during the drain, so their caches may have expired.
         """
         if zone not in self.drained_zones:
             return False
@@ -281,36 +287,35 @@
         return True
 
     def leave(self, life: Life) -> bool:
-        """Give a life no new work, though it is not registered yet; return whether that is new."""
-        if life in self._leavers:
+        """Exclude an incarnation, registered or not, because it leaves; return whether new."""
+        if life in self._leaving:
             return False
-        self._leavers.add(life)
+        self._leaving.add(life)
         upstream = self._by_id.get(life.upstream_id)
         if upstream is not None and upstream.life == life:
             self.mark_leaving(upstream)
         return True
 
     def mark_leaving(self, upstream: Upstream) -> None:
-        """Give an endpoint no new work, since it refused one as not the one expected."""
+        """Exclude an endpoint that is leaving or that refused a request meant for another."""
         if not upstream.leaving:
             upstream.leaving = True
             self._stale = True
 
     def version(self, service: str) -> int:
-        """Return a number that grows whenever the usable endpoints of `service` change."""
+        """Return a number that increases whenever the usable endpoints of `service` change."""
         self._refresh()
         return self._versions[service]
 
     def _refresh(self) -> None:
-        """Divide the endpoints by service, once for all that has changed since it was asked for.
+        """Rebuild the lists by service on first use after a change.
 
-        With each change anew a list of 810 took 0.365 s of processor time, and the time grew with
-        the square of their number. Done once it takes 0.003 s (process_time, one run each).
+        Rebuilding at each change would take quadratic time for a long list of registrations.
         """
         if not self._stale:
             return
         self._stale = False
-        before, self._by_service = self._placements, {}
+        before, self._by_service = self._candidates_by_service, {}
         for upstream in sorted(self._by_id.values(), key=lambda known: known.id):
             row = upstream.registration
             if row.draining or upstream.leaving or upstream.unreadable:
@@ -318,35 +323,37 @@
             if row.zone in self.drained_zones:
                 continue
             self._by_service.setdefault(row.service, []).append(upstream)
-        self._placements = {name: _placed(rows) for name, rows in self._by_service.items()}
-        for service in before.keys() | self._placements.keys():
-            if before.get(service) != self._placements.get(service):
+        self._candidates_by_service = {
+            name: _candidates(rows) for name, rows in self._by_service.items()
+        }
+        for service in before.keys() | self._candidates_by_service.keys():
+            if before.get(service) != self._candidates_by_service.get(service):
                 self._versions[service] += 1
 
 
 class _Starts:
-    """When the latest known life of each endpoint began, also of those that have gone."""
+    """The start of the latest known incarnation of each endpoint, including withdrawn ones."""
 
     def __init__(self) -> None:
         self._latest: dict[str, int] = {}
 
     def note(self, registration: Registration) -> bool:
-        """Return whether a registration is not of an earlier life than a known one."""
+        """Record a registration; return False if a later incarnation is known."""
         latest = self._latest.pop(registration.id, 0)
         if registration.started_ms or latest:
             self._latest[registration.id] = max(latest, registration.started_ms)
-        if len(self._latest) > STARTS_KEPT:
+        if len(self._latest) > MAX_STARTS:
             del self._latest[next(iter(self._latest))]
         return registration.started_ms >= latest
 
 
-class _Placed(t.NamedTuple):
-    """What placement depends on; an object that took the place of another is another."""
+class _Candidate(t.NamedTuple):
+    """The properties by which keys are assigned; two `Upstream` objects never compare equal."""
 
     upstream: Upstream
     zone: str
     slots: int
 
 
-def _placed(upstreams: Iterable[Upstream]) -> list[_Placed]:
-    return [_Placed(up, up.registration.zone, up.registration.slots) for up in upstreams]
+def _candidates(upstreams: Iterable[Upstream]) -> list[_Candidate]:
+    return [_Candidate(up, up.registration.zone, up.registration.slots) for up in upstreams]
--- a/packages/core/tests/test_notices.py
+++ b/packages/core/tests/test_notices.py
@@ -4,9 +4,9 @@
 
 from cardamomloft.core.notices import (
     BUCKETS,
-    EXCUSED_LIFE,
-    LEAVING_LIFE,
-    NOTICES_KEPT,
+    EXCUSE_RETENTION,
+    LEAVING_RETENTION,
+    MAX_NOTICES,
     REQUEST_LIFE,
     CrashUnderRequest,
     Dated,
@@ -55,19 +55,19 @@
 
 
 def test_each_is_kept_for_its_time_and_circulating_makes_it_no_younger():
-    for notice, life in ((CRASH, REQUEST_LIFE), (EXCUSE, EXCUSED_LIFE), (LEAVING, LEAVING_LIFE)):
+    for notice, retention in ((CRASH, REQUEST_LIFE), (EXCUSE, EXCUSE_RETENTION), (LEAVING, LEAVING_RETENTION)):
         board = NoticeBoard()
         board.take([Dated(notice, NOW)], NOW)
-        assert held(board, NOW + life) == {notice}
-        assert held(board, NOW + life + S) == set()
-        assert board.take([Dated(notice, NOW)], NOW + life + S) == []
+        assert held(board, NOW + retention) == {notice}
+        assert held(board, NOW + retention + S) == set()
+        assert board.take([Dated(notice, NOW)], NOW + retention + S) == []
 
 
 def test_the_number_of_notices_is_bounded():
     board = NoticeBoard()
-    board.take((Dated(UpstreamLeaving(f"i-{n}", 0), NOW) for n in range(NOTICES_KEPT + 9)), NOW)
-    assert len(board) == NOTICES_KEPT
-    assert UpstreamLeaving(f"i-{NOTICES_KEPT + 8}", 0) in held(board)
+    board.take((Dated(UpstreamLeaving(f"i-{n}", 0), NOW) for n in range(MAX_NOTICES + 9)), NOW)
+    assert len(board) == MAX_NOTICES
+    assert UpstreamLeaving(f"i-{MAX_NOTICES + 8}", 0) in held(board)
 
 
 @given(st.lists(NOTICES, max_size=20), st.randoms(use_true_random=False))
--- a/packages/core/tests/test_restoration.py
+++ b/packages/core/tests/test_restoration.py
@@ -26,14 +26,14 @@
 
 
 def books(*rows) -> tuple[UpstreamBook, EntryBook]:
-    book, entries = UpstreamBook({"a": "east"}), EntryBook(OWN, timedelta(seconds=10))
+    table, entries = UpstreamBook({"a": "east"}), EntryBook(OWN, timedelta(seconds=10))
     for each in rows:
-        book.register(each, ZERO)
-    return book, entries
+        table.register(each, ZERO)
+    return table, entries
 
 
-def is_taken(fact, book, entries) -> bool:
-    taken, doubted = sift([fact], book, entries)
+def is_taken(fact, table, entries) -> bool:
+    taken, doubted = sift([fact], table, entries)
     assert (taken, doubted) in (((fact,), ()), ((), (fact,)))
     return bool(taken)
 
@@ -44,37 +44,37 @@
 
 
 def test_an_endpoint_that_had_said_it_leaves_is_not_ready_again():
-    book, entries = books(row(draining=True))
-    assert not is_taken(UpstreamRegistered(row()), book, entries)
-    assert is_taken(UpstreamRegistered(row(draining=True)), book, entries)
+    table, entries = books(row(draining=True))
+    assert not is_taken(UpstreamRegistered(row()), table, entries)
+    assert is_taken(UpstreamRegistered(row(draining=True)), table, entries)
 
 
 def test_an_endpoint_that_was_withdrawn_is_not_back():
-    book, entries = books(row())
-    book.withdraw("i-1", ZERO)
-    assert not is_taken(UpstreamRegistered(row()), book, entries)
+    table, entries = books(row())
+    table.withdraw("i-1", ZERO)
+    assert not is_taken(UpstreamRegistered(row()), table, entries)
 
 
 def test_a_later_life_of_it_and_one_that_wrote_itself_again_are():
-    book, entries = books(row(started_ms=5))
-    book.withdraw("i-1", ZERO)
-    assert is_taken(UpstreamRegistered(row(started_ms=6)), book, entries)
-    book.register(row(started_ms=5), ZERO)
-    assert is_taken(UpstreamRegistered(row(started_ms=5)), book, entries)
+    table, entries = books(row(started_ms=5))
+    table.withdraw("i-1", ZERO)
+    assert is_taken(UpstreamRegistered(row(started_ms=6)), table, entries)
+    table.register(row(started_ms=5), ZERO)
+    assert is_taken(UpstreamRegistered(row(started_ms=5)), table, entries)
 
 
 def test_an_entry_that_was_gone_is_not_named_until_it_records_itself_again():
-    book, entries = books()
+    table, entries = books()
     other = OWN._replace(name="e-1")
     entries.add(other, ZERO)
     entries.withdraw("e-1", ZERO)
-    assert not is_taken(EntryRecorded(other), book, entries)
+    assert not is_taken(EntryRecorded(other), table, entries)
     entries.add(other, ZERO)
-    assert is_taken(EntryRecorded(other), book, entries)
+    assert is_taken(EntryRecorded(other), table, entries)
 
 
 def test_drains_that_are_missing_are_told():
-    book, _ = books()
+    table, _ = books()
     for zone in ("a", "b"):
-        book.drain_zone(zone)
-    assert missing_drains([ZoneDrained("b"), ZoneDrained("c")], book) == {"a"}
+        table.drain_zone(zone)
+    assert missing_drains([ZoneDrained("b"), ZoneDrained("c")], table) == {"a"}
--- a/packages/core/tests/test_upstreambook.py
+++ b/packages/core/tests/test_upstreambook.py
@@ -54,8 +54,8 @@
 def test_a_long_list_is_divided_by_service_once(monkeypatch):
     """A list of 810 took a third of a second of processor time, and more with the square."""
     divided = []
-    placed = upstreambook._placed
-    monkeypatch.setattr(upstreambook, "_placed", lambda rows: divided.append(1) or placed(rows))
+    placed = upstreambook._candidates
+    monkeypatch.setattr(upstreambook, "_candidates", lambda rows: divided.append(1) or placed(rows))
     book = UpstreamBook(REGIONS)
     for number in range(1000):
         book.register(_row(number), ZERO)
@@ -187,7 +187,7 @@
 
 
 def test_starts_are_kept_for_a_bounded_number_of_endpoints(monkeypatch):
-    monkeypatch.setattr(upstreambook, "STARTS_KEPT", 2)
+    monkeypatch.setattr(upstreambook, "MAX_STARTS", 2)
     book = UpstreamBook(REGIONS)
     for number in (1, 2, 3):
         book.register(_row(number, started_ms=200), ZERO)
