--- a/packages/core/src/cardamomloft/core/accounts.py
+++ b/packages/core/src/cardamomloft/core/accounts.py
@@ -1,4 +1,4 @@
-"""What one entry owns, uses, lends and borrows of one limit."""
+"""The account of one limit at one entry: units owned, used, lent and borrowed."""
 
 import typing as t
 from datetime import timedelta
@@ -8,13 +8,13 @@
 from cardamomloft.core.ownership import Ownership
 
 PEAK_WINDOW = timedelta(milliseconds=100)
-"""How long a peak of own use keeps a lender from lending the units."""
+"""How long units count as needed here after a peak of own use, and are not lent."""
 
 _ZERO = timedelta(0)
 
 
 class ShareRow(t.NamedTuple):
-    """One limit as this entry sees it, for status pages; all amounts in units of the limit."""
+    """The state of one account for status pages; all amounts are in units of the limit."""
 
     key: str
     kind: LimitKind
@@ -29,7 +29,19 @@
 
 
 class Account:
-    """What this entry owns, uses, lends and borrows of one limit."""
+    """The units of one limit that this entry owns, uses, lends and borrows.
+
+    Attributes
+    ----------
+    used
+        Own units in use.
+    wanted
+        Units requested here beyond those in use; of a RATE limit the whole rate.
+    peak, peak_at
+        The recent maximum of own use, and the instant at which it was recorded.
+    lendings, loans
+        Units lent to and borrowed from other entries; None until the first.
+    """
 
     __slots__ = (
         "lendings",
@@ -63,35 +75,35 @@
         return bool(self.used or self.lendings or self.loans)
 
     def is_clear(self, now: timedelta) -> bool:
-        """Tell whether neither this life nor an earlier one has left anything behind."""
+        """Tell whether no loans are open and no use by an earlier incarnation can remain."""
         return not self.lent and not self.loans and now >= self.ownership.wait_until
 
     def free_own(self) -> int:
-        """Return own units neither used nor lent; negative after a cut."""
+        """Return own units neither used nor lent; negative after the share was reduced."""
         return self.ownership.own - self.used - self.lent
 
     def free(self, now: timedelta) -> int:
-        """Return the units that a new use may take."""
+        """Return the units available to a new use: own and borrowed."""
         own = max(self.free_own(), 0)
         return own + self.loans.free(now) if self.loans else own
 
     def note_use(self, amount: int, now: timedelta) -> None:
-        """Keep the recent peak of own use."""
+        """Record an amount of own use, of which the recent peak is kept."""
         if amount >= self.peak or now - self.peak_at > PEAK_WINDOW:
             self.peak = amount
             self.peak_at = now
 
     def spare(self, now: timedelta) -> int:
-        """Return what can be lent: all but the recent peak and what is wanted here.
+        """Return the units that can be lent: all but the recent peak and those wanted here.
 
-        It is negative if units that are lent are wanted here.
+        The result is negative if lent units are wanted here.
         """
         self.note_use(self.used, now)
         spare = self.free_own() - self.wanted
         return spare if spare < 0 else max(spare - self.peak + self.used, 0)
 
     def row(self, key: str) -> ShareRow:
-        """Return the state for status pages."""
+        """Return the account's state for status pages."""
         return ShareRow(
             key=key,
             kind=self.limit.kind,
--- a/packages/core/src/cardamomloft/core/changes.py
+++ b/packages/core/src/cardamomloft/core/changes.py
@@ -1,6 +1,6 @@
-"""Changes of the configuration: the record in the store, one attempt to write it, its audit chain.
+"""Changes of the configuration: the stored record, an attempt to write it, and the audit trail.
 
-Pure state: callers do the reads and writes and feed the outcomes in. The audit entries are
+The code does no I/O: callers do the reads and writes and report the outcomes. Audit entries are
 canonical JSON, so two writers of one entry write the same bytes.
 """
 
@@ -16,13 +16,14 @@
 
 AUDIT_KEYS = ("number", "change", "parent", "who", "when", "why", "difference", "previous")
 MAX_RECORD_BYTES = 1_000_000
+# Compare-and-swap writes that one attempt sends before it ends unsettled.
 MAX_SWAPS = 5
 
 
 class Record(TypedDict):
-    """The value of the configuration key: one document and the change that made it.
+    """The value of the configuration key: a document and the change that produced it.
 
-    `change` is unique to the attempt; `parent` is the `change` of the record it replaced, None for
+    `change` is unique to the attempt; `parent` is the `change` of the replaced record, None for
     the first. `when` is an ISO 8601 instant.
     """
 
@@ -52,10 +53,10 @@
     current
         The record in the store, None before the first change.
     change
-        A fresh unique id of this change; an attempt keeps it over all its retries.
+        A new unique id of this change; an attempt keeps it over all its retries.
     above
-        The highest revision any entry holds. It matters only after the store lost changes, for
-        example by a restored backup: entries take no revision below what they hold.
+        The highest revision that any entry holds. It exceeds the store's only after the store lost
+        changes, for example by a restored backup; entries adopt no revision below their own.
     """
     number = current["number"] if current else 0
     return Record(
@@ -70,15 +71,18 @@
 
 
 def encode_record(record: Record) -> Result[bytes, str]:
-    """Return the value for the store, or why it doesn't fit there."""
+    """Return the value to store, or an error if it is too large."""
     raw = canonical(record)
     if len(raw) > MAX_RECORD_BYTES:
-        return Error(f"the record has {len(raw)} bytes, the store takes {MAX_RECORD_BYTES}")
+        return Error(
+            f"configuration record too large for the store: {len(raw)} bytes, at most"
+            f" {MAX_RECORD_BYTES}; make the document smaller"
+        )
     return Ok(raw)
 
 
 def decode_record(raw: bytes) -> Result[Record, str]:
-    """Read a value of the store; the document is not checked here."""
+    """Decode a stored value; the document in it is not validated here."""
     try:
         record = json.loads(raw)
     except ValueError as exc:
@@ -91,39 +95,39 @@
 
 
 def canonical(value: object) -> bytes:
-    """Return the one JSON form of `value`: sorted keys, no spaces, UTF-8."""
+    """Return the canonical JSON of `value`: sorted keys, no spaces, UTF-8."""
     text = json.dumps(value, sort_keys=True, separators=(",", ":"), ensure_ascii=False)
     return text.encode()
 
 
 class Recorded(t.NamedTuple):
-    """The change is in the store; `superseded` if a later one already replaced it."""
+    """The change was written to the store; `superseded` if a later one has replaced it already."""
 
     record: Record
     superseded: bool = False
 
 
 class Conflict(t.NamedTuple):
-    """Another change won the race and this one never took effect; `winner` is what stands now."""
+    """Another change was written first and this one never took effect; `winner` is in the store."""
 
     winner: Record
 
 
 class StoreAway(t.NamedTuple):
-    """The store didn't answer and the change provably did not take effect."""
+    """The write failed, and the change certainly did not take effect."""
 
     detail: str
 
 
 class Unsettled(t.NamedTuple):
-    """The change may have taken effect or may still do so; look for its change id later."""
+    """The change may have taken effect or may still do so; its change id shows it later."""
 
     record: Record
     detail: str
 
 
 class Swap(t.NamedTuple):
-    """Write `record` if the key still has `version` (0 for an absent key)."""
+    """Compare-and-swap: write `record` if the key still has `version` (0 for an absent key)."""
 
     record: Record
     version: int
@@ -134,7 +138,7 @@
 
 
 class ReadAudit(t.NamedTuple):
-    """Read the audit entry `number`; it tells whose change that number was."""
+    """Read the audit entry `number`, which names the change that got this number."""
 
     number: int
 
@@ -151,31 +155,33 @@
 
 
 class Attempt:
-    """One change on its way into the store.
+    """State machine of one attempt to write a change to the store.
 
-    Call the returned step's operation and feed its outcome in, until an :data:`Outcome` comes.
-    A write whose answer is lost may still be on its way, so finding the old record proves nothing:
-    the same write, with the same change id and version, is repeated. At most one of the copies can
-    pass the version check. A refused write is read back too, because an earlier copy may have won.
-    Callers make sure that the audit entry of the record they replace exists before they start, so
-    that a lost change two or more numbers back can always be told from a lost race.
+    Perform each returned step and report its result, until a step is an :data:`Outcome`.
+
+    A write whose answer was lost may still take effect later, so reading the old record afterwards
+    proves nothing: the same write, with the same change id and version, is sent again. The version
+    check lets at most one of these writes succeed. A refused write is followed by a read too,
+    since an earlier copy of it may be what changed the version. Before they start, callers must
+    ensure that the audit entry of the record they replace exists; only then can a change that was
+    superseded twice be distinguished from one that never took effect.
 
     Parameters
     ----------
     record
-        What to write; it keeps its change id over all retries.
+        The record to write; it keeps its change id over all retries.
     version
         The store's version of the record it replaces, 0 if the key was absent.
     max_swaps
-        How often the write is sent before the attempt ends unsettled.
+        Maximum number of writes before the attempt ends unsettled.
     """
 
     def __init__(self, record: Record, version: int, *, max_swaps: int = MAX_SWAPS) -> None:
         self._record = record
         self._version = version
-        self._swaps_left = max_swaps
-        self._maybe_sent = False
-        self._seen: Record | None = None
+        self._remaining_swaps = max_swaps
+        self._may_have_written = False
+        self._newer_record: Record | None = None
         self._phase = _Phase.SWAPPING
 
     def start(self) -> Step:
@@ -183,27 +189,27 @@
         return self._swap("")
 
     def on_swap(self, swapped: bool) -> Step:
-        """Take the definite answer to a :class:`Swap`."""
+        """Process the store's definite answer to a :class:`Swap`."""
         self._expect(_Phase.SWAPPING)
         if swapped:
             return self._end(Recorded(self._record))
         return self._read()
 
     def on_swap_failed(self, *, ambiguous: bool, detail: str) -> Step:
-        """Take a failure of a :class:`Swap`; `ambiguous` if the write may have taken effect."""
+        """Process a failed :class:`Swap`; `ambiguous` if the write may have taken effect."""
         self._expect(_Phase.SWAPPING)
-        self._maybe_sent = self._maybe_sent or ambiguous
-        if not self._maybe_sent:
+        self._may_have_written = self._may_have_written or ambiguous
+        if not self._may_have_written:
             return self._end(StoreAway(detail))
         return self._read()
 
     def on_current(self, current: Record | None, version: int) -> Step:
-        """Take the answer to :class:`ReadCurrent`."""
+        """Process the answer to :class:`ReadCurrent`."""
         self._expect(_Phase.READING)
         if version == self._version:
-            return self._swap("the store still has the former revision")
+            return self._swap("the store still has the previous revision")
         if current is None:
-            return self._unsettled("the store lost its configuration")
+            return self._unsettled("the store has lost its configuration")
         if current["change"] == self._record["change"]:
             return self._end(Recorded(self._record))
         if current["parent"] == self._record["change"]:
@@ -213,28 +219,28 @@
         return self._read_audit(current)
 
     def on_audit(self, entry: bytes | None) -> Step:
-        """Take the answer to :class:`ReadAudit`, None if there is no such entry."""
+        """Process the answer to :class:`ReadAudit`, None if there is no such entry."""
         self._expect(_Phase.AUDITING)
-        if self._seen is None:
-            raise AssertionError("an audit entry was read before the record")
-        if entry is None and not self._maybe_sent:
-            return self._end(Conflict(self._seen))
+        if self._newer_record is None:
+            raise AssertionError("got an audit entry before the current record")
+        if entry is None and not self._may_have_written:
+            return self._end(Conflict(self._newer_record))
         if entry is None:
-            return self._unsettled("later changes followed, and the audit entry is missing")
+            return self._unsettled("later changes have followed and the audit entry is missing")
         if json.loads(entry).get("change") == self._record["change"]:
             return self._end(Recorded(self._record, superseded=True))
-        return self._end(Conflict(self._seen))
+        return self._end(Conflict(self._newer_record))
 
     def on_read_failed(self, detail: str) -> Step:
-        """Take a failure of a read."""
+        """Process a failed read."""
         if self._phase is not _Phase.AUDITING:
             self._expect(_Phase.READING)
         return self._unsettled(detail)
 
     def _swap(self, detail: str) -> Step:
-        if self._swaps_left == 0:
+        if self._remaining_swaps == 0:
             return self._unsettled(detail)
-        self._swaps_left -= 1
+        self._remaining_swaps -= 1
         self._phase = _Phase.SWAPPING
         return Swap(self._record, self._version)
 
@@ -243,7 +249,7 @@
         return ReadCurrent()
 
     def _read_audit(self, current: Record) -> Step:
-        self._seen = current
+        self._newer_record = current
         self._phase = _Phase.AUDITING
         return ReadAudit(self._record["number"])
 
@@ -256,13 +262,13 @@
 
     def _expect(self, phase: _Phase) -> None:
         if self._phase is not phase:
-            raise AssertionError(f"got an outcome for {phase.name} while {self._phase.name}")
+            raise AssertionError(f"got the result of {phase.name} in phase {self._phase.name}")
 
 
 class Acceptance(t.NamedTuple):
-    """Whether a recorded revision is in force wherever it must be.
+    """Whether a recorded revision is in force at all entries where it must be.
 
-    `lacking` maps each seat that holds accepting up to its revision, None if not confirmed.
+    `lacking` maps each seat that does not have it yet to its revision, None if unconfirmed.
     """
 
     accepted: bool
@@ -275,18 +281,18 @@
     in_force: Mapping[str, int],
     gone: Collection[str],
 ) -> Acceptance:
-    """Judge whether revision `number` may be called accepted.
+    """Decide whether revision `number` is accepted.
 
     Parameters
     ----------
     seats
         The rosters of the new document and of every one since the last accepted revision: an entry
-        that a change removes still serves what it has until it learns better.
+        that a change removes serves its old configuration until it receives the new one.
     in_force
-        What each seat's present incarnation itself reported as in force, after the record was
+        The revision that each seat's present incarnation reported as in force after the record was
         written.
     gone
-        Seats whose VM the platform lists as gone. Silence is no proof and doesn't count.
+        Seats whose VM the platform lists as gone. A seat that is merely silent must not be listed.
     """
     lacking = {
         seat: in_force.get(seat)
@@ -297,7 +303,7 @@
 
 
 class Report(t.NamedTuple):
-    """What one seat answered: the number of its incarnation, and the revision in force there."""
+    """The answer of one seat: the number of its incarnation, and the revision in force there."""
 
     incarnation: str
     revision: int
@@ -310,13 +316,13 @@
     second: Mapping[str, Report],
     gone: Collection[str],
 ) -> Acceptance:
-    """Judge by two rounds of questions, the second begun after the first had ended.
+    """Decide acceptance by two rounds of requests, the second begun after the first had ended.
 
-    One round isn't enough: an entry that has answered may be replaced by a process that, with the
-    store away, takes an older revision from a peer not asked yet. A revision never goes back
-    within one life, so if every seat had it in the first round and the same processes answer the
-    second, all of them had it at once between the rounds, and whoever starts after that can only
-    get it or a later one.
+    One round isn't enough: an entry that has answered may be replaced by a process that, while the
+    store is unavailable, gets an older revision from a peer not asked yet. A revision never
+    decreases within one incarnation. If every seat had it in the first round and the same
+    processes answer the second, all of them had it at once between the rounds, and a process that
+    starts after that can only get it or a later one.
 
     `number`, `seats` and `gone` are as for :func:`acceptance`.
     """
@@ -336,7 +342,8 @@
     previous
         The stored bytes of the entry before it, None for the first.
     difference
-        JSON value that says what changed; None where a later writer fills a gap and can't know.
+        JSON value that describes the change; None if a later writer fills in a missing entry and
+        doesn't know it.
     """
     entry = {key: record[key] for key in AUDIT_KEYS if key in record}
     entry["difference"] = difference
@@ -352,12 +359,13 @@
     entries
         Stored entries in ascending order.
     whole
-        Whether the first must be the first ever; a tail of the chain starts on trust.
+        Whether the chain must begin with the first entry ever; otherwise the link of the first
+        given entry is not checked.
 
     Returns
     -------
     Result[int, str]
-        The number of the last entry (0 for an empty chain), or the first fault.
+        The number of the last entry (0 for an empty chain), or the first error.
     """
     before: dict[str, t.Any] | None = None
     digest: str | None = None
@@ -388,11 +396,11 @@
     before: dict[str, t.Any] | None, digest: str | None, entry: dict[str, t.Any]
 ) -> str | None:
     if entry["previous"] != digest:
-        return "the hash of the previous entry differs"
+        return "its hash of the previous entry is wrong"
     if entry["parent"] != (before["change"] if before else None):
         return "its parent is not the previous change"
     if before and entry["number"] <= before["number"]:
-        return "its number is not above the previous one"
+        return "its number is not above the previous entry's"
     return None
 
 
--- a/packages/core/src/cardamomloft/core/clock.py
+++ b/packages/core/src/cardamomloft/core/clock.py
@@ -3,9 +3,9 @@
 Monotonic instants are :class:`~datetime.timedelta` since an origin that differs from process to
 process, so two processes can never compare them; wall-clock instants are aware UTC datetimes.
 
-Elapsed time is read from ``CLOCK_BOOTTIME``: it is never set, as the time of day is, and goes on
-while a VM is suspended, as ``CLOCK_MONOTONIC`` does not. What was known before a suspension is old
-after it, and what was due meanwhile is due at once.
+Elapsed time is read from ``CLOCK_BOOTTIME``. Unlike the wall clock it is never set, and unlike
+``CLOCK_MONOTONIC`` it advances while the VM is suspended: after a suspension, data ages by its
+length and timers that expired during it are due at once.
 """
 
 import time
@@ -14,7 +14,7 @@
 
 
 class Clock(t.Protocol):
-    """What decision code may ask about time."""
+    """The source of time that is passed to decision code."""
 
     def monotonic(self) -> timedelta:
         """Return the time since an arbitrary origin; it never goes back."""
@@ -43,7 +43,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to, for tests and replayed sessions.
+    """A clock that moves only by `advance`, for tests and replayed sessions.
 
     Parameters
     ----------
@@ -66,5 +66,5 @@
     def advance(self, step: timedelta) -> None:
         """Move both clocks forward by `step`, which must not be negative."""
         if step < timedelta(0):
-            raise ValueError("a monotonic clock cannot go back")
+            raise ValueError(f"a monotonic clock cannot go back: step of {step}")
         self._elapsed += step
--- a/packages/core/src/cardamomloft/core/messages.py
+++ b/packages/core/src/cardamomloft/core/messages.py
@@ -1,17 +1,17 @@
 """Messages between entries.
 
-Each is a flat :class:`~typing.NamedTuple` so that the codec can write it as an array. Every
-message is one-way and complete in itself: a lost one is repaired by a later one, a repeated or
-late one is recognised by its numbers.
+Each is a flat :class:`~typing.NamedTuple`, which the codec encodes as an array of its fields.
+Messages are one-way and self-contained: the loss of one is repaired by a later one, and duplicate
+or late ones are recognised by their numbers.
 """
 
 import typing as t
 
 
 class LoanRequest(t.NamedTuple):
-    """Ask a holder for part of its share of the limit `key`.
+    """Request a loan of part of a holder's share of the limit `key`.
 
-    `number` is unique within the borrower's incarnation. `term_ms` is the duration wanted.
+    `number` is unique within the borrower's incarnation. `term_ms` is the requested duration.
     """
 
     number: int
@@ -21,7 +21,7 @@
 
 
 class LoanGrant(t.NamedTuple):
-    """Answer a :class:`LoanRequest`; `amount` 0 is a denial, `retry_ms` when to ask again."""
+    """Answer a :class:`LoanRequest`; `amount` 0 is a denial, to be retried after `retry_ms`."""
 
     number: int
     key: str
@@ -31,25 +31,25 @@
 
 
 class LoanReturn(t.NamedTuple):
-    """The borrower gives back the whole loan before its term; sent once no use is left."""
+    """Return the whole loan before its term, once the borrower no longer uses any of it."""
 
     number: int
     key: str
 
 
 class LoanRecall(t.NamedTuple):
-    """The lender asks for a loan back early; the borrower returns it as soon as it is idle."""
+    """Recall a loan before its term; the borrower returns it as soon as it is unused."""
 
     number: int
     key: str
 
 
 class Digest(t.NamedTuple):
-    """What an entry holds, sent to random peers and to the peers that share limits with it.
+    """Summary of an entry's state, sent to random peers and to peers that share limits with it.
 
-    `revision` is in force, `settled` is the highest revision whose shares fit all its uses, and
-    `prefix` is the operation-id prefix that look-ups at other entries may hand out for it.
-    `state` is one of starting, ready, leaving.
+    `revision` is in force at the sender, `settled` is the highest revision whose shares cover all
+    of its uses, and `prefix` is its operation-id prefix, which other entries may issue in
+    look-ups. `state` is one of starting, ready, leaving.
     """
 
     revision: int
@@ -60,20 +60,20 @@
 
 
 class DocumentRequest(t.NamedTuple):
-    """Ask for the configuration if the receiver's revision is above `above`."""
+    """Request the configuration if the receiver's revision is above `above`, else its digest."""
 
     above: int
 
 
 class DocumentReply(t.NamedTuple):
-    """One accepted-by-the-store configuration: its revision and zlib-compressed JSON."""
+    """A configuration that the store has accepted: its revision and zlib-compressed JSON."""
 
     revision: int
     document: bytes
 
 
 class ChunkRequest(t.NamedTuple):
-    """Ask for one chunk of the client-block map by its digest."""
+    """Request one chunk of the client-block map by its digest."""
 
     digest: str
 
@@ -86,7 +86,7 @@
 
 
 class VmNotice(t.NamedTuple):
-    """A changed row of the platform's VM list, from a steward; `at` is an ISO 8601 instant."""
+    """A changed row of the platform's VM list, sent by a steward; `at` is an ISO 8601 instant."""
 
     name: str
     state: str
@@ -94,9 +94,9 @@
 
 
 class ChangesQuestion(t.NamedTuple):
-    """Ask a relay for what has changed in the control store after the revision `after` of `era`.
+    """Request from a relay the changes of the control store after the revision `after` of `era`.
 
-    `number` is unique within the asking process. The relay may wait `wait_ms` for a change.
+    `number` is unique within the requesting process. The relay may wait `wait_ms` for a change.
     """
 
     number: int
@@ -108,9 +108,9 @@
 class ChangesAnswer(t.NamedTuple):
     """Answer the :class:`ChangesQuestion` with this `number`.
 
-    `facts` are all changes up to the revision `index` of `era`, in their wire form, or all that the
-    store holds then if they are the `whole`; None if the relay knows nothing yet. Its knowledge was
-    complete `age_ms` before it sent this, and it had held the question for `held_ms`.
+    `facts` are all changes up to the revision `index` of `era` in their wire form; if `whole`, they
+    are the complete contents of the store at that revision; None if the relay has no data yet. The
+    relay's data was current `age_ms` before it sent this, and it had held the request `held_ms`.
     """
 
     number: int
@@ -123,17 +123,17 @@
 
 
 class NoticesTold(t.NamedTuple):
-    """Tell another entry of notices, in their wire form."""
+    """Push notices to another entry, in their wire form."""
 
     notices: bytes
 
 
 class NoticesCompared(t.NamedTuple):
-    """Compare what two entries hold: the sums of each part of it.
+    """Compare the notices of two entries by a checksum for each bucket.
 
-    The other one sends what it holds in the parts that differ and, unless this `answers` such a
-    message, its own sums. One that has just started says so, with the number of the `configuration`
-    that it has and the `address` to answer to, since it may not be known yet.
+    The receiver sends its notices in the buckets that differ and, unless this message `answers`
+    another one, its own checksums. An entry that is `starting` sends the number of its
+    `configuration` and the `address` to answer to, since others may not know it yet.
     """
 
     sums: tuple[int, ...]
@@ -144,7 +144,7 @@
 
 
 class ConfigurationTold(t.NamedTuple):
-    """Tell an entry that has just started of a newer configuration, as a fact in its wire form."""
+    """Send a newer configuration to an entry that has just started, as a fact in its wire form."""
 
     fact: bytes
 
@@ -169,7 +169,7 @@
 
 
 class Outgoing(t.NamedTuple):
-    """A message that decision code wants sent to the entry in `seat`."""
+    """A message for the caller of decision code to send to the entry in `seat`."""
 
     seat: str
     message: Message
--- a/packages/core/src/cardamomloft/core/timekeeping.py
+++ b/packages/core/src/cardamomloft/core/timekeeping.py
@@ -1,24 +1,23 @@
-"""Whether repeated work comes when it is due, and what the time of day does meanwhile."""
+"""Detection of late periodic tasks and of steps of the wall clock."""
 
 import typing as t
 from datetime import datetime, timedelta
 
 from cardamomloft.core.clock import Clock
 
-NOTABLE = timedelta(milliseconds=500)
-"""Lateness or step from which it is told: both below it pass without harm to any bound, of which
-the smallest promised is 2 s."""
+REPORT_THRESHOLD = timedelta(milliseconds=500)
+"""Minimum lateness or clock step that is reported; well below the smallest promised bound, 2 s."""
 
 
-class Irregularity(t.NamedTuple):
-    """What was irregular between two looks.
+class ClockAnomaly(t.NamedTuple):
+    """An anomaly between two checks.
 
     Attributes
     ----------
     late
-        How much later than due the look came, on the monotonic clock.
+        How long after its due time the check ran, by the monotonic clock.
     stepped
-        How much further than the monotonic clock the time of day moved; negative if it went back.
+        How much further than the monotonic clock the wall clock moved; negative if it went back.
     """
 
     late: timedelta
@@ -26,30 +25,34 @@
 
 
 class Timekeeper:
-    """Compares the clocks at each look.
+    """Compares the monotonic clock and the wall clock at each periodic check.
 
-    Late with a step of the same width: timers follow the time of day. Late without a step: the
-    process stood still, or its loop was blocked. A step alone is harmless.
+    Lateness with a step of the same size means that timers follow the wall clock. Lateness without
+    a step means that the process was paused or its event loop blocked. A step alone is harmless.
 
     Parameters
     ----------
     clock
-        Both clocks.
+        Source of both times.
     interval
-        When the next look is due.
+        Time between two checks.
     """
 
     def __init__(self, clock: Clock, interval: timedelta) -> None:
         self._clock = clock
         self._interval = interval
-        self._last: tuple[timedelta, datetime] | None = None
+        self._last_check: tuple[timedelta, datetime] | None = None
 
-    def look(self) -> Irregularity | None:
-        """Return what was notable since the last look, if anything."""
+    def look(self) -> ClockAnomaly | None:
+        """Return the anomaly since the last check, or None if there was none worth reporting."""
         now, wall = self._clock.monotonic(), self._clock.utcnow()
-        last, self._last = self._last, (now, wall)
+        last, self._last_check = self._last_check, (now, wall)
         if last is None:
             return None
         elapsed = now - last[0]
-        found = Irregularity(elapsed - self._interval, (wall - last[1]) - elapsed)
-        return found if found.late >= NOTABLE or abs(found.stepped) >= NOTABLE else None
+        found = ClockAnomaly(elapsed - self._interval, (wall - last[1]) - elapsed)
+        return (
+            found
+            if found.late >= REPORT_THRESHOLD or abs(found.stepped) >= REPORT_THRESHOLD
+            else None
+        )
--- a/packages/core/tests/test_operations.py
+++ b/packages/core/tests/test_operations.py
@@ -36,10 +36,10 @@
     assert other.check(parse_operation(text).ok).error.reason is RefusalReason.BAD_OPERATION
     successor = ids_of(clock, ME._replace(number="2"))
     assert isinstance(successor.check(parse_operation(text).ok).error, Unknown)
-    # A true mac of the future, as from a clock that has been put back.
+    # A valid MAC of a future epoch, as after a clock was set back.
     clock.advance(timedelta(seconds=10))
     ahead = parse_operation(f"{ids.prefix().text}.{UNIQUE}").ok
-    assert ids_of(ManualClock()).check(ahead).error.detail == "the prefix lies in the future"
+    assert ids_of(ManualClock()).check(ahead).error.detail == "the prefix is of a future epoch"
     with pytest.raises(ValueError, match="another seat"):
         ids_of(clock, ME._replace(seat="b")).check(ahead)
 
--- a/packages/core/tests/test_timekeeping.py
+++ b/packages/core/tests/test_timekeeping.py
@@ -3,7 +3,7 @@
 from datetime import UTC, datetime, timedelta
 
 import pytest
-from cardamomloft.core.timekeeping import NOTABLE, Irregularity, Timekeeper
+from cardamomloft.core.timekeeping import REPORT_THRESHOLD, ClockAnomaly, Timekeeper
 
 MS = timedelta(milliseconds=1)
 INTERVAL = 200 * MS
@@ -39,19 +39,19 @@
 
 @pytest.mark.parametrize("step", [-6000 * MS, 6000 * MS])
 def test_a_step_of_the_time_of_day_is_told_with_its_direction(step):
-    assert look_after(INTERVAL, step) == Irregularity(timedelta(0), step)
+    assert look_after(INTERVAL, step) == ClockAnomaly(timedelta(0), step)
 
 
 def test_timers_that_follow_the_time_of_day_are_late_by_the_step():
     found = look_after(6200 * MS, -6000 * MS)
-    assert found == Irregularity(6000 * MS, -6000 * MS)
+    assert found == ClockAnomaly(6000 * MS, -6000 * MS)
 
 
 def test_a_process_that_stood_still_is_late_without_a_step():
-    assert look_after(3200 * MS) == Irregularity(3000 * MS, timedelta(0))
+    assert look_after(3200 * MS) == ClockAnomaly(3000 * MS, timedelta(0))
 
 
 def test_the_least_that_is_told():
-    assert look_after(INTERVAL + NOTABLE) is not None
-    assert look_after(INTERVAL + NOTABLE - MS) is None
-    assert look_after(INTERVAL, NOTABLE - MS) is None
+    assert look_after(INTERVAL + REPORT_THRESHOLD) is not None
+    assert look_after(INTERVAL + REPORT_THRESHOLD - MS) is None
+    assert look_after(INTERVAL, REPORT_THRESHOLD - MS) is None
