--- a/packages/core/tests/test_membership.py
+++ b/packages/core/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Beliefs about peers: late, lost and contradictory hints."""
+"""Peer state from late, lost and contradictory digests and VM lists."""
 
 import random
 from collections import Counter
@@ -27,27 +27,27 @@
     return Digest(revision, revision, state, "p", 10_000)
 
 
-class World:
+class Fleet:
     def __init__(self, **more):
         self.clock = ManualClock(START)
         self.members = Membership(Incarnation("r0a-0", "1"), self.clock)
         self.members.configure(document(roster(), **more))
         self.members.set_self(digest())
         for seat in roster():
-            self.hear(seat)
+            self.receive(seat)
 
-    def hear(self, seat: str, number: str = "1", state: str = "ready"):
+    def receive(self, seat: str, number: str = "1", state: str = "ready"):
         self.members.on_digest(Incarnation(seat, number), digest(state=state))
 
-    def list(self, seat: str, state: str, at: datetime):
+    def list_vm(self, seat: str, state: str, at: datetime):
         self.members.on_vms([VmRow(seat, state, at)])
 
-    def pass_time(self, seconds: float):
+    def advance(self, seconds: float):
         self.clock.advance(timedelta(seconds=seconds))
 
 
-def test_entries_are_near_first_and_take_turns():
-    members = World().members
+def test_entries_are_ordered_by_distance_and_rotated():
+    members = Fleet().members
     firsts = Counter()
     for _ in range(100):
         chosen = members.entries_for("r1b", 5)
@@ -59,69 +59,71 @@
     assert members.entries_for(None, 1)[0][:3] == "r0a"
 
 
-def test_silent_leaving_and_drained_entries_are_not_named():
+def test_silent_leaving_and_drained_entries_are_not_recommended():
     drains = {"r1a": {"kind": "zone", "since": "2026-01-01T00:00:10+00:00"}}
-    world = World(drains=drains)
-    world.pass_time(4.1)
+    fleet = Fleet(drains=drains)
+    fleet.advance(4.1)
     for seat in roster():
         if seat not in ("r1b-0", "r0a-0"):
-            world.hear(seat, state="leaving" if seat == "r0b-0" else "ready")
-    world.list("r2a-0", "leaving", START)
-    named = set(world.members.entries_for(None, 99))
+            fleet.receive(seat, state="leaving" if seat == "r0b-0" else "ready")
+    fleet.list_vm("r2a-0", "leaving", START)
+    named = set(fleet.members.entries_for(None, 99))
     assert set(roster()) - named == {"r1b-0", "r0b-0", "r2a-0"}
-    world.pass_time(6)
+    fleet.advance(6)
     for seat in roster():
-        world.hear(seat)
-    assert not {"r1a-0", "r1a-1"} & set(world.members.entries_for("r1a", 99))
-
-
-def test_an_isolated_entry_still_names_itself():
-    world = World()
-    world.pass_time(3600)
-    assert world.members.entries_for("r2b", 3) == ["r0a-0"]
-
-
-def test_gone_needs_the_list_and_silence_and_a_new_process_ends_it():
-    world = World()
-    world.list("r1a-0", "gone", START + timedelta(seconds=1))
-    assert world.members.gone_seats() == set()
-    world.pass_time(5)
-    world.list("r1a-0", "gone", START + timedelta(seconds=1))
-    assert world.members.gone_seats() == {"r1a-0"}
-    world.hear("r1a-0")
-    assert world.members.counters["digests_after_gone"] == 1
-    world.hear("r1a-0", number="2")
-    world.hear("r1a-0", number="1")
-    assert world.members.gone_seats() == set()
-    assert world.members.incarnation_of("r1a-0").number == "2"
-    world.pass_time(60)
-    world.list("r1a-0", "gone", START + timedelta(seconds=1))
-    assert world.members.gone_seats() == set()
-
-
-def test_a_list_that_lags_does_not_bury_the_replacement():
-    world = World()
-    world.pass_time(10)
-    world.hear("r1a-0", number="2")
-    world.pass_time(60)
-    world.list("r1a-0", "gone", START + timedelta(seconds=5))
-    assert world.members.gone_seats() == set()
-    world.list("r1a-0", "gone", START + timedelta(seconds=70))
-    assert world.members.gone_seats() == {"r1a-0"}
-    world.list("r1a-0", "live", START + timedelta(seconds=60))
-    assert world.members.gone_seats() == {"r1a-0"}
-
-
-def test_the_prefix_ages_with_its_digest():
-    world = World()
-    world.pass_time(4)
-    assert world.members.prefix_of("r1a-0") == ("p", timedelta(seconds=6))
-    world.pass_time(6)
-    assert world.members.prefix_of("r1a-0") is None
+        fleet.receive(seat)
+    assert not {"r1a-0", "r1a-1"} & set(fleet.members.entries_for("r1a", 99))
+
+
+def test_an_isolated_entry_recommends_itself():
+    fleet = Fleet()
+    fleet.advance(3600)
+    assert fleet.members.entries_for("r2b", 3) == ["r0a-0"]
+
+
+def test_a_seat_is_gone_only_if_listed_and_silent_and_until_a_new_process_takes_it():
+    fleet = Fleet()
+    fleet.list_vm("r1a-0", "gone", START + timedelta(seconds=1))
+    assert fleet.members.gone_seats() == set()
+    fleet.advance(5)
+    fleet.list_vm("r1a-0", "gone", START + timedelta(seconds=1))
+    assert fleet.members.gone_seats() == {"r1a-0"}
+    fleet.receive("r1a-0")
+    assert fleet.members.counters["digests_after_gone"] == 1
+    fleet.receive("r1a-0", number="2")
+    fleet.receive("r1a-0", number="1")
+    assert fleet.members.gone_seats() == set()
+    assert fleet.members.incarnation_of("r1a-0").number == "2"
+    fleet.advance(60)
+    fleet.list_vm("r1a-0", "gone", START + timedelta(seconds=1))
+    assert fleet.members.gone_seats() == set()
+
+
+def test_a_lagging_vm_list_does_not_mark_the_replacement_as_gone():
+    fleet = Fleet()
+    fleet.advance(10)
+    fleet.receive("r1a-0", number="2")
+    fleet.advance(60)
+    fleet.list_vm("r1a-0", "gone", START + timedelta(seconds=5))
+    assert fleet.members.gone_seats() == set()
+    fleet.list_vm("r1a-0", "gone", START + timedelta(seconds=70))
+    assert fleet.members.gone_seats() == {"r1a-0"}
+    fleet.list_vm("r1a-0", "live", START + timedelta(seconds=60))
+    assert fleet.members.gone_seats() == {"r1a-0"}
+
+
+def test_the_prefix_validity_decreases_with_the_age_of_the_digest():
+    fleet = Fleet()
+    fleet.advance(4)
+    assert fleet.members.prefix_of("r1a-0") == ("p", timedelta(seconds=6))
+    fleet.advance(6)
+    assert fleet.members.prefix_of("r1a-0") is None
 
 
 @pytest.mark.parametrize(("per_zone", "count", "near"), [(2, 11, 1), (250, 6, 3)])
-def test_digests_cost_the_same_in_a_large_fleet_and_reach_every_neighbour(per_zone, count, near):
+def test_digest_targets_are_bounded_in_a_large_fleet_and_cover_all_neighbours(
+    per_zone, count, near
+):
     clock, rng, entries = ManualClock(START), random.Random(3), roster(per_zone)
     zone = [seat for seat in entries if seat.startswith("r0a")]
     heard = Counter()
@@ -138,10 +140,10 @@
     assert all(heard[seat] >= 40 * near for seat in zone)
 
 
-def test_only_seats_known_to_be_out_are_passed_over_as_standbys():
-    world = World()
+def test_only_seats_known_as_leaving_are_skipped_as_standbys():
+    fleet = Fleet()
     me = Incarnation("r0a-1", "1")
-    members = Membership(me, world.clock)
+    members = Membership(me, fleet.clock)
     members.configure(document(roster()))
     assert members.standing(2) == (True, 4)
     assert members.standing(1) == (False, 4)
@@ -149,11 +151,11 @@
     assert members.standing(1) == (True, 4)
 
 
-def test_an_entry_that_leaves_is_named_no_more_from_its_digest_on():
-    """What look-ups keep for a second must not outlast the time that it goes on serving."""
-    world = World()
-    assert "r1b-0" in world.members.entries_for("r1b", 2)
-    world.hear("r1b-0", state="leaving")
-    assert "r1b-0" not in world.members.entries_for("r1b", 20)
-    world.hear("r1b-0", number="2")
-    assert "r1b-0" in world.members.entries_for("r1b", 2)
+def test_a_leaving_entry_is_not_recommended_from_its_digest_on():
+    """A cached look-up must not name an entry after it announced that it is leaving."""
+    fleet = Fleet()
+    assert "r1b-0" in fleet.members.entries_for("r1b", 2)
+    fleet.receive("r1b-0", state="leaving")
+    assert "r1b-0" not in fleet.members.entries_for("r1b", 20)
+    fleet.receive("r1b-0", number="2")
+    assert "r1b-0" in fleet.members.entries_for("r1b", 2)
--- a/packages/core/tests/test_notices.py
+++ b/packages/core/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""Notices: kept for a bounded time, the same for everybody whatever the order."""
+"""Notices: kept for a bounded time, with the same result in any order of arrival."""
 
 from datetime import timedelta
 
@@ -36,7 +36,7 @@
 )
 
 
-def held(board, now=NOW):
+def held_notices(board, now=NOW):
     return {dated.notice for dated in board.differing((), now)}
 
 
@@ -46,20 +46,24 @@
     assert board.take([Dated(CRASH, NOW - S)], NOW) == []
 
 
-def test_an_excuse_holds_whatever_comes_after():
+def test_an_excuse_is_not_replaced_by_a_later_crash_notice():
     board = NoticeBoard()
     board.take([Dated(CRASH, NOW)], NOW)
     assert board.take([Dated(EXCUSE, NOW)], NOW) == [Dated(EXCUSE, NOW)]
     assert board.take([Dated(CRASH, NOW)], NOW) == []
-    assert held(board) == {EXCUSE}
+    assert held_notices(board) == {EXCUSE}
 
 
-def test_each_is_kept_for_its_time_and_circulating_makes_it_no_younger():
-    for notice, retention in ((CRASH, REQUEST_LIFE), (EXCUSE, EXCUSE_RETENTION), (LEAVING, LEAVING_RETENTION)):
+def test_a_notice_expires_after_its_retention_and_forwarding_does_not_extend_it():
+    for notice, retention in (
+        (CRASH, REQUEST_LIFE),
+        (EXCUSE, EXCUSE_RETENTION),
+        (LEAVING, LEAVING_RETENTION),
+    ):
         board = NoticeBoard()
         board.take([Dated(notice, NOW)], NOW)
-        assert held(board, NOW + retention) == {notice}
-        assert held(board, NOW + retention + S) == set()
+        assert held_notices(board, NOW + retention) == {notice}
+        assert held_notices(board, NOW + retention + S) == set()
         assert board.take([Dated(notice, NOW)], NOW + retention + S) == []
 
 
@@ -67,22 +71,22 @@
     board = NoticeBoard()
     board.take((Dated(UpstreamLeaving(f"i-{n}", 0), NOW) for n in range(MAX_NOTICES + 9)), NOW)
     assert len(board) == MAX_NOTICES
-    assert UpstreamLeaving(f"i-{MAX_NOTICES + 8}", 0) in held(board)
+    assert UpstreamLeaving(f"i-{MAX_NOTICES + 8}", 0) in held_notices(board)
 
 
 @given(st.lists(NOTICES, max_size=20), st.randoms(use_true_random=False))
-def test_boards_that_took_the_same_in_any_order_hold_the_same(notices, rng):
+def test_tables_with_the_same_notices_in_any_order_are_equal(notices, rng):
     one, other = NoticeBoard(), NoticeBoard()
     one.take([Dated(notice, NOW) for notice in notices], NOW)
     shuffled = [*notices, *notices[:3]]
     rng.shuffle(shuffled)
     other.take([Dated(notice, NOW) for notice in shuffled], NOW)
     assert one.sums(NOW) == other.sums(NOW)
-    assert held(one) == held(other)
+    assert held_notices(one) == held_notices(other)
 
 
 @given(st.lists(NOTICES, max_size=20), st.lists(NOTICES, max_size=20))
-def test_two_boards_that_tell_each_other_what_differs_hold_the_same(first, second):
+def test_two_tables_that_exchange_differing_buckets_become_equal(first, second):
     one, other = NoticeBoard(), NoticeBoard()
     one.take([Dated(notice, NOW) for notice in first], NOW)
     other.take([Dated(notice, NOW) for notice in second], NOW)
@@ -94,12 +98,12 @@
     assert len(one.sums(NOW)) == BUCKETS
 
 
-def test_only_parts_that_differ_are_told():
+def test_only_differing_buckets_are_sent():
     one, other = NoticeBoard(), NoticeBoard()
     both = [Dated(UpstreamLeaving(f"i-{number}", 0), NOW) for number in range(200)]
     one.take(both, NOW)
     other.take(both, NOW)
     one.take([Dated(LEAVING, NOW)], NOW)
-    told = one.differing(other.sums(NOW), NOW)
-    assert Dated(LEAVING, NOW) in told
-    assert len(told) < 2 * 200 / BUCKETS + 10
+    sent = one.differing(other.sums(NOW), NOW)
+    assert Dated(LEAVING, NOW) in sent
+    assert len(sent) < 2 * 200 / BUCKETS + 10
--- a/packages/core/tests/test_operations.py
+++ b/packages/core/tests/test_operations.py
@@ -14,7 +14,7 @@
     return OperationIds(me, clock, secret)
 
 
-def test_a_seat_with_dots_survives_and_validity_ends_at_its_edge() -> None:
+def test_a_seat_with_dots_is_parsed_and_validity_starts_with_the_epoch() -> None:
     clock = ManualClock()
     clock.advance(timedelta(seconds=3))
     ids = ids_of(clock)
@@ -26,7 +26,7 @@
     assert ids.check(operation).ok == clock.monotonic() + prefix.left
 
 
-def test_forged_future_and_foreign_ids_are_told_apart() -> None:
+def test_forged_future_and_foreign_ids_are_distinguished() -> None:
     clock = ManualClock()
     ids = ids_of(clock)
     text = f"{ids.prefix().text}.{UNIQUE}"
@@ -58,7 +58,7 @@
         str(uuid.UUID(int=(2**48 - 1) << 80 | 7 << 76 | 2 << 62)),
     ],
 )
-def test_malformed_ids_are_refused_with_a_text(text: str) -> None:
+def test_malformed_ids_are_refused_with_a_detail(text: str) -> None:
     refusal = parse_operation(text).error
     assert isinstance(refusal, Refusal) and refusal.detail
     assert refusal.reason is RefusalReason.BAD_OPERATION
--- a/packages/core/tests/test_replication.py
+++ b/packages/core/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Copies of the configuration: spreading, pauses, a start with the store away, bad peers."""
+"""Replicas of the configuration: spreading, pauses, starts without the store, faulty peers."""
 
 import random
 import typing as t
@@ -52,7 +52,7 @@
     return sent
 
 
-def test_copies_only_go_up():
+def test_the_revision_of_a_replica_never_decreases():
     replica = serving(5)
     assert replica.offer(4, pack(document(4))) == Ok(None)
     assert replica.on_document_reply(B, reply(4)) == []
@@ -60,7 +60,7 @@
     assert replica.counters == {"store_behind": 1, "late_documents": 1}
 
 
-def test_one_number_never_has_two_documents():
+def test_a_second_document_under_one_revision_is_rejected():
     replica = serving(5)
     assert replica.on_document_reply(B, DocumentReply(5, pack(document(6)))) == []
     assert replica.counters["conflicting_documents"] == 1
@@ -69,7 +69,7 @@
         replica.offer(5, pack(document(6)))
 
 
-def test_a_higher_digest_is_pulled_once_and_elsewhere_if_no_answer_comes():
+def test_a_higher_revision_is_pulled_once_and_from_another_peer_after_a_timeout():
     replica = serving(5)
     assert replica.on_digest(B, digest(6)) == [Outgoing("b", DocumentRequest(5))]
     assert replica.on_digest(B, digest(6)) == replica.on_digest(C, digest(6)) == []
@@ -79,19 +79,21 @@
     assert wait(replica, 3) == []
 
 
-def test_an_outdated_peer_is_told_but_not_flooded():
+def test_digests_to_an_outdated_peer_are_rate_limited():
     replica = serving(5)
     assert replica.on_digest(B, digest(4)) == [Outgoing("b", digest(5))]
     assert replica.on_digest(B, digest(4)) == []
     assert replica.on_document_request(B, DocumentRequest(4)) == [Outgoing("b", reply(5))]
-    assert replica.on_document_request(B, DocumentRequest(PROBE_REVISION)) == [Outgoing("b", digest(5))]
+    assert replica.on_document_request(B, DocumentRequest(PROBE_REVISION)) == [
+        Outgoing("b", digest(5))
+    ]
 
 
 @pytest.mark.parametrize(
     "packed",
     [b"", b"junk", pack(document(6))[:-4], zlib.compress(b"[]"), zlib.compress(b"0" * 2**25)],
 )
-def test_an_unreadable_document_is_counted_and_its_sender_not_asked_again(packed):
+def test_an_unreadable_document_is_counted_and_not_requested_from_its_sender_again(packed):
     replica = serving(5)
     replica.on_digest(B, digest(6))
     assert replica.on_document_reply(B, DocumentReply(6, packed)) == []
@@ -101,14 +103,14 @@
     assert unpack(packed).is_error()
 
 
-def test_a_document_that_the_check_refuses_is_not_taken():
+def test_a_document_that_fails_the_check_is_not_adopted():
     replica = make(check=lambda document: Error("mistake"))
     assert replica.offer(1, pack(document(1))) == Error("mistake")
     replica.on_document_reply(B, reply(1))
     assert replica.held is None
 
 
-def test_after_a_pause_nothing_is_served_until_an_answer_younger_than_the_pause():
+def test_after_a_pause_nothing_is_served_until_confirmed_by_an_answer_sent_later():
     replica = serving(5)
     replica.clock.advance(timedelta(seconds=3))
     assert not replica.ready
@@ -129,7 +131,7 @@
     assert replica.ready
 
 
-def test_entries_that_all_paused_together_free_each_other():
+def test_entries_paused_together_confirm_each_other():
     replica = serving(5)
     wait(replica, 1)
     replica.clock.advance(timedelta(seconds=60))
@@ -145,14 +147,14 @@
     assert replica.ready
 
 
-def test_an_isolated_entry_that_paused_stays_out():
+def test_an_isolated_entry_stays_unready_after_a_pause():
     replica = serving(5)
     replica.clock.advance(timedelta(seconds=3))
     wait(replica, 60)
     assert not replica.ready
 
 
-def test_a_start_with_the_store_away_takes_the_highest_that_peers_hold():
+def test_a_start_without_the_store_adopts_the_highest_revision_of_the_peers():
     seeds = ["192.0.2.1:7000", "192.0.2.2:7000"]
     replica = make(seeds=seeds)
     assert [out.seat for out in sorted(replica.tick())] == seeds
@@ -179,10 +181,10 @@
 
 
 def spread(size: int, loss: float, seed: int, digests: int = 4) -> Spread:
-    """Announce one change.
+    """Announce one change and deliver messages with the given loss.
 
-    `hops` and `covered` tell how far announcing alone gets in how many deliveries; `seconds` is
-    how long digests to random peers then need to reach the rest.
+    `covered` is the fraction of entries reached by announcements alone, after `hops` deliveries.
+    `seconds` is the time until digests to random peers have reached all others.
     """
     rng = random.Random(seed)
     seats = [f"s{i}" for i in range(size)]
@@ -238,7 +240,9 @@
 @pytest.mark.parametrize(
     ("size", "loss", "covered", "seconds"), [(12, 0, 0.9, 1), (128, 0, 0.95, 1), (128, 0.2, 0, 8)]
 )
-def test_a_change_reaches_all_soon_and_each_pulls_it_about_once(size, loss, covered, seconds):
+def test_a_change_reaches_all_entries_in_bounded_time_with_about_one_pull_each(
+    size, loss, covered, seconds
+):
     results = [spread(size, loss, seed) for seed in range(10)]
     assert min(result.covered for result in results) > covered
     assert max(result.seconds for result in results) <= seconds
--- a/packages/core/tests/test_restoration.py
+++ b/packages/core/tests/test_restoration.py
@@ -1,4 +1,4 @@
-"""What is believed of a store that has come back from an older copy."""
+"""Which facts are accepted from a store restored from an older copy."""
 
 from datetime import timedelta
 
@@ -25,56 +25,56 @@
     return made._replace(**changes)
 
 
-def books(*rows) -> tuple[UpstreamBook, EntryBook]:
+def tables(*rows) -> tuple[UpstreamBook, EntryBook]:
     table, entries = UpstreamBook({"a": "east"}), EntryBook(OWN, timedelta(seconds=10))
     for each in rows:
         table.register(each, ZERO)
     return table, entries
 
 
-def is_taken(fact, table, entries) -> bool:
-    taken, doubted = sift([fact], table, entries)
-    assert (taken, doubted) in (((fact,), ()), ((), (fact,)))
-    return bool(taken)
+def is_accepted(fact, table, entries) -> bool:
+    accepted, unconfirmed = sift([fact], table, entries)
+    assert (accepted, unconfirmed) in (((fact,), ()), ((), (fact,)))
+    return bool(accepted)
 
 
-def test_what_is_not_known_here_is_taken():
+def test_a_fact_about_something_unknown_is_accepted():
     for fact in (PLAN, UpstreamRegistered(row()), ZoneDrained("a"), EntryRecorded(OWN)):
-        assert is_taken(fact, *books())
+        assert is_accepted(fact, *tables())
 
 
-def test_an_endpoint_that_had_said_it_leaves_is_not_ready_again():
-    table, entries = books(row(draining=True))
-    assert not is_taken(UpstreamRegistered(row()), table, entries)
-    assert is_taken(UpstreamRegistered(row(draining=True)), table, entries)
+def test_a_draining_endpoint_is_not_made_ready_by_an_outdated_registration():
+    table, entries = tables(row(draining=True))
+    assert not is_accepted(UpstreamRegistered(row()), table, entries)
+    assert is_accepted(UpstreamRegistered(row(draining=True)), table, entries)
 
 
-def test_an_endpoint_that_was_withdrawn_is_not_back():
-    table, entries = books(row())
+def test_a_withdrawn_endpoint_is_not_restored_by_an_outdated_registration():
+    table, entries = tables(row())
     table.withdraw("i-1", ZERO)
-    assert not is_taken(UpstreamRegistered(row()), table, entries)
+    assert not is_accepted(UpstreamRegistered(row()), table, entries)
 
 
-def test_a_later_life_of_it_and_one_that_wrote_itself_again_are():
-    table, entries = books(row(started_ms=5))
+def test_a_later_incarnation_and_a_renewed_registration_are_accepted():
+    table, entries = tables(row(started_ms=5))
     table.withdraw("i-1", ZERO)
-    assert is_taken(UpstreamRegistered(row(started_ms=6)), table, entries)
+    assert is_accepted(UpstreamRegistered(row(started_ms=6)), table, entries)
     table.register(row(started_ms=5), ZERO)
-    assert is_taken(UpstreamRegistered(row(started_ms=5)), table, entries)
+    assert is_accepted(UpstreamRegistered(row(started_ms=5)), table, entries)
 
 
-def test_an_entry_that_was_gone_is_not_named_until_it_records_itself_again():
-    table, entries = books()
+def test_a_withdrawn_entry_is_accepted_only_after_it_recorded_itself_again():
+    table, entries = tables()
     other = OWN._replace(name="e-1")
     entries.add(other, ZERO)
     entries.withdraw("e-1", ZERO)
-    assert not is_taken(EntryRecorded(other), table, entries)
+    assert not is_accepted(EntryRecorded(other), table, entries)
     entries.add(other, ZERO)
-    assert is_taken(EntryRecorded(other), table, entries)
+    assert is_accepted(EntryRecorded(other), table, entries)
 
 
-def test_drains_that_are_missing_are_told():
-    table, _ = books()
+def test_drains_missing_from_the_restored_store_are_reported():
+    table, _ = tables()
     for zone in ("a", "b"):
         table.drain_zone(zone)
     assert missing_drains([ZoneDrained("b"), ZoneDrained("c")], table) == {"a"}
--- a/packages/core/tests/test_revision_protocol.py
+++ b/packages/core/tests/test_revision_protocol.py
@@ -1,6 +1,7 @@
-"""Operators, stewards and replicas under lost answers, late messages, pauses and restarts.
+"""State-machine test of operators, stewards and replicas under faults.
 
-The machine checks what operators are promised; each deliberate fault at the end must be found.
+Answers are lost, messages are late or repeated, and entries pause and restart. The invariants are
+the guarantees given to operators. Faulty implementations at the end must violate one of them.
 """
 
 import random
@@ -39,17 +40,21 @@
 
 SEATS = ("a", "b", "c")
 seats, index = st.sampled_from(SEATS), st.integers(0, 99)
-fates = st.sampled_from(["answered", "answered", "answer lost", "never sent", "late"])
+write_fates = st.sampled_from(["answered", "answered", "answer lost", "never sent", "late"])
 
 
-OFTEN = ["operate", "deliver"] * 3
-SOMETIMES = ["read_store_at_once", "talk", "ask_all", "change_at_once", "read_store"]
-SELDOM = ["late_write_takes_effect", "switch_store", "pause", "restart", "ask_entry"]
-acts = st.sampled_from((OFTEN + SOMETIMES) * 2 + SELDOM + ["store_answers", "gossip", "resume_all"])
+FREQUENT_ACTIONS = ["operate", "deliver"] * 3
+OCCASIONAL_ACTIONS = ["read_store_at_once", "talk", "ask_all", "change_at_once", "read_store"]
+RARE_ACTIONS = ["late_write_takes_effect", "switch_store", "pause", "restart", "ask_entry"]
+actions = st.sampled_from(
+    (FREQUENT_ACTIONS + OCCASIONAL_ACTIONS) * 2
+    + RARE_ACTIONS
+    + ["store_answers", "gossip", "resume_all"]
+)
 
 
 class FakeStore:
-    """The configuration key, its audit entries, and what ever took effect."""
+    """The configuration key, its audit entries, and the history of effective changes."""
 
     def __init__(self):
         self.up, self.version = True, 0
@@ -86,7 +91,7 @@
         self.operators: dict[int, tuple] = {}
         self.changes = 0
         self.outcomes: list[tuple[str, object]] = []
-        self.lives = dict.fromkeys(SEATS, 0)
+        self.incarnations = dict.fromkeys(SEATS, 0)
         self.replicas: dict[str, Replica] = {}
         self.paused: set[str] = set()
         self.queue: list[tuple] = []
@@ -98,13 +103,13 @@
             self.start(seat)
 
     def start(self, seat):
-        self.lives[seat] += 1
+        self.incarnations[seat] += 1
         describe = lambda n: self.describe(seat, n)  # noqa: E731
         replica = self.replica_type(self.me(seat), self.clock, self.rng, describe, seeds=SEATS)
         self.replicas[seat] = replica
 
     def me(self, seat):
-        return Incarnation(seat, str(self.lives[seat]))
+        return Incarnation(seat, str(self.incarnations[seat]))
 
     def describe(self, seat, number):
         state = "ready" if self.replicas[seat].ready else "starting"
@@ -124,9 +129,9 @@
         for seat in SEATS:
             self.read_store_at_once(seat)
 
-    # One rule for all: hypothesis leaves out rules at random, and few examples would get far.
+    # One rule for all actions: hypothesis disables random rules, after which few runs get far.
 
-    @rule(who=st.integers(0, 1), seat=seats, to=seats, at=index, fate=fates, act=acts)
+    @rule(who=st.integers(0, 1), seat=seats, to=seats, at=index, fate=write_fates, act=actions)
     def act(self, who, seat, to, at, fate, act):
         operator, entry = (who,), (seat,)
         args = {"operate": (who, fate), "change_at_once": operator, "talk": (seat, to)}
@@ -219,7 +224,7 @@
             self.post(reader.seat, replica.tick())
 
     def deliver(self, at, copies):
-        """Deliver any message: late, not at all, or once more later."""
+        """Deliver any pending message, drop it, or keep it to be delivered again."""
         ready = [item for item in self.queue if item[1] not in self.paused]
         if not ready:
             return
@@ -230,7 +235,7 @@
             self.receive(*item)
 
     def talk(self, seat, to):
-        """Send a digest and settle what follows at once, ahead of all that waits."""
+        """Send a digest and deliver all resulting messages before those already queued."""
         waiting, self.queue = self.queue, []
         for _ in range(2):
             self.pass_time(0.3)
@@ -267,14 +272,14 @@
         self.paused.discard(seat)
         self.start(seat)
 
-    # What `apply` sees.
+    # Requests by the operators' command `apply`.
 
     def ask_entry(self, seat):
-        """Answer the round that is open; a round ends when all have answered."""
+        """Answer in the current round of requests, which ends when all entries have answered."""
         if seat in self.paused or not self.replicas[seat].held:
             return
         first, now = self.rounds
-        now[seat] = Report(str(self.lives[seat]), self.replicas[seat].number)
+        now[seat] = Report(str(self.incarnations[seat]), self.replicas[seat].number)
         if set(now) < set(SEATS):
             return
         for number in range(self.accepted + 1, len(self.store.history) + 1):
@@ -286,10 +291,10 @@
         for seat in SEATS:
             self.ask_entry(seat)
 
-    # Promises.
+    # Guarantees.
 
     @invariant()
-    def a_copy_never_goes_back_in_one_life(self):
+    def a_revision_never_decreases_within_an_incarnation(self):
         for seat, replica in self.replicas.items():
             assert replica.number >= self.seen.get(self.me(seat), 0)
             self.seen[self.me(seat)] = replica.number
@@ -304,7 +309,7 @@
                 assert replica.held.document == history[replica.number - 1]["document"]
 
     @invariant()
-    def operators_hear_the_truth(self):
+    def reported_outcomes_are_true(self):
         effective = {record["change"] for record in self.store.history}
         for change, outcome in self.outcomes:
             if isinstance(outcome, Recorded):
@@ -318,17 +323,17 @@
             assert not self.replicas[seat].ready or self.replicas[seat].number >= self.accepted
 
     @invariant()
-    def the_audit_chain_holds(self):
+    def the_audit_chain_is_valid(self):
         chain = [self.store.audit[number] for number in sorted(self.store.audit)]
         assert verify_chain(chain).is_ok()
 
     def teardown(self):
-        COVERED["accepted"] += self.accepted > 0
-        COVERED["conflict"] += any(isinstance(o, Conflict) for _, o in self.outcomes)
+        REACHED_OUTCOMES["accepted"] += self.accepted > 0
+        REACHED_OUTCOMES["conflict"] += any(isinstance(o, Conflict) for _, o in self.outcomes)
 
 
-COVERED = dict.fromkeys(["accepted", "conflict"], 0)
-thorough = settings(
+REACHED_OUTCOMES = dict.fromkeys(["accepted", "conflict"], 0)
+SETTINGS = settings(
     derandomize=True,
     database=None,
     deadline=None,
@@ -338,13 +343,13 @@
 )
 
 
-def test_the_promises_hold():
-    run_state_machine_as_test(Fleet, settings=thorough)
-    assert COVERED["accepted"] > 10
-    assert COVERED["conflict"] > 10
+def test_the_guarantees_hold_under_faults():
+    run_state_machine_as_test(Fleet, settings=SETTINGS)
+    assert REACHED_OUTCOMES["accepted"] > 10
+    assert REACHED_OUTCOMES["conflict"] > 10
 
 
-class GoesBack(Replica):
+class DecreasesRevision(Replica):
     def offer(self, number, packed):
         self._held = None
         return super().offer(number, packed)
@@ -360,12 +365,12 @@
         return StoreAway(detail)
 
 
-class TrustsRefusal(Attempt):
+class TreatsRefusalAsConflict(Attempt):
     def on_swap(self, swapped):
         return super().on_swap(swapped) if swapped else Conflict(self._record)
 
 
-class TrustsOldRead(Attempt):
+class TreatsOldReadAsFailure(Attempt):
     def on_current(self, current, version):
         if version == self._version:
             return StoreAway("it was not written")
@@ -379,26 +384,26 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        {"replica_type": GoesBack},
+        {"replica_type": DecreasesRevision},
         {"store_type": IgnoresVersion},
         {"attempt_type": TreatsAmbiguousAsFailed},
-        {"attempt_type": TrustsRefusal},
-        {"attempt_type": TrustsOldRead},
+        {"attempt_type": TreatsRefusalAsConflict},
+        {"attempt_type": TreatsOldReadAsFailure},
     ],
     ids=lambda fault: str(next(iter(fault.values()))),
 )
-def test_each_deliberate_fault_is_found(fault):
+def test_each_faulty_implementation_violates_a_guarantee(fault):
     faulty = type("Faulty", (Fleet,), fault)
     with pytest.raises(AssertionError):
         run_state_machine_as_test(
-            faulty, settings=settings(thorough, phases=[Phase.generate], max_examples=1000)
+            faulty, settings=settings(SETTINGS, phases=[Phase.generate], max_examples=1000)
         )
 
 
 @pytest.mark.parametrize(
     ("confirm", "accepted"), [(accept_by_one_round, 2), (confirm_acceptance, 1)]
 )
-def test_one_round_of_questions_is_not_enough(confirm, accepted):
+def test_one_round_of_requests_is_not_enough_for_acceptance(confirm, accepted):
     fleet = Fleet()
     fleet.confirm = confirm
     for _ in range(2):
@@ -424,7 +429,7 @@
     return audit_entry({**record, "when": "t", "why": "y", "document": {}}, previous, [])
 
 
-def test_the_audit_chain_shows_what_was_altered_or_taken_out():
+def test_the_audit_chain_shows_altered_and_removed_entries():
     first = entry_of(1, None, None)
     second = entry_of(2, first, "c1")
     third = entry_of(3, second, "c2")
@@ -436,7 +441,7 @@
         assert verify_chain(chain).is_error()
 
 
-def test_a_change_goes_above_what_the_entries_hold_after_the_store_lost_some():
+def test_a_change_gets_a_number_above_all_entries_after_the_store_lost_changes():
     assert next_record(None, {}, "w", "t", "y", "c")["number"] == 1
     assert (
         next_record({"number": 3, "change": "c3"}, {}, "w", "t", "y", "c", above=7)["number"] == 8
--- a/packages/core/tests/test_stewardship.py
+++ b/packages/core/tests/test_stewardship.py
@@ -1,4 +1,4 @@
-"""Attempts at the steward's lease: failures, silence, and what they cost the store."""
+"""Steward election: failures, silent holders and the number of store calls."""
 
 import random
 from datetime import timedelta
@@ -11,7 +11,7 @@
 
 
 class Region:
-    """A lease, the entries that try for it, and the count of store calls."""
+    """A simulated lease, the entries that try for it, and the count of store calls."""
 
     def __init__(self, size: int, seed: int = 1):
         self.clock = ManualClock()
@@ -59,9 +59,9 @@
     def perform(self, name, steps):
         for step in steps:
             self.calls += 1
-            self.perform(name, self.answer(name, self.entries[name], step))
+            self.perform(name, self.perform_call(name, self.entries[name], step))
 
-    def answer(self, name, entry, step):
+    def perform_call(self, name, entry, step):
         now = self.clock.monotonic()
         if not self.store_up:
             return entry.store_failed()
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("size", [4, 188])
-def test_one_steward_and_calls_that_do_not_grow_with_the_fleet(size):
+def test_there_is_one_steward_and_store_calls_do_not_grow_with_the_fleet(size):
     region = Region(size)
     region.run(60)
     assert len(region.stewards()) == 1
@@ -89,7 +89,7 @@
     assert (region.calls - before) / 150 < 1
 
 
-def test_a_standby_watches_the_configuration_before_a_dead_stewards_lease_ends():
+def test_a_standby_watches_the_configuration_before_a_dead_stewards_lease_expires():
     region = Region(4)
     region.run(60)
     dead = region.holder
@@ -102,7 +102,7 @@
     assert region.holder != dead
 
 
-def test_someone_takes_over_when_the_steward_and_the_standbys_die_together():
+def test_another_entry_takes_over_when_the_steward_and_the_standbys_die_together():
     region = Region(30)
     region.run(60)
     region.dead |= {"e0", "e1", region.holder}
@@ -110,7 +110,7 @@
     assert region.stewards() == [region.holder]
 
 
-def test_a_paused_steward_learns_of_its_loss_and_steps_down():
+def test_a_paused_steward_detects_its_lost_lease_and_steps_down():
     region = Region(4)
     region.run(60)
     paused = region.holder
@@ -122,7 +122,7 @@
     assert region.stewards() == [region.holder] != [paused]
 
 
-def test_an_outage_is_met_by_backing_off_and_ends_by_itself():
+def test_store_calls_back_off_during_an_outage_and_recover_after_it():
     region = Region(4)
     region.run(60)
     region.store_up, before = False, region.calls
@@ -136,8 +136,8 @@
     assert len(region.stewards()) == 1
 
 
-def test_a_new_life_of_the_stewards_seat_does_not_pass_for_the_steward():
-    """It has no lease, so while it is heard the standbys must watch all the same."""
+def test_a_new_incarnation_of_the_stewards_seat_does_not_count_as_the_steward():
+    """Its messages must not keep the standbys from watching, since it has no lease."""
     clock = ManualClock()
     standby = Stewardship("r", clock, random.Random(1))
     standby.place(standby=True, size=4)
--- a/packages/core/tests/test_suspicion.py
+++ b/packages/core/tests/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion of endpoints: two failures in a row, whoever saw them, and not by one entry alone."""
+"""Ejection after consecutive failures seen by any entries, but not by one other entry alone."""
 
 from datetime import timedelta
 
@@ -18,73 +18,73 @@
     return START + timedelta(seconds=value)
 
 
-def failing(*entries, at=START):
-    found = Suspicions(OWN)
+def with_failures(*entries, at=START):
+    suspicions = Suspicions(OWN)
     for entry in entries:
-        found.failed(LIFE, entry, at, at)
-    return found
+        suspicions.failed(LIFE, entry, at, at)
+    return suspicions
 
 
 @pytest.mark.parametrize("entries", [("e-1", "e-2"), (OWN, "e-1"), ("e-1", OWN), (OWN, OWN)])
-def test_two_failures_in_a_row_let_an_endpoint_rest(entries):
-    assert failing(*entries).rest_until(LIFE) == START + INITIAL_EJECTION
-    assert failing(entries[0]).rest_until(LIFE) < START
+def test_two_consecutive_failures_eject_an_endpoint(entries):
+    assert with_failures(*entries).rest_until(LIFE) == START + INITIAL_EJECTION
+    assert with_failures(entries[0]).rest_until(LIFE) < START
 
 
-def test_another_entry_alone_raises_no_suspicion_however_often_it_fails():
-    """Its own network may be at fault."""
-    assert failing(*["e-1"] * 50).rest_until(LIFE) < START
+def test_repeated_failures_of_one_other_entry_do_not_eject_an_endpoint():
+    """The failures may be those of that entry's own network."""
+    assert with_failures(*["e-1"] * 50).rest_until(LIFE) < START
 
 
-def test_an_answer_to_anybody_ends_the_rest_and_the_row():
-    found = failing("e-1", "e-2")
-    found.answered(LIFE, seconds(0.1))
-    assert found.rest_until(LIFE) < START and not found.is_suspected(LIFE)
-    found.failed(LIFE, "e-1", seconds(0.2), seconds(0.2))
-    assert found.rest_until(LIFE) < START and found.is_suspected(LIFE)
+def test_an_answer_to_any_entry_ends_the_ejection_and_resets_the_count():
+    suspicions = with_failures("e-1", "e-2")
+    suspicions.answered(LIFE, seconds(0.1))
+    assert suspicions.rest_until(LIFE) < START and not suspicions.is_suspected(LIFE)
+    suspicions.failed(LIFE, "e-1", seconds(0.2), seconds(0.2))
+    assert suspicions.rest_until(LIFE) < START and suspicions.is_suspected(LIFE)
 
 
-def test_what_arrives_late_changes_nothing():
-    """A failure from before an answer, and an answer from before a failure."""
-    found = Suspicions(OWN)
-    found.answered(LIFE, seconds(1))
-    found.failed(LIFE, "e-1", seconds(0.5), seconds(1.1))
-    found.failed(LIFE, "e-2", seconds(0.9), seconds(1.2))
-    assert not found.is_suspected(LIFE)
-    resting = failing("e-1", "e-2")
-    resting.answered(LIFE, seconds(-0.1))
-    assert resting.rest_until(LIFE) == START + INITIAL_EJECTION
+def test_late_reports_are_ignored():
+    """A failure older than an answer, and an answer older than a failure, must be ignored."""
+    suspicions = Suspicions(OWN)
+    suspicions.answered(LIFE, seconds(1))
+    suspicions.failed(LIFE, "e-1", seconds(0.5), seconds(1.1))
+    suspicions.failed(LIFE, "e-2", seconds(0.9), seconds(1.2))
+    assert not suspicions.is_suspected(LIFE)
+    ejected = with_failures("e-1", "e-2")
+    ejected.answered(LIFE, seconds(-0.1))
+    assert ejected.rest_until(LIFE) == START + INITIAL_EJECTION
 
 
-def test_failures_of_what_was_sent_before_a_rest_do_not_lengthen_it():
-    found = failing("e-1", "e-2")
+def test_failures_of_requests_sent_before_an_ejection_do_not_extend_it():
+    suspicions = with_failures("e-1", "e-2")
     for number in range(3, 20):
-        found.failed(LIFE, f"e-{number}", seconds(0.2), seconds(0.2))
-    assert found.rest_until(LIFE) == START + INITIAL_EJECTION
+        suspicions.failed(LIFE, f"e-{number}", seconds(0.2), seconds(0.2))
+    assert suspicions.rest_until(LIFE) == START + INITIAL_EJECTION
 
 
-def test_a_rest_is_longer_with_each_failure_after_it_up_to_a_bound():
-    found, rests = failing("e-1", "e-2"), []
+def test_ejections_double_with_each_further_failure_up_to_a_maximum():
+    suspicions, ejections = with_failures("e-1", "e-2"), []
     for _ in range(5):
-        now = found.rest_until(LIFE)
-        found.failed(LIFE, "e-1", now, now)
-        rests.append(found.rest_until(LIFE) - now)
-    assert rests[0] == 2 * INITIAL_EJECTION
-    assert rests == sorted(rests) and rests[-1] == MAX_EJECTION
+        now = suspicions.rest_until(LIFE)
+        suspicions.failed(LIFE, "e-1", now, now)
+        ejections.append(suspicions.rest_until(LIFE) - now)
+    assert ejections[0] == 2 * INITIAL_EJECTION
+    assert ejections == sorted(ejections) and ejections[-1] == MAX_EJECTION
 
 
-def test_a_new_life_under_an_old_id_is_not_suspected():
-    found = failing("e-1", "e-2")
-    assert found.rest_until(LIFE._replace(started_ms=2000)) < START
+def test_a_new_incarnation_under_an_old_id_is_not_suspected():
+    suspicions = with_failures("e-1", "e-2")
+    assert suspicions.rest_until(LIFE._replace(started_ms=2000)) < START
 
 
-def test_no_more_is_kept_than_so_much(monkeypatch):
-    monkeypatch.setattr(suspicion, "SUSPECTS_KEPT", 10)
-    found = Suspicions(OWN)
+def test_the_number_of_suspects_is_bounded(monkeypatch):
+    monkeypatch.setattr(suspicion, "MAX_SUSPECTS", 10)
+    suspicions = Suspicions(OWN)
     for number in range(100):
-        found.failed(Life(f"i-{number}", 1), "e-1", START, START)
-        found.answered(Life(f"j-{number}", 1), START)
-    assert len(found._suspects) <= 10 and len(found._last_answers) <= 10
+        suspicions.failed(Life(f"i-{number}", 1), "e-1", START, START)
+        suspicions.answered(Life(f"j-{number}", 1), START)
+    assert len(suspicions._suspects) <= 10 and len(suspicions._last_answers) <= 10
 
 
 SEEN = st.tuples(
@@ -96,22 +96,22 @@
 
 
 @given(st.lists(SEEN, max_size=30))
-def test_an_endpoint_rests_only_after_two_failures_with_no_answer_between(history):
-    """Whatever the order in which things are heard, and for no longer than the longest rest."""
-    found, now = Suspicions(OWN), START
+def test_an_endpoint_is_ejected_only_after_two_failures_with_no_later_answer(history):
+    """Holds for any order of reports; an ejection never exceeds `MAX_EJECTION`."""
+    suspicions, now = Suspicions(OWN), START
     seen = []
     for kind, entry, late, pause in history:
         now += timedelta(milliseconds=100 * pause)
         at = now - timedelta(milliseconds=100 * late)
         seen.append((kind, at))
         if kind == "failed":
-            found.failed(LIFE, entry, at, now)
+            suspicions.failed(LIFE, entry, at, now)
         else:
-            found.answered(LIFE, at)
-        assert found.rest_until(LIFE) - now <= MAX_EJECTION
-        if found.rest_until(LIFE) > now:
+            suspicions.answered(LIFE, at)
+        assert suspicions.rest_until(LIFE) - now <= MAX_EJECTION
+        if suspicions.rest_until(LIFE) > now:
             last_answer = max((at for kind, at in seen if kind == "answered"), default=None)
             failures = [at for kind, at in seen if kind == "failed"]
             since = [at for at in failures if last_answer is None or at > last_answer]
-            assert since, "it rests though an answer came after every failure"
+            assert since, "ejected although an answer came after every failure"
             assert len(failures) >= 2
--- a/packages/core/tests/test_timekeeping.py
+++ b/packages/core/tests/test_timekeeping.py
@@ -1,4 +1,4 @@
-"""What is told of late timers and of steps of the time of day."""
+"""Which late timers and steps of the wall clock are reported."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -11,47 +11,47 @@
 
 class TwoClocks:
     def __init__(self) -> None:
-        self.steady = timedelta(0)
-        self.day = datetime(2026, 1, 1, tzinfo=UTC)
+        self.elapsed = timedelta(0)
+        self.wall = datetime(2026, 1, 1, tzinfo=UTC)
 
     def monotonic(self) -> timedelta:
-        return self.steady
+        return self.elapsed
 
     def utcnow(self) -> datetime:
-        return self.day
+        return self.wall
 
-    def pass_by(self, steady: timedelta, step: timedelta = timedelta(0)) -> None:
-        self.steady += steady
-        self.day += steady + step
+    def advance(self, elapsed: timedelta, step: timedelta = timedelta(0)) -> None:
+        self.elapsed += elapsed
+        self.wall += elapsed + step
 
 
-def look_after(steady, step=timedelta(0)):
+def check_after(elapsed, step=timedelta(0)):
     clocks = TwoClocks()
-    keeper = Timekeeper(clocks, INTERVAL)
-    assert keeper.look() is None
-    clocks.pass_by(steady, step)
-    return keeper.look()
+    monitor = Timekeeper(clocks, INTERVAL)
+    assert monitor.look() is None
+    clocks.advance(elapsed, step)
+    return monitor.look()
 
 
-def test_a_look_in_time_tells_nothing():
-    assert look_after(INTERVAL + 20 * MS) is None
+def test_a_check_in_time_reports_nothing():
+    assert check_after(INTERVAL + 20 * MS) is None
 
 
 @pytest.mark.parametrize("step", [-6000 * MS, 6000 * MS])
-def test_a_step_of_the_time_of_day_is_told_with_its_direction(step):
-    assert look_after(INTERVAL, step) == ClockAnomaly(timedelta(0), step)
+def test_a_step_of_the_wall_clock_is_reported_with_its_direction(step):
+    assert check_after(INTERVAL, step) == ClockAnomaly(timedelta(0), step)
 
 
-def test_timers_that_follow_the_time_of_day_are_late_by_the_step():
-    found = look_after(6200 * MS, -6000 * MS)
+def test_timers_that_follow_the_wall_clock_are_late_by_the_step():
+    found = check_after(6200 * MS, -6000 * MS)
     assert found == ClockAnomaly(6000 * MS, -6000 * MS)
 
 
-def test_a_process_that_stood_still_is_late_without_a_step():
-    assert look_after(3200 * MS) == ClockAnomaly(3000 * MS, timedelta(0))
+def test_a_paused_process_is_late_without_a_step():
+    assert check_after(3200 * MS) == ClockAnomaly(3000 * MS, timedelta(0))
 
 
-def test_the_least_that_is_told():
-    assert look_after(INTERVAL + REPORT_THRESHOLD) is not None
-    assert look_after(INTERVAL + REPORT_THRESHOLD - MS) is None
-    assert look_after(INTERVAL, REPORT_THRESHOLD - MS) is None
+def test_anomalies_below_the_threshold_are_not_reported():
+    assert check_after(INTERVAL + REPORT_THRESHOLD) is not None
+    assert check_after(INTERVAL + REPORT_THRESHOLD - MS) is None
+    assert check_after(INTERVAL, REPORT_THRESHOLD - MS) is None
--- a/packages/core/tests/test_upstreambook.py
+++ b/packages/core/tests/test_upstreambook.py
@@ -1,4 +1,4 @@
-"""The book of upstreams: who may get new work, and what an outage of the store excuses."""
+"""The upstream table: which endpoints may get requests, and how lapsed registrations are kept."""
 
 from datetime import timedelta
 
@@ -17,211 +17,213 @@
     return row._replace(**changes)
 
 
-def _ids(book: UpstreamBook) -> list[str]:
-    return [upstream.id for upstream in book.of_service("menus")]
+def _ids(table: UpstreamBook) -> list[str]:
+    return [upstream.id for upstream in table.of_service("menus")]
 
 
-def test_a_draining_endpoint_gets_no_new_work():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(), ZERO)
-    assert _ids(book) == ["i-1"]
-    version = book.version("menus")
-    assert book.register(_row(draining=True), ZERO)
-    assert _ids(book) == []
-    assert book.version("menus") > version
+def test_a_draining_endpoint_gets_no_new_requests():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(), ZERO)
+    assert _ids(table) == ["i-1"]
+    version = table.version("menus")
+    assert table.register(_row(draining=True), ZERO)
+    assert _ids(table) == []
+    assert table.version("menus") > version
 
 
 @pytest.mark.parametrize("change", [{"slots": 9}, {"zone": "b"}])
-def test_what_placement_depends_on_makes_a_new_version(change):
-    book = UpstreamBook(REGIONS)
-    book.register(_row(), ZERO)
-    version = book.version("menus")
-    book.register(_row(**change), ZERO)
-    assert book.version("menus") > version
+def test_a_change_that_affects_ranking_makes_a_new_version(change):
+    table = UpstreamBook(REGIONS)
+    table.register(_row(), ZERO)
+    version = table.version("menus")
+    table.register(_row(**change), ZERO)
+    assert table.version("menus") > version
 
 
-def test_an_endpoint_that_went_and_came_back_between_two_requests_makes_a_new_version():
-    """Who ranked the endpoints holds an object of which the book would learn nothing more."""
-    book = UpstreamBook(REGIONS)
-    book.register(_row(), ZERO)
-    version, (before,) = book.version("menus"), book.of_service("menus")
-    book.withdraw("i-1", ZERO)
-    book.register(_row(), ZERO)
-    assert book.version("menus") > version
-    assert book.of_service("menus") != [before]
+def test_an_endpoint_withdrawn_and_registered_again_makes_a_new_version():
+    """Otherwise a cached ranking would keep an `Upstream` that gets no more updates."""
+    table = UpstreamBook(REGIONS)
+    table.register(_row(), ZERO)
+    version, (before,) = table.version("menus"), table.of_service("menus")
+    table.withdraw("i-1", ZERO)
+    table.register(_row(), ZERO)
+    assert table.version("menus") > version
+    assert table.of_service("menus") != [before]
 
 
 def test_a_long_list_is_divided_by_service_once(monkeypatch):
-    """A list of 810 took a third of a second of processor time, and more with the square."""
-    divided = []
-    placed = upstreambook._candidates
-    monkeypatch.setattr(upstreambook, "_candidates", lambda rows: divided.append(1) or placed(rows))
-    book = UpstreamBook(REGIONS)
+    """Dividing at each registration would take quadratic time."""
+    rebuilds = []
+    candidates = upstreambook._candidates
+    monkeypatch.setattr(
+        upstreambook, "_candidates", lambda rows: rebuilds.append(1) or candidates(rows)
+    )
+    table = UpstreamBook(REGIONS)
     for number in range(1000):
-        book.register(_row(number), ZERO)
-    assert len(book.of_service("menus")) == 1000
-    assert len(divided) == 1
+        table.register(_row(number), ZERO)
+    assert len(table.of_service("menus")) == 1000
+    assert len(rebuilds) == 1
 
 
 def test_a_registration_that_is_only_renewed_changes_nothing():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(), ZERO)
-    version = book.version("menus")
-    assert not book.register(_row(), 1500 * MS)
-    assert book.version("menus") == version
+    table = UpstreamBook(REGIONS)
+    table.register(_row(), ZERO)
+    version = table.version("menus")
+    assert not table.register(_row(), 1500 * MS)
+    assert table.version("menus") == version
 
 
-def test_the_time_left_cold_counts_from_when_it_was_read():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(cold_left=2000 * MS), 500 * MS)
-    assert book.get("i-1").cold_until == 2500 * MS
-    book.register(_row(cold_left=ZERO), 1000 * MS)
-    assert book.get("i-1").cold_until == 2500 * MS
+def test_the_remaining_cold_time_starts_when_the_registration_is_read():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(cold_left=2000 * MS), 500 * MS)
+    assert table.get("i-1").cold_until == 2500 * MS
+    table.register(_row(cold_left=ZERO), 1000 * MS)
+    assert table.get("i-1").cold_until == 2500 * MS
 
 
-def test_an_address_used_again_is_another_endpoint():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(), ZERO)
-    book.withdraw("i-1", ZERO)
-    book.register(_row(2, address="10.0.0.1:80", service="orders"), ZERO)
-    assert _ids(book) == []
-    assert [up.id for up in book.of_service("orders")] == ["i-2"]
+def test_a_reused_address_belongs_to_another_endpoint():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(), ZERO)
+    table.withdraw("i-1", ZERO)
+    table.register(_row(2, address="10.0.0.1:80", service="orders"), ZERO)
+    assert _ids(table) == []
+    assert [up.id for up in table.of_service("orders")] == ["i-2"]
 
 
-def test_what_lapsed_with_the_store_may_come_back_for_a_time():
-    book = UpstreamBook(REGIONS)
+def test_lapsed_registrations_may_be_renewed_in_the_grace_period():
+    table = UpstreamBook(REGIONS)
     for number in (1, 2):
-        book.register(_row(number), ZERO)
-    book.expect_returns(10_000 * MS)
-    assert not book.withdraw("i-1", 10_100 * MS)
-    assert not book.withdraw("i-2", 10_100 * MS)
-    assert _ids(book) == ["i-1", "i-2"]
-    book.register(_row(1), 11_000 * MS)
-    assert book.tick(10_000 * MS + RETURN_TIME) == ["i-2"]
-    assert _ids(book) == ["i-1"]
-
-
-def _book_of(count):
-    book = UpstreamBook(REGIONS)
+        table.register(_row(number), ZERO)
+    table.expect_returns(10_000 * MS)
+    assert not table.withdraw("i-1", 10_100 * MS)
+    assert not table.withdraw("i-2", 10_100 * MS)
+    assert _ids(table) == ["i-1", "i-2"]
+    table.register(_row(1), 11_000 * MS)
+    assert table.tick(10_000 * MS + RETURN_TIME) == ["i-2"]
+    assert _ids(table) == ["i-1"]
+
+
+def _table_of(count):
+    table = UpstreamBook(REGIONS)
     for number in range(1, count + 1):
-        book.register(_row(number), ZERO)
-    return book
+        table.register(_row(number), ZERO)
+    return table
 
 
 @pytest.mark.parametrize(
     ("known", "vanished", "lapsed"),
     [(6, 4, True), (6, 3, False), (2, 2, False), (3, 3, True), (40, 21, True)],
 )
-def test_most_registrations_vanish_at_once_only_with_the_store(known, vanished, lapsed):
+def test_registrations_count_as_lapsed_if_more_than_half_vanish_at_once(known, vanished, lapsed):
     ids = [f"i-{number}" for number in range(1, vanished + 1)]
-    assert _book_of(known).have_lapsed([*ids, "i-unknown"]) == lapsed
+    assert _table_of(known).have_lapsed([*ids, "i-unknown"]) == lapsed
 
 
-def test_a_whole_list_without_most_of_them_leaves_them_time_to_come_back():
-    book = _book_of(6)
-    assert book.listed(["i-6"], ZERO) == []
-    book.register(_row(1), 1000 * MS)
-    assert book.tick(RETURN_TIME) == ["i-2", "i-3", "i-4", "i-5"]
-    assert _ids(book) == ["i-1", "i-6"]
+def test_a_list_without_most_endpoints_starts_a_grace_period():
+    table = _table_of(6)
+    assert table.listed(["i-6"], ZERO) == []
+    table.register(_row(1), 1000 * MS)
+    assert table.tick(RETURN_TIME) == ["i-2", "i-3", "i-4", "i-5"]
+    assert _ids(table) == ["i-1", "i-6"]
 
 
-def test_a_draining_endpoint_that_lapses_gets_no_work_meanwhile():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(draining=True), ZERO)
-    book.expect_returns(ZERO)
-    book.withdraw("i-1", ZERO)
-    assert _ids(book) == []
+def test_a_lapsed_draining_endpoint_gets_no_requests_in_the_grace_period():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(draining=True), ZERO)
+    table.expect_returns(ZERO)
+    table.withdraw("i-1", ZERO)
+    assert _ids(table) == []
 
 
-def test_a_whole_list_withdraws_what_it_lacks():
-    book = UpstreamBook(REGIONS)
+def test_a_complete_list_withdraws_missing_endpoints():
+    table = UpstreamBook(REGIONS)
     for number in (1, 2):
-        book.register(_row(number), ZERO)
-    assert book.listed(["i-2"], ZERO) == ["i-1"]
-    assert _ids(book) == ["i-2"]
-
-
-def test_a_drained_zone_gets_nothing_and_is_cold_when_it_is_back():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(1), ZERO)
-    book.register(_row(2, zone="b"), ZERO)
-    assert book.drain_zone("a")
-    assert not book.drain_zone("a")
-    assert _ids(book) == ["i-2"]
-    assert book.restore_zone("a", 5000 * MS, {"menus": 3000 * MS})
-    assert _ids(book) == ["i-1", "i-2"]
-    assert book.get("i-1").cold_until == 8000 * MS
-    assert book.get("i-2").cold_until == ZERO
-
-
-def test_one_that_refuses_as_another_gets_no_new_work():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(), ZERO)
-    book.mark_leaving(book.get("i-1"))
-    assert _ids(book) == []
-
-
-def test_a_new_life_under_an_old_id_is_known_for_nothing_and_keeps_its_place():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(started_ms=100), ZERO)
-    before, version = book.get("i-1"), book.version("menus")
+        table.register(_row(number), ZERO)
+    assert table.listed(["i-2"], ZERO) == ["i-1"]
+    assert _ids(table) == ["i-2"]
+
+
+def test_a_drained_zone_gets_no_requests_and_is_cold_when_restored():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(1), ZERO)
+    table.register(_row(2, zone="b"), ZERO)
+    assert table.drain_zone("a")
+    assert not table.drain_zone("a")
+    assert _ids(table) == ["i-2"]
+    assert table.restore_zone("a", 5000 * MS, {"menus": 3000 * MS})
+    assert _ids(table) == ["i-1", "i-2"]
+    assert table.get("i-1").cold_until == 8000 * MS
+    assert table.get("i-2").cold_until == ZERO
+
+
+def test_an_endpoint_marked_as_leaving_gets_no_new_requests():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(), ZERO)
+    table.mark_leaving(table.get("i-1"))
+    assert _ids(table) == []
+
+
+def test_a_new_incarnation_starts_with_fresh_state_and_the_same_seed():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(started_ms=100), ZERO)
+    before, version = table.get("i-1"), table.version("menus")
     before.failures, before.work, before.rest_until = 3, 40 * MS, 900 * MS
     before.in_flight, before.leaving = 2, True
-    assert book.register(_row(started_ms=200, cold_left=500 * MS), 1000 * MS)
-    after = book.get("i-1")
+    assert table.register(_row(started_ms=200, cold_left=500 * MS), 1000 * MS)
+    after = table.get("i-1")
     assert (after.failures, after.work, after.rest_until, after.in_flight) == (0, None, ZERO, 0)
     assert after.report is None and not after.leaving and after.cold_until == 1500 * MS
-    assert after.seed == before.seed and book.version("menus") > version
-    assert book.of_service("menus") == [after]
+    assert after.seed == before.seed and table.version("menus") > version
+    assert table.of_service("menus") == [after]
 
 
-def test_a_registration_of_an_earlier_life_never_replaces_a_later_one():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(started_ms=200), ZERO)
+def test_a_registration_of_an_earlier_incarnation_never_replaces_a_later_one():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(started_ms=200), ZERO)
     for late in (_row(started_ms=100, address="10.0.0.9:80"), _row(started_ms=0, draining=True)):
-        assert not book.register(late, MS)
-    assert book.get("i-1").registration == _row(started_ms=200)
-    book.withdraw("i-1", MS)
-    assert not book.register(_row(started_ms=100), MS) and _ids(book) == []
-    assert book.register(_row(started_ms=200), MS) and _ids(book) == ["i-1"]
+        assert not table.register(late, MS)
+    assert table.get("i-1").registration == _row(started_ms=200)
+    table.withdraw("i-1", MS)
+    assert not table.register(_row(started_ms=100), MS) and _ids(table) == []
+    assert table.register(_row(started_ms=200), MS) and _ids(table) == ["i-1"]
 
 
 def test_starts_are_kept_for_a_bounded_number_of_endpoints(monkeypatch):
     monkeypatch.setattr(upstreambook, "MAX_STARTS", 2)
-    book = UpstreamBook(REGIONS)
+    table = UpstreamBook(REGIONS)
     for number in (1, 2, 3):
-        book.register(_row(number, started_ms=200), ZERO)
-        book.withdraw(f"i-{number}", ZERO)
-    assert book.register(_row(1, started_ms=100), ZERO)
-    assert not book.register(_row(3, started_ms=100), ZERO)
-
-
-def test_an_endpoint_whose_registration_is_unreadable_waits_for_its_next_one():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(), ZERO)
-    book.get("i-1").work = 40 * MS
-    assert book.hide("i-1") and not book.hide("i-1") and not book.hide("i-2")
-    assert _ids(book) == []
-    assert book.register(_row(), ZERO) and _ids(book) == ["i-1"]
-    assert book.get("i-1").work == 40 * MS
-
-
-def test_a_life_that_leaves_gets_nothing_however_late_it_is_registered_and_a_later_one_does():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(1, started_ms=5), ZERO)
-    assert book.leave(Life("i-1", 5))
-    assert not book.leave(Life("i-1", 5))
-    assert book.leave(Life("i-2", 0))
-    book.register(_row(2), ZERO)
-    assert book.of_service("menus") == []
-    book.register(_row(1, started_ms=6), ZERO)
-    assert [up.id for up in book.of_service("menus")] == ["i-1"]
-
-
-def test_a_life_that_was_withdrawn_and_is_registered_again_has_not_forgotten_that_it_leaves():
-    book = UpstreamBook(REGIONS)
-    book.register(_row(1), ZERO)
-    book.leave(Life("i-1", 0))
-    book.withdraw("i-1", ZERO)
-    book.register(_row(1), ZERO)
-    assert book.of_service("menus") == []
+        table.register(_row(number, started_ms=200), ZERO)
+        table.withdraw(f"i-{number}", ZERO)
+    assert table.register(_row(1, started_ms=100), ZERO)
+    assert not table.register(_row(3, started_ms=100), ZERO)
+
+
+def test_an_unreadable_registration_excludes_the_endpoint_until_the_next_readable_one():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(), ZERO)
+    table.get("i-1").work = 40 * MS
+    assert table.hide("i-1") and not table.hide("i-1") and not table.hide("i-2")
+    assert _ids(table) == []
+    assert table.register(_row(), ZERO) and _ids(table) == ["i-1"]
+    assert table.get("i-1").work == 40 * MS
+
+
+def test_a_leaving_incarnation_gets_no_requests_if_registered_late_but_a_later_one_does():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(1, started_ms=5), ZERO)
+    assert table.leave(Life("i-1", 5))
+    assert not table.leave(Life("i-1", 5))
+    assert table.leave(Life("i-2", 0))
+    table.register(_row(2), ZERO)
+    assert table.of_service("menus") == []
+    table.register(_row(1, started_ms=6), ZERO)
+    assert [up.id for up in table.of_service("menus")] == ["i-1"]
+
+
+def test_a_leaving_incarnation_stays_excluded_if_withdrawn_and_registered_again():
+    table = UpstreamBook(REGIONS)
+    table.register(_row(1), ZERO)
+    table.leave(Life("i-1", 0))
+    table.withdraw("i-1", ZERO)
+    table.register(_row(1), ZERO)
+    assert table.of_service("menus") == []
