--- a/packages/core/src/cardamomloft/core/accounts.py
+++ b/packages/core/src/cardamomloft/core/accounts.py
@@ -75,7 +75,7 @@
         return bool(self.used or self.lendings or self.loans)
 
     def is_clear(self, now: timedelta) -> bool:
-        """Tell whether no loans are open and no use by an earlier incarnation can remain."""
+        """Return whether no loans are open and no use by an earlier incarnation can remain."""
         return not self.lent and not self.loans and now >= self.ownership.wait_until
 
     def free_own(self) -> int:
--- a/packages/core/src/cardamomloft/core/entrybook.py
+++ b/packages/core/src/cardamomloft/core/entrybook.py
@@ -58,7 +58,7 @@
         return changed
 
     def has_gone(self, name: str) -> bool:
-        """Tell whether an entry was recorded and has been withdrawn since."""
+        """Return whether an entry was recorded and has been withdrawn since."""
         return name in self._gone
 
     def withdraw(self, name: str, now: timedelta) -> bool:
--- a/packages/core/src/cardamomloft/core/membership.py
+++ b/packages/core/src/cardamomloft/core/membership.py
@@ -43,7 +43,7 @@
 
 
 class _PeerState(t.NamedTuple):
-    """The last digest of a seat; `first_received_at` refers to the first of its process."""
+    """The last digest of a seat, and the instant of the first one from the same process."""
 
     incarnation: Incarnation
     digest: Digest
@@ -69,8 +69,8 @@
     me
         This process.
     max_digest_age
-        Maximum age of a digest for its sender to be recommended. It must be a multiple of the
-        digest interval, since any digest may be lost.
+        Maximum age of a digest for its sender to be recommended. It must be several times the
+        digest interval, since digests may be lost.
     """
 
     def __init__(
@@ -224,7 +224,7 @@
         return self._clock.monotonic() - known.received_at if known else None
 
     def hears_any(self) -> bool:
-        """Tell whether any peer's digest is recent."""
+        """Return whether any peer's digest is recent."""
         now = self._clock.monotonic()
         others = (known for seat, known in self._peer_states.items() if seat != self._me.seat)
         return any(now - known.received_at <= self._max_digest_age for known in others)
@@ -258,9 +258,9 @@
         )
 
     def _is_current_process(self, sender: Incarnation) -> bool:
-        """Tell whether a digest comes from the seat's present VM.
+        """Return whether a digest comes from the seat's present VM.
 
-        If the seat is listed as gone, a different process has taken it over. Late digests of the
+        A different process in a seat listed as gone has taken the seat over. Late digests of the
         known process are dropped for a while; if it still sends after that, the list referred to
         an earlier VM.
         """
@@ -275,7 +275,7 @@
         return True
 
     def _applies_to_known_process(self, row: VmRow) -> bool:
-        """Tell whether a "gone" row refers to the seat's last known process."""
+        """Return whether a "gone" row refers to the seat's last known process."""
         if self._outdated_rows.get(row.name) == row.at:
             return False
         known = self._peer_states.get(row.name)
@@ -388,7 +388,7 @@
         return distance
 
     def _groups_for(self, site: str | None) -> list[list[str]]:
-        """Return the usable seats by distance from `site`; kept for a moment, look-ups are many."""
+        """Return the recommendable seats grouped by distance from `site`, cached for `CACHED`."""
         now = self._clock.monotonic()
         if now >= self._groups_expire_at:
             self._groups.clear()
--- a/packages/core/src/cardamomloft/core/suspicion.py
+++ b/packages/core/src/cardamomloft/core/suspicion.py
@@ -71,7 +71,7 @@
         self._last_answers: OrderedDict[Life, timedelta] = OrderedDict()
 
     def is_suspected(self, life: Life) -> bool:
-        """Tell whether a failure is known since the last answer.
+        """Return whether a failure is known since the last answer.
 
         The next answer of a suspected endpoint must be reported to the other entries.
         """
--- a/packages/core/src/cardamomloft/core/upstreambook.py
+++ b/packages/core/src/cardamomloft/core/upstreambook.py
@@ -232,7 +232,7 @@
         return True
 
     def is_outdated(self, registration: Registration) -> bool:
-        """Tell whether a registration from an older copy of the store is known to be outdated."""
+        """Return whether a registration from an older copy of the store is known to be outdated."""
         known = self._by_id.get(registration.id)
         if known is not None and known.life == registration.life:
             return known.registration.draining and not registration.draining
@@ -248,7 +248,7 @@
         return [upstream_id for upstream_id in absent if self.withdraw(upstream_id, now)]
 
     def have_lapsed(self, ids: Iterable[str]) -> bool:
-        """Tell whether so many registrations vanish at once that the store must have lost them."""
+        """Return whether so many registrations vanish at once that the store must have lost them."""
         vanished = sum(1 for upstream_id in ids if upstream_id in self._by_id)
         return vanished >= MIN_LAPSED and vanished > LAPSED_FRACTION * len(self._by_id)
 
