--- a/packages/core/src/cardamomloft/core/upstreambook.py
+++ b/packages/core/src/cardamomloft/core/upstreambook.py
@@ -248,7 +248,7 @@
         return [upstream_id for upstream_id in absent if self.withdraw(upstream_id, now)]
 
     def have_lapsed(self, ids: Iterable[str]) -> bool:
-        """Return whether so many registrations vanish at once that the store must have lost them."""
+        """Return whether so many registrations vanish at once that the store has lost them."""
         vanished = sum(1 for upstream_id in ids if upstream_id in self._by_id)
         return vanished >= MIN_LAPSED and vanished > LAPSED_FRACTION * len(self._by_id)
 
