--- a/packages/core/src/cardamomloft/core/entrybook.py
+++ b/packages/core/src/cardamomloft/core/entrybook.py
@@ -18,8 +18,8 @@
     own
         This entry, which counts as present whatever the store holds.
     memory
-        How long a withdrawn entry still counts for `sharing`. It is the length of the longest
-        sliding window of a budget, within which the entry may have spent its share.
+        How long a withdrawn entry still counts for `sharing`. It is the length of
+        the longest sliding window of a budget, within which the entry may have spent its share.
 
     Attributes
     ----------
@@ -43,7 +43,7 @@
         return [*others, self._own] if with_own else others
 
     def sharing(self, now: timedelta) -> int:
-        """Return the maximum number of entries present at one time within `memory`, at least 1."""
+        """Return the maximum number of entries present at one time within `memory`."""
         self._record_count(now)
         return max(count for _, count in self._count_history)
 
--- a/packages/core/src/cardamomloft/core/membership.py
+++ b/packages/core/src/cardamomloft/core/membership.py
@@ -388,7 +388,7 @@
         return distance
 
     def _groups_for(self, site: str | None) -> list[list[str]]:
-        """Return the recommendable seats grouped by distance from `site`, cached for `CACHED`."""
+        """Return the recommendable seats grouped by distance from `site`, cached for a moment."""
         now = self._clock.monotonic()
         if now >= self._groups_expire_at:
             self._groups.clear()
