--- a/packages/core/src/cardamomloft/core/accounts.py
+++ b/packages/core/src/cardamomloft/core/accounts.py
@@ -87,7 +87,7 @@
         own = max(self.free_own(), 0)
         return own + self.loans.free(now) if self.loans else own
 
-    def note_use(self, amount: int, now: timedelta) -> None:
+    def record_use(self, amount: int, now: timedelta) -> None:
         """Record an amount of own use, of which the recent peak is kept."""
         if amount >= self.peak or now - self.peak_at > PEAK_WINDOW:
             self.peak = amount
@@ -98,7 +98,7 @@
 
         The result is negative if lent units are wanted here.
         """
-        self.note_use(self.used, now)
+        self.record_use(self.used, now)
         spare = self.free_own() - self.wanted
         return spare if spare < 0 else max(spare - self.peak + self.used, 0)
 
--- a/packages/core/src/cardamomloft/core/changes.py
+++ b/packages/core/src/cardamomloft/core/changes.py
@@ -113,7 +113,7 @@
     winner: Record
 
 
-class StoreAway(t.NamedTuple):
+class StoreUnavailable(t.NamedTuple):
     """The write failed, and the change certainly did not take effect."""
 
     detail: str
@@ -143,7 +143,7 @@
     number: int
 
 
-Outcome = Recorded | Conflict | StoreAway | Unsettled
+Outcome = Recorded | Conflict | StoreUnavailable | Unsettled
 Step = Swap | ReadCurrent | ReadAudit | Outcome
 
 
@@ -200,7 +200,7 @@
         self._expect(_Phase.SWAPPING)
         self._may_have_written = self._may_have_written or ambiguous
         if not self._may_have_written:
-            return self._end(StoreAway(detail))
+            return self._end(StoreUnavailable(detail))
         return self._read()
 
     def on_current(self, current: Record | None, version: int) -> Step:
--- a/packages/core/src/cardamomloft/core/claims.py
+++ b/packages/core/src/cardamomloft/core/claims.py
@@ -19,7 +19,7 @@
 
 from .clock import Clock
 from .model import Incarnation, Refusal, RefusalReason, Unknown
-from .operations import WINDOW, OwnId
+from .operations import ID_VALIDITY_WINDOW, CallerSuppliedId
 
 MAX_ID_AHEAD = timedelta(minutes=5)
 LOOK_BACK = timedelta(minutes=5)
@@ -155,7 +155,7 @@
         clock: Clock,
         *,
         writes_per_s: float,
-        window: timedelta = WINDOW,
+        window: timedelta = ID_VALIDITY_WINDOW,
         look_back: timedelta = LOOK_BACK,
         max_ahead: timedelta = MAX_ID_AHEAD,
         max_skew: timedelta = MAX_CLOCK_SKEW,
@@ -208,7 +208,7 @@
         if self._lease is not None and self._lease.name == lease:
             self._lease = None
 
-    def start(self, own: OwnId, fingerprint: str) -> Result["Attempt", Refusal | Unknown]:
+    def start(self, own: CallerSuppliedId, fingerprint: str) -> Result["Attempt", Refusal | Unknown]:
         """Start an attempt to claim `own`.
 
         Call it only for an id that the ledger does not hold.
@@ -262,7 +262,7 @@
     safe on a VM that was suspended, whose own clocks stood still.
     """
 
-    def __init__(self, claims: Claims, own: OwnId, fingerprint: str, lease: Lease | None) -> None:
+    def __init__(self, claims: Claims, own: CallerSuppliedId, fingerprint: str, lease: Lease | None) -> None:
         self._claims = claims
         self._own = own
         self._fingerprint = fingerprint
--- a/packages/core/src/cardamomloft/core/entrybook.py
+++ b/packages/core/src/cardamomloft/core/entrytable.py
@@ -4,21 +4,21 @@
 from datetime import timedelta
 
 from cardamomloft.core.recent import Recent
-from cardamomloft.core.registrations import RETURN_TIME, EntryRecord
+from cardamomloft.core.registrations import RENEWAL_GRACE, EntryRecord
 
 MAX_GONE_ENTRIES = 5_000
 """Maximum number of withdrawn entries whose names are remembered."""
 
 
-class EntryBook:
+class EntryTable:
     """The recorded entries, and the number of entries by which a budget is divided.
 
     Parameters
     ----------
     own
         This entry, which counts as present whatever the store holds.
-    memory
-        How long a withdrawn entry still counts for `sharing`. It is the length of
+    count_window
+        How long a withdrawn entry still counts for `max_recent_count`. It is the length of
         the longest sliding window of a budget, within which the entry may have spent its share.
 
     Attributes
@@ -27,9 +27,9 @@
         Increases whenever the records change.
     """
 
-    def __init__(self, own: EntryRecord, memory: timedelta) -> None:
+    def __init__(self, own: EntryRecord, count_window: timedelta) -> None:
         self._own = own
-        self.memory = memory
+        self.count_window = count_window
         self.version = 0
         self._records: dict[str, EntryRecord] = {}
         self._missing: set[str] = set()
@@ -42,8 +42,8 @@
         others = [record for name, record in self._records.items() if name != self._own.name]
         return [*others, self._own] if with_own else others
 
-    def sharing(self, now: timedelta) -> int:
-        """Return the maximum number of entries present at one time within `memory`."""
+    def max_recent_count(self, now: timedelta) -> int:
+        """Return the maximum number of entries present at one time within `count_window`."""
         self._record_count(now)
         return max(count for _, count in self._count_history)
 
@@ -77,15 +77,15 @@
         self._record_count(now)
         return True
 
-    def listed(self, names: set[str], now: timedelta) -> list[str]:
+    def withdraw_unlisted(self, names: set[str], now: timedelta) -> list[str]:
         """Withdraw all entries that are not among `names`; return the names removed now."""
         return [
             name for name in list(self._records) if name not in names and self.withdraw(name, now)
         ]
 
-    def expect_returns(self, now: timedelta) -> None:
+    def start_grace_period(self, now: timedelta) -> None:
         """Start the grace period after the store's return, for entries to renew lapsed records."""
-        self._grace_until = now + RETURN_TIME
+        self._grace_until = now + RENEWAL_GRACE
 
     def tick(self, now: timedelta) -> list[str]:
         """Withdraw entries still missing after the grace period; return their names."""
@@ -97,7 +97,7 @@
     def _record_count(self, now: timedelta) -> None:
         count = len(self._records.keys() | {self._own.name})
         # A count is valid until the next one, so the first kept may begin before the window.
-        while len(self._count_history) > 1 and now - self._count_history[1][0] > self.memory:
+        while len(self._count_history) > 1 and now - self._count_history[1][0] > self.count_window:
             self._count_history.popleft()
         if not self._count_history or self._count_history[-1][1] != count:
             self._count_history.append((now, count))
--- a/packages/core/src/cardamomloft/core/estimates.py
+++ b/packages/core/src/cardamomloft/core/estimates.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from cardamomloft.core.upstreambook import LoadReport, Upstream
+from cardamomloft.core.upstreamtable import LoadReport, Upstream
 
 REPORT_MAX_AGE = timedelta(seconds=1)
 """Age at which a load report no longer counts; its weight decreases linearly until then.
@@ -46,9 +46,9 @@
 
 def expected_time(upstream: Upstream, load: float) -> timedelta:
     """Return the expected time to an answer at this load; 0 if the service time is unknown."""
-    if upstream.work is None:
+    if upstream.service_time is None:
         return _ZERO
-    return upstream.work * max(1.0, (load + 1) / upstream.registration.slots)
+    return upstream.service_time * max(1.0, (load + 1) / upstream.registration.slots)
 
 
 def describe_load(upstream: Upstream, now: timedelta) -> str:
--- a/packages/core/src/cardamomloft/core/membership.py
+++ b/packages/core/src/cardamomloft/core/membership.py
@@ -19,7 +19,7 @@
 
 DIGEST_MAX_AGE = timedelta(seconds=4)
 DISTANT_DIGEST_MAX_AGE = timedelta(seconds=60)
-CACHED = timedelta(seconds=1)
+CANDIDATE_CACHE_TTL = timedelta(seconds=1)
 MAX_PAST_INCARNATIONS = 8
 RING_SUCCESSORS = 3
 SMALL_FLEET = 16
@@ -138,11 +138,11 @@
             return
         self._record(sender, digest)
 
-    def set_self(self, digest: Digest) -> None:
+    def set_own_digest(self, digest: Digest) -> None:
         """Record this entry's own digest, which decides whether it recommends itself."""
         self._record(self._me, digest)
 
-    def on_vms(self, rows: Iterable[VmRow]) -> None:
+    def on_vm_list(self, rows: Iterable[VmRow]) -> None:
         """Apply the platform's VM list; pass all of its rows at each fetch.
 
         The list lags, so "gone" counts only if the seat's last known process is silent too.
@@ -223,13 +223,13 @@
         known = self._peer_states.get(seat)
         return self._clock.monotonic() - known.received_at if known else None
 
-    def hears_any(self) -> bool:
+    def has_recent_peer(self) -> bool:
         """Return whether any peer's digest is recent."""
         now = self._clock.monotonic()
         others = (known for seat, known in self._peer_states.items() if seat != self._me.seat)
         return any(now - known.received_at <= self._max_digest_age for known in others)
 
-    def standing(self, standbys: int) -> tuple[bool, int]:
+    def standby_status(self, standbys: int) -> tuple[bool, int]:
         """Return whether this entry is a standby steward, and the number of entries in its region.
 
         The standbys are the first seats of the region that are not known to be gone or leaving.
@@ -392,7 +392,7 @@
         now = self._clock.monotonic()
         if now >= self._groups_expire_at:
             self._groups.clear()
-            self._groups_expire_at = now + CACHED
+            self._groups_expire_at = now + CANDIDATE_CACHE_TTL
             usable = [seat for seat in self._seat_order if self._is_recommendable(seat)]
             self._recommendable = [s for s in usable if not self._is_drained(s)] or usable
         if site not in self._groups:
--- a/packages/core/src/cardamomloft/core/messages.py
+++ b/packages/core/src/cardamomloft/core/messages.py
@@ -93,7 +93,7 @@
     at: str
 
 
-class ChangesQuestion(t.NamedTuple):
+class ChangesRequest(t.NamedTuple):
     """Request from a relay the changes of the control store after the revision `after` of `era`.
 
     `number` is unique within the requesting process. The relay may wait `wait_ms` for a change.
@@ -105,8 +105,8 @@
     wait_ms: int
 
 
-class ChangesAnswer(t.NamedTuple):
-    """Answer the :class:`ChangesQuestion` with this `number`.
+class ChangesResponse(t.NamedTuple):
+    """Answer the :class:`ChangesRequest` with this `number`.
 
     `facts` are all changes up to the revision `index` of `era` in their wire form; if `whole`, they
     are the complete contents of the store at that revision; None if the relay has no data yet. The
@@ -122,13 +122,13 @@
     held_ms: int
 
 
-class NoticesTold(t.NamedTuple):
+class NoticePush(t.NamedTuple):
     """Push notices to another entry, in their wire form."""
 
     notices: bytes
 
 
-class NoticesCompared(t.NamedTuple):
+class NoticeDigest(t.NamedTuple):
     """Compare the notices of two entries by a checksum for each bucket.
 
     The receiver sends its notices in the buckets that differ and, unless this message `answers`
@@ -143,7 +143,7 @@
     address: str
 
 
-class ConfigurationTold(t.NamedTuple):
+class ConfigurationPush(t.NamedTuple):
     """Send a newer configuration to an entry that has just started, as a fact in its wire form."""
 
     fact: bytes
@@ -160,11 +160,11 @@
     | ChunkRequest
     | ChunkReply
     | VmNotice
-    | ChangesQuestion
-    | ChangesAnswer
-    | NoticesTold
-    | NoticesCompared
-    | ConfigurationTold
+    | ChangesRequest
+    | ChangesResponse
+    | NoticePush
+    | NoticeDigest
+    | ConfigurationPush
 )
 
 
--- a/packages/core/src/cardamomloft/core/naming.py
+++ b/packages/core/src/cardamomloft/core/naming.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 from cardamomloft.core.affinity import unit_hash
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.registrations import EntryRecord
 
 MAX_ENTRIES = 64
@@ -25,7 +25,7 @@
         The registered entries.
     """
 
-    def __init__(self, entries: EntryBook) -> None:
+    def __init__(self, entries: EntryTable) -> None:
         self._entries = entries
         self._version = -1
         self._regions: Mapping[str, str] = {}
--- a/packages/core/src/cardamomloft/core/notices.py
+++ b/packages/core/src/cardamomloft/core/notices.py
@@ -21,7 +21,7 @@
 CHECKSUM_BITS = 53
 """Bits of a checksum, so that decoders which read numbers as 64-bit floats keep it exact."""
 
-REQUEST_LIFE = timedelta(minutes=5)
+CRASH_RETENTION = timedelta(minutes=5)
 """How long a crash under a request is kept. Callers time out after seconds, so a request that
 arrives later is a new one, and the upstream may have been repaired."""
 
@@ -32,7 +32,7 @@
 """How long a leaving notice is kept. Each answer of the upstream repeats that it is leaving."""
 
 
-# The class names and fields of notices are part of their `repr`, which `NoticeBoard` hashes into
+# The class names and fields of notices are part of their `repr`, which `NoticeTable` hashes into
 # checksums that entries compare: a rename makes entries of different versions resend everything.
 
 
@@ -93,13 +93,13 @@
     @property
     def retention(self) -> timedelta:
         """How long the notice is kept after its creation."""
-        return EXCUSE_RETENTION if self.excused else REQUEST_LIFE
+        return EXCUSE_RETENTION if self.excused else CRASH_RETENTION
 
 
 Notice = UpstreamLeaving | CrashUnderRequest
 
 
-class Dated(t.NamedTuple):
+class DatedNotice(t.NamedTuple):
     """A notice with the instant of its creation on this process's monotonic clock."""
 
     notice: Notice
@@ -107,11 +107,11 @@
 
 
 class _HeldNotice(t.NamedTuple):
-    dated: Dated
+    dated: DatedNotice
     checksum: int
 
 
-class NoticeBoard:
+class NoticeTable:
     """The notices that one entry holds, with checksums to compare them with another entry's."""
 
     def __init__(self) -> None:
@@ -120,31 +120,31 @@
     def __len__(self) -> int:
         return len(self._held)
 
-    def take(self, received: Iterable[Dated], now: timedelta) -> list[Dated]:
+    def take(self, received: Iterable[DatedNotice], now: timedelta) -> list[DatedNotice]:
         """Store the received notices and return those that are new here."""
         self._expire(now)
         return [dated for dated in received if self._take(dated, now)]
 
-    def sums(self, now: timedelta) -> tuple[int, ...]:
+    def checksums(self, now: timedelta) -> tuple[int, ...]:
         """Return a checksum for each bucket; equal checksums mean equal contents."""
         self._expire(now)
-        sums = [0] * BUCKETS
+        checksums = [0] * BUCKETS
         for _, checksum in self._held.values():
-            sums[checksum % BUCKETS] ^= checksum
-        return tuple(sums)
+            checksums[checksum % BUCKETS] ^= checksum
+        return tuple(checksums)
 
-    def differing(self, sums: Sequence[int], now: timedelta) -> list[Dated]:
-        """Return the notices in buckets whose checksum differs from another entry's `sums`."""
-        own = self.sums(now)
-        if len(sums) != BUCKETS:
+    def differing(self, checksums: Sequence[int], now: timedelta) -> list[DatedNotice]:
+        """Return the notices in buckets whose checksum differs from another entry's `checksums`."""
+        own = self.checksums(now)
+        if len(checksums) != BUCKETS:
             return [dated for dated, _ in self._held.values()]
         return [
             dated
             for dated, checksum in self._held.values()
-            if sums[checksum % BUCKETS] != own[checksum % BUCKETS]
+            if checksums[checksum % BUCKETS] != own[checksum % BUCKETS]
         ]
 
-    def _take(self, dated: Dated, now: timedelta) -> bool:
+    def _take(self, dated: DatedNotice, now: timedelta) -> bool:
         notice = dated.notice
         if now - dated.at > notice.retention:
             return False
--- a/packages/core/src/cardamomloft/core/quarantine.py
+++ b/packages/core/src/cardamomloft/core/quarantine.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from cardamomloft.core.notices import REQUEST_LIFE, CrashUnderRequest
-from cardamomloft.core.registrations import Life
+from cardamomloft.core.notices import CRASH_RETENTION, CrashUnderRequest
+from cardamomloft.core.registrations import UpstreamIncarnation
 
 CRASHES_TO_QUARANTINE = 3
 """Crashes without an answer in between after which a request is sent to no upstream.
@@ -29,7 +29,7 @@
     def __len__(self) -> int:
         return len(self._crashes)
 
-    def crashed(self, fingerprint: str, life: Life, now: timedelta) -> CrashUnderRequest:
+    def crashed(self, fingerprint: str, life: UpstreamIncarnation, now: timedelta) -> CrashUnderRequest:
         """Return the notice that the upstream incarnation `life` crashed during the request."""
         number = 1
         for (upstream, started_ms, known), at in self._crashes.get(fingerprint, {}).items():
@@ -61,7 +61,7 @@
         crashes = _recent(self._crashes.get(fingerprint, {}).values(), now)
         if len(crashes) < CRASHES_TO_QUARANTINE:
             return None
-        return crashes[-CRASHES_TO_QUARANTINE] + REQUEST_LIFE
+        return crashes[-CRASHES_TO_QUARANTINE] + CRASH_RETENTION
 
     def refused(self, now: timedelta) -> list[str]:
         """Return the fingerprints of the requests in quarantine."""
@@ -75,4 +75,4 @@
 
 
 def _recent(instants: Iterable[timedelta], now: timedelta) -> list[timedelta]:
-    return sorted(at for at in instants if now - at < REQUEST_LIFE)
+    return sorted(at for at in instants if now - at < CRASH_RETENTION)
--- a/packages/core/src/cardamomloft/core/registrations.py
+++ b/packages/core/src/cardamomloft/core/registrations.py
@@ -10,7 +10,7 @@
 
 from cardamomloft.core.routes import RoutePlan
 
-RETURN_TIME = timedelta(milliseconds=2100)
+RENEWAL_GRACE = timedelta(milliseconds=2100)
 """Grace period after the store's return in which lapsed registrations may be renewed.
 
 The platform promises renewal about 2 s after the store's return, which is detected up to 0.7 s
@@ -19,7 +19,7 @@
 """
 
 
-class Life(t.NamedTuple):
+class UpstreamIncarnation(t.NamedTuple):
     """Identifies one incarnation of an endpoint; a later one with the same id shares no state."""
 
     upstream_id: str
@@ -45,9 +45,9 @@
     started_ms: int = 0
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> UpstreamIncarnation:
         """Identifies this incarnation among all with the same id."""
-        return Life(self.id, self.started_ms)
+        return UpstreamIncarnation(self.id, self.started_ms)
 
 
 class EntryRecord(t.NamedTuple):
--- a/packages/core/src/cardamomloft/core/restoration.py
+++ b/packages/core/src/cardamomloft/core/restoration.py
@@ -17,11 +17,11 @@
 from datetime import timedelta
 from functools import singledispatch
 
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.registrations import EntryRecorded, Fact, UpstreamRegistered, ZoneDrained
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 
-DOUBT_TIME = timedelta(seconds=10)
+CONFIRMATION_TIMEOUT = timedelta(seconds=10)
 """How long facts that contradict this entry's state stay unconfirmed.
 
 The leases of dead processes expire within it, and operators repeat lost changes. A zone whose drain
@@ -36,7 +36,7 @@
     unconfirmed: tuple[Fact, ...]
 
 
-def sift(facts: Iterable[Fact], table: UpstreamBook, entries: EntryBook) -> ClassifiedFacts:
+def classify_facts(facts: Iterable[Fact], table: UpstreamTable, entries: EntryTable) -> ClassifiedFacts:
     """Divide the facts of a restored store by comparing them with this entry's state."""
     accepted: list[Fact] = []
     unconfirmed: list[Fact] = []
@@ -45,21 +45,21 @@
     return ClassifiedFacts(tuple(accepted), tuple(unconfirmed))
 
 
-def missing_drains(facts: Iterable[Fact], table: UpstreamBook) -> set[str]:
+def missing_drains(facts: Iterable[Fact], table: UpstreamTable) -> set[str]:
     """Return the zones that are drained at this entry but not in the restored store."""
     return table.drained_zones - {fact.zone for fact in facts if isinstance(fact, ZoneDrained)}
 
 
 @singledispatch
-def _is_outdated(fact: Fact, table: UpstreamBook, entries: EntryBook) -> bool:
+def _is_outdated(fact: Fact, table: UpstreamTable, entries: EntryTable) -> bool:
     return False
 
 
 @_is_outdated.register
-def _(fact: UpstreamRegistered, table: UpstreamBook, entries: EntryBook) -> bool:
+def _(fact: UpstreamRegistered, table: UpstreamTable, entries: EntryTable) -> bool:
     return table.is_outdated(fact.registration)
 
 
 @_is_outdated.register
-def _(fact: EntryRecorded, table: UpstreamBook, entries: EntryBook) -> bool:
+def _(fact: EntryRecorded, table: UpstreamTable, entries: EntryTable) -> bool:
     return entries.has_gone(fact.record.name)
--- a/packages/core/src/cardamomloft/core/selection.py
+++ b/packages/core/src/cardamomloft/core/selection.py
@@ -27,7 +27,7 @@
 from cardamomloft.core.routes import RouteRule, ServicePolicy
 from cardamomloft.core.sizes import BodySizes
 from cardamomloft.core.touches import Touch, Touches
-from cardamomloft.core.upstreambook import LoadReport, Upstream, UpstreamBook
+from cardamomloft.core.upstreamtable import LoadReport, Upstream, UpstreamTable
 from cardamomloft.core.zones import slot_weights
 
 MAX_EJECTED_FRACTION = 0.5
@@ -174,7 +174,7 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        book: UpstreamTable,
         name: str,
         zone: str,
         cold_limit: ColdLimit,
@@ -230,15 +230,15 @@
         order = self._order(rule, service, key)
         if not order:
             return Refusal(RefusalReason.NO_PLACE, f"{service} has no endpoint")
-        if all(max(up.cold_until, up.alone_until) > now or up.id in tried for up in order):
+        if all(max(up.cold_until, up.paused_until) > now or up.id in tried for up in order):
             ranking = self._ranking(rule, service)
             order = first_ranked(key, ranking.candidates, len(ranking.candidates))
-        paused_until = min(up.alone_until for up in order)
+        paused_until = min(up.paused_until for up in order)
         if paused_until > now:
             detail = f"all endpoints of {service} are paused by their own Retry-After"
             return Refusal(RefusalReason.OVERLOAD, detail, paused_until - now)
-        order = [up for up in order if up.alone_until <= now]
-        eligible = [up for up in order if up.rest_until <= now]
+        order = [up for up in order if up.paused_until <= now]
+        eligible = [up for up in order if up.ejected_until <= now]
         if len(eligible) < len(order) * (1 - MAX_EJECTED_FRACTION):
             eligible = order
         warm = [up for up in eligible if up.cold_until <= now]
@@ -318,9 +318,9 @@
     def _primary_bound(self, upstream: Upstream, rule: RouteRule) -> float:
         """Return the load, in multiples of the slots, at which an answer would miss its target."""
         preferences = self._preferences
-        if not upstream.work:
+        if not upstream.service_time:
             return preferences.usual_load
-        return min(max(rule.target / upstream.work, preferences.least_load), preferences.most_load)
+        return min(max(rule.target / upstream.service_time, preferences.least_load), preferences.most_load)
 
     def _cold_with_room(self, cold: list[Upstream], now: timedelta) -> Upstream | None:
         for upstream in cold:
@@ -410,10 +410,10 @@
             Requests that the endpoint had when this one was sent.
         """
         upstream.failures = 0
-        upstream.rest_until = _ZERO
+        upstream.ejected_until = _ZERO
         observed = took / max(1.0, (load + 1) / upstream.registration.slots)
-        average = upstream.work
-        upstream.work = (
+        average = upstream.service_time
+        upstream.service_time = (
             observed if average is None else average + (observed - average) * SMOOTHING_FACTOR
         )
 
@@ -427,7 +427,7 @@
         upstream.failures += 1
         if upstream.failures >= _FAILURES_TO_EJECT:
             ejection = _INITIAL_EJECTION * 2 ** min(upstream.failures - _FAILURES_TO_EJECT, 4)
-            upstream.rest_until = now + min(ejection, _MAX_EJECTION)
+            upstream.ejected_until = now + min(ejection, _MAX_EJECTION)
 
 
 def _reason(
--- a/packages/core/src/cardamomloft/core/shares.py
+++ b/packages/core/src/cardamomloft/core/shares.py
@@ -176,7 +176,7 @@
         loan = None
         if account.free_own() >= amount:
             account.used += amount
-            account.note_use(account.used, now)
+            account.record_use(account.used, now)
         else:
             loan = account.loans.use(amount, deadline, now) if account.loans else None
             if loan is None:
@@ -228,7 +228,7 @@
         account = self._accounts.get(key)
         if account:
             now = self._clock.monotonic()
-            account.note_use(min(rate, account.ownership.own), now)
+            account.record_use(min(rate, account.ownership.own), now)
             if account.loans:
                 account.loans.mark_used(rate - account.free_own(), now)
 
--- a/packages/core/src/cardamomloft/core/stewardship.py
+++ b/packages/core/src/cardamomloft/core/stewardship.py
@@ -18,12 +18,12 @@
 from automat import MethodicalMachine
 from cardamomloft.core.clock import Clock
 
-LEASE = timedelta(seconds=10)
+LEASE_DURATION = timedelta(seconds=10)
 REGION_READ_INTERVAL = timedelta(seconds=5)
 MIN_RETRY_DELAY = timedelta(milliseconds=500)
 MAX_RETRY_DELAY = timedelta(seconds=20)
 HOLDER_SILENCE_TIMEOUT = timedelta(milliseconds=1500)
-STANDBYS = 2
+STANDBYS_PER_REGION = 2
 
 
 class TryLease(t.NamedTuple):
@@ -158,7 +158,7 @@
     def _start_acquisition(self) -> Step:
         self._begin_step()
         self._holder = None
-        return TryLease(self._region, LEASE)
+        return TryLease(self._region, LEASE_DURATION)
 
     @_machine.output()
     def _start_renewal(self) -> Step:
@@ -179,7 +179,7 @@
         self._step_pending = False
         self._failures = 0
         self._is_steward = True
-        self._next_step_at = self._step_started_at + LEASE / 3
+        self._next_step_at = self._step_started_at + LEASE_DURATION / 3
 
     @_machine.output()
     def _record_refusal(self) -> None:
@@ -221,7 +221,7 @@
         """Whether to watch the configuration key and pass its revisions on."""
         return self._is_steward or (self._standby and self._holder_silent())
 
-    def place(self, *, standby: bool, size: int) -> None:
+    def set_role(self, *, standby: bool, size: int) -> None:
         """Set whether this entry is a standby, and the number of entries in its region."""
         if standby and not self._standby:
             self._next_step_at = min(
@@ -230,7 +230,7 @@
         self._standby = standby
         self._region_size = max(size, 1)
 
-    def heard(self, process: str) -> None:
+    def record_message(self, process: str) -> None:
         """Record a message from `process`, which is named as in the lease.
 
         Another incarnation of the holder's seat has no lease and does not count as the holder.
--- a/packages/core/src/cardamomloft/core/suspicion.py
+++ b/packages/core/src/cardamomloft/core/suspicion.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from datetime import timedelta
 
-from cardamomloft.core.registrations import Life
+from cardamomloft.core.registrations import UpstreamIncarnation
 
 FAILURES_TO_EJECT = 2
 """Consecutive failures that eject an endpoint; a single one may be a lost answer."""
@@ -42,14 +42,14 @@
         Number of failures that count towards ejection.
     failed_at
         Instant of the latest of them.
-    rest_until
+    ejected_until
         Instant at which the ejection ends.
     """
 
     others: frozenset[str]
     count: int
     failed_at: timedelta
-    rest_until: timedelta
+    ejected_until: timedelta
 
 
 _NEVER = timedelta(days=-1)
@@ -67,21 +67,21 @@
 
     def __init__(self, own: str) -> None:
         self._own = own
-        self._suspects: OrderedDict[Life, _Suspect] = OrderedDict()
-        self._last_answers: OrderedDict[Life, timedelta] = OrderedDict()
+        self._suspects: OrderedDict[UpstreamIncarnation, _Suspect] = OrderedDict()
+        self._last_answers: OrderedDict[UpstreamIncarnation, timedelta] = OrderedDict()
 
-    def is_suspected(self, life: Life) -> bool:
+    def is_suspected(self, incarnation: UpstreamIncarnation) -> bool:
         """Return whether a failure is known since the last answer.
 
         The next answer of a suspected endpoint must be reported to the other entries.
         """
-        return life in self._suspects
+        return incarnation in self._suspects
 
-    def rest_until(self, life: Life) -> timedelta:
+    def ejected_until(self, incarnation: UpstreamIncarnation) -> timedelta:
         """Return the instant at which the endpoint's ejection ends; in the past if not ejected."""
-        return self._suspects.get(life, _UNSUSPECTED).rest_until
+        return self._suspects.get(incarnation, _UNSUSPECTED).ejected_until
 
-    def failed(self, life: Life, entry: str, at: timedelta, now: timedelta) -> None:
+    def record_failure(self, incarnation: UpstreamIncarnation, entry: str, at: timedelta, now: timedelta) -> None:
         """Record that a request of `entry` to the endpoint failed.
 
         Parameters
@@ -93,29 +93,29 @@
         now
             Monotonic instant at which an ejection begins.
         """
-        before = self._suspects.get(life, _UNSUSPECTED)
-        if at <= self._last_answers.get(life, _NEVER) or at < before.rest_until:
+        before = self._suspects.get(incarnation, _UNSUSPECTED)
+        if at <= self._last_answers.get(incarnation, _NEVER) or at < before.ejected_until:
             return
         if entry in before.others:
             return
         others = before.others if entry == self._own else before.others | {entry}
-        found = _Suspect(others, before.count + 1, max(at, before.failed_at), before.rest_until)
+        found = _Suspect(others, before.count + 1, max(at, before.failed_at), before.ejected_until)
         if found.count >= FAILURES_TO_EJECT:
             found = found._replace(
-                others=frozenset(), rest_until=now + _ejection_after(found.count)
+                others=frozenset(), ejected_until=now + _ejection_after(found.count)
             )
-        self._suspects.pop(life, None)
-        self._suspects[life] = found
+        self._suspects.pop(incarnation, None)
+        self._suspects[incarnation] = found
         if len(self._suspects) > MAX_SUSPECTS:
             self._suspects.popitem(last=False)
 
-    def answered(self, life: Life, at: timedelta) -> None:
+    def record_answer(self, incarnation: UpstreamIncarnation, at: timedelta) -> None:
         """Record that the endpoint answered a request of any entry at the instant `at`."""
-        if at < self._suspects.get(life, _UNSUSPECTED).failed_at:
+        if at < self._suspects.get(incarnation, _UNSUSPECTED).failed_at:
             return
-        self._suspects.pop(life, None)
-        last = self._last_answers.pop(life, _NEVER)
-        self._last_answers[life] = max(at, last)
+        self._suspects.pop(incarnation, None)
+        last = self._last_answers.pop(incarnation, _NEVER)
+        self._last_answers[incarnation] = max(at, last)
         if len(self._last_answers) > MAX_SUSPECTS:
             self._last_answers.popitem(last=False)
 
--- a/packages/core/src/cardamomloft/core/timekeeping.py
+++ b/packages/core/src/cardamomloft/core/timekeeping.py
@@ -24,7 +24,7 @@
     stepped: timedelta
 
 
-class Timekeeper:
+class ClockMonitor:
     """Compares the monotonic clock and the wall clock at each periodic check.
 
     Lateness with a step of the same size means that timers follow the wall clock. Lateness without
@@ -43,7 +43,7 @@
         self._interval = interval
         self._last_check: tuple[timedelta, datetime] | None = None
 
-    def look(self) -> ClockAnomaly | None:
+    def check(self) -> ClockAnomaly | None:
         """Return the anomaly since the last check, or None if there was none worth reporting."""
         now, wall = self._clock.monotonic(), self._clock.utcnow()
         last, self._last_check = self._last_check, (now, wall)
--- a/packages/core/src/cardamomloft/core/touches.py
+++ b/packages/core/src/cardamomloft/core/touches.py
@@ -7,7 +7,7 @@
 import enum
 from collections import OrderedDict
 
-from cardamomloft.core.upstreambook import Upstream
+from cardamomloft.core.upstreamtable import Upstream
 
 MAX_TRACKED_PAIRS = 20_000
 """Pairs of endpoint and key that are tracked; the least recently used ones are dropped first."""
--- a/packages/core/src/cardamomloft/core/upstreambook.py
+++ b/packages/core/src/cardamomloft/core/upstreamtable.py
@@ -7,7 +7,7 @@
 
 from cardamomloft.core.affinity import text_hash
 from cardamomloft.core.recent import Recent
-from cardamomloft.core.registrations import RETURN_TIME, Life, Registration
+from cardamomloft.core.registrations import RENEWAL_GRACE, UpstreamIncarnation, Registration
 
 MIN_LAPSED = 3
 """Minimum number of registrations that vanish at once to count as lapsed; fewer may be planned."""
@@ -53,11 +53,11 @@
         Monotonic instant at which it was first seen; None if it was in the first list.
     failures
         Number of this entry's consecutive failed requests.
-    rest_until
+    ejected_until
         Monotonic instant until which it is ejected after failures.
     full_until
         Monotonic instant until which it counts as full after a refusal.
-    alone_until
+    paused_until
         Monotonic instant until which the endpoint asked this entry, with a refusal, to pause.
     leaving
         Whether it gets no new requests because it is leaving.
@@ -67,12 +67,12 @@
         Whether its present registration can't be decoded, so that it must not be used.
     seed
         Hash of its id, which ranks it for affinity keys; the same for all incarnations.
-    work
+    service_time
         Smoothed service time without queueing; None if not known.
     """
 
     __slots__ = (
-        "alone_until",
+        "paused_until",
         "cold_sends",
         "cold_until",
         "failures",
@@ -84,10 +84,10 @@
         "region",
         "registration",
         "report",
-        "rest_until",
+        "ejected_until",
         "seed",
         "unreadable",
-        "work",
+        "service_time",
     )
 
     def __init__(self, registration: Registration, region: str, now: timedelta) -> None:
@@ -99,14 +99,14 @@
         self.cold_until = now + registration.cold_left
         self.joined_at: timedelta | None = now
         self.failures = 0
-        self.rest_until = timedelta(0)
+        self.ejected_until = timedelta(0)
         self.full_until = timedelta(0)
-        self.alone_until = timedelta(0)
+        self.paused_until = timedelta(0)
         self.cold_sends: list[timedelta] = []
         self.leaving = False
         self.missing = False
         self.unreadable = False
-        self.work: timedelta | None = None
+        self.service_time: timedelta | None = None
 
     @property
     def id(self) -> str:
@@ -114,15 +114,15 @@
         return self.registration.id
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> UpstreamIncarnation:
         """Identifies this incarnation among all with the same id."""
-        return self.registration.life
+        return self.registration.incarnation
 
     def __repr__(self) -> str:
         return f"Upstream({self.registration.service}/{self.id}@{self.registration.address})"
 
 
-class UpstreamBook:
+class UpstreamTable:
     """All registered endpoints.
 
     Parameters
@@ -140,8 +140,8 @@
         self._stale = False
         self._versions: Counter[str] = Counter()
         self._starts = _Starts()
-        self._leaving = Recent[Life](MAX_LEAVING)
-        self._gone = Recent[Life](MAX_LEAVING)
+        self._leaving = Recent[UpstreamIncarnation](MAX_LEAVING)
+        self._gone = Recent[UpstreamIncarnation](MAX_LEAVING)
         self._grace_until = timedelta(0)
         self._has_list = False
 
@@ -182,12 +182,12 @@
         """
         if not self._starts.note(registration):
             return False
-        self._gone.discard(registration.life)
+        self._gone.discard(registration.incarnation)
         known = self._by_id.get(registration.id)
         region = self.regions.get(registration.zone, "")
         if known is None or known.registration.started_ms != registration.started_ms:
             upstream = Upstream(registration, region, now)
-            upstream.leaving = upstream.life in self._leaving
+            upstream.leaving = upstream.incarnation in self._leaving
             if not self._has_list:
                 upstream.joined_at = None
             self._by_id[registration.id] = upstream
@@ -203,7 +203,7 @@
             self._stale = True
         return changed
 
-    def hide(self, upstream_id: str) -> bool:
+    def mark_unreadable(self, upstream_id: str) -> bool:
         """Exclude an endpoint until its registration is readable; return whether it was in use.
 
         Its state is kept: the endpoint's next own registration replaces the unreadable one.
@@ -227,23 +227,23 @@
             upstream.missing = True
             return False
         del self._by_id[upstream_id]
-        self._gone.add(upstream.life)
+        self._gone.add(upstream.incarnation)
         self._stale = True
         return True
 
     def is_outdated(self, registration: Registration) -> bool:
         """Return whether a registration from an older copy of the store is known to be outdated."""
         known = self._by_id.get(registration.id)
-        if known is not None and known.life == registration.life:
+        if known is not None and known.incarnation == registration.incarnation:
             return known.registration.draining and not registration.draining
-        return registration.life in self._gone
+        return registration.incarnation in self._gone
 
-    def listed(self, ids: Iterable[str], now: timedelta) -> list[str]:
+    def withdraw_unlisted(self, ids: Iterable[str], now: timedelta) -> list[str]:
         """Withdraw all endpoints not in the complete list `ids`; return the ids removed now."""
         present = set(ids)
         absent = [upstream_id for upstream_id in self._by_id if upstream_id not in present]
         if self.have_lapsed(absent):
-            self.expect_returns(now)
+            self.start_grace_period(now)
         self._has_list = True
         return [upstream_id for upstream_id in absent if self.withdraw(upstream_id, now)]
 
@@ -252,9 +252,9 @@
         vanished = sum(1 for upstream_id in ids if upstream_id in self._by_id)
         return vanished >= MIN_LAPSED and vanished > LAPSED_FRACTION * len(self._by_id)
 
-    def expect_returns(self, now: timedelta) -> None:
+    def start_grace_period(self, now: timedelta) -> None:
         """Start the grace period for endpoints to renew registrations that the store lost."""
-        self._grace_until = now + RETURN_TIME
+        self._grace_until = now + RENEWAL_GRACE
 
     def tick(self, now: timedelta) -> list[str]:
         """Withdraw endpoints still missing after the grace period; return their ids."""
@@ -286,13 +286,13 @@
         self._stale = True
         return True
 
-    def leave(self, life: Life) -> bool:
+    def leave(self, incarnation: UpstreamIncarnation) -> bool:
         """Exclude an incarnation, registered or not, because it leaves; return whether new."""
-        if life in self._leaving:
+        if incarnation in self._leaving:
             return False
-        self._leaving.add(life)
-        upstream = self._by_id.get(life.upstream_id)
-        if upstream is not None and upstream.life == life:
+        self._leaving.add(incarnation)
+        upstream = self._by_id.get(incarnation.upstream_id)
+        if upstream is not None and upstream.incarnation == incarnation:
             self.mark_leaving(upstream)
         return True
 
--- a/packages/core/tests/test_budgets.py
+++ b/packages/core/tests/test_budgets.py
@@ -5,8 +5,8 @@
 
 import pytest
 from cardamomloft.core.budgets import RetryBudget
-from cardamomloft.core.entrybook import EntryBook
-from cardamomloft.core.registrations import RETURN_TIME, EntryRecord
+from cardamomloft.core.entrytable import EntryTable
+from cardamomloft.core.registrations import RENEWAL_GRACE, EntryRecord
 
 MS = timedelta(milliseconds=1)
 WINDOW = timedelta(seconds=10)
@@ -53,8 +53,8 @@
     return EntryRecord(name, f"{name}:1", "a", "east")
 
 
-def _book(*names: str) -> EntryBook:
-    book = EntryBook(_record("own"), WINDOW)
+def _book(*names: str) -> EntryTable:
+    book = EntryTable(_record("own"), WINDOW)
     for name in names:
         book.add(_record(name), timedelta(0))
     return book
@@ -62,15 +62,15 @@
 
 def test_a_removed_entry_counts_as_long_as_its_share_may_be_in_use():
     book = _book("own", "b", "c")
-    assert book.sharing(timedelta(0)) == 3
+    assert book.max_recent_count(timedelta(0)) == 3
     book.withdraw("c", 20_000 * MS)
-    assert book.sharing(20_000 * MS + WINDOW) == 3
-    assert book.sharing(20_001 * MS + WINDOW) == 2
+    assert book.max_recent_count(20_000 * MS + WINDOW) == 3
+    assert book.max_recent_count(20_001 * MS + WINDOW) == 2
 
 
 def test_the_own_entry_counts_before_it_is_recorded():
-    assert _book().sharing(timedelta(0)) == 1
-    assert _book("b").sharing(timedelta(0)) == 2
+    assert _book().max_recent_count(timedelta(0)) == 1
+    assert _book("b").max_recent_count(timedelta(0)) == 2
 
 
 def test_the_own_entry_is_listed_only_on_request():
@@ -81,8 +81,8 @@
 
 def test_records_lost_with_the_store_are_kept_until_the_return_time():
     book = _book("b", "c")
-    book.expect_returns(timedelta(0))
-    assert book.listed(set(), timedelta(0)) == []
+    book.start_grace_period(timedelta(0))
+    assert book.withdraw_unlisted(set(), timedelta(0)) == []
     book.add(_record("b"), 1000 * MS)
-    assert book.tick(RETURN_TIME) == ["c"]
+    assert book.tick(RENEWAL_GRACE) == ["c"]
     assert [record.name for record in book.records(with_own=False)] == ["b"]
--- a/packages/core/tests/test_naming.py
+++ b/packages/core/tests/test_naming.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from cardamomloft.core import naming
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.naming import MAX_ENTRIES, MIN_ENTRIES, Names, entries_for
 from cardamomloft.core.registrations import EntryRecord
 from hypothesis import given
@@ -62,7 +62,7 @@
 
 @given(MOVES, st.sampled_from(["", "a", "b", "c"]), st.booleans())
 def test_cached_answers_match_the_registered_entries(moves, zone, with_own):
-    book = EntryBook(OWN, ZERO)
+    book = EntryTable(OWN, ZERO)
     names = Names(book)
     for kind, record in moves:
         if kind == "withdraw":
@@ -77,7 +77,7 @@
 def test_answer_is_computed_once_until_the_entries_change(monkeypatch):
     computed = []
     monkeypatch.setattr(naming, "entries_for", lambda *_: computed.append(1) or [])
-    book = EntryBook(OWN, ZERO)
+    book = EntryTable(OWN, ZERO)
     names, zones = Names(book), dict(REGIONS)
     for _ in range(3):
         names.of("a", "", frozenset(), zones, with_own=True)
@@ -90,7 +90,7 @@
 
 
 def test_answer_cache_stays_bounded_for_arbitrary_zones():
-    names = Names(EntryBook(OWN, ZERO))
+    names = Names(EntryTable(OWN, ZERO))
     for number in range(3 * naming.MAX_CACHED_ANSWERS):
         names.of(f"zone-{number}", "", frozenset(), REGIONS, with_own=True)
     assert len(names._cache) <= naming.MAX_CACHED_ANSWERS
--- a/packages/core/tests/test_once_protocol.py
+++ b/packages/core/tests/test_once_protocol.py
@@ -17,7 +17,7 @@
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.ledger import IN_FLIGHT, Answered, Join, KeptAnswer, Ledger, Run, Settled
 from cardamomloft.core.model import Incarnation, Refusal, RefusalReason, Unknown
-from cardamomloft.core.operations import OperationIds, OwnId, SystemId, parse_operation
+from cardamomloft.core.operations import OperationIds, CallerSuppliedId, SystemId, parse_operation
 from expression import Error, Ok
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
@@ -89,7 +89,7 @@
 
     def receive(self, submission: Submission) -> None:
         operation = parse_operation(submission.text).ok
-        if isinstance(operation, OwnId):
+        if isinstance(operation, CallerSuppliedId):
             return self.claim(submission, operation)
         if operation.seat != self.me.seat:
             return self.world.schedule(None, self.world.deliver, operation.seat, submission)
@@ -100,7 +100,7 @@
             else self.reply(submission, checked.error)
         )
 
-    def claim(self, submission: Submission, own: OwnId) -> None:
+    def claim(self, submission: Submission, own: CallerSuppliedId) -> None:
         found = self.ledger.look(submission.text, "f").ok
         if found is not None:
             return self.on_status(submission, found)
--- a/packages/core/tests/test_quarantine.py
+++ b/packages/core/tests/test_quarantine.py
@@ -3,22 +3,22 @@
 from datetime import timedelta
 
 import pytest
-from cardamomloft.core.notices import REQUEST_LIFE, CrashUnderRequest
+from cardamomloft.core.notices import CRASH_RETENTION, CrashUnderRequest
 from cardamomloft.core.quarantine import CRASHES_TO_QUARANTINE, RESTART_TIME, Quarantine
-from cardamomloft.core.registrations import Life
+from cardamomloft.core.registrations import UpstreamIncarnation
 
 MS = timedelta(milliseconds=1)
 NOW = timedelta(hours=1)
 
 
 def crash(quarantine, fingerprint, upstream, now=NOW, started_ms=0):
-    return quarantine.apply(quarantine.crashed(fingerprint, Life(upstream, started_ms), now), now)
+    return quarantine.apply(quarantine.crashed(fingerprint, UpstreamIncarnation(upstream, started_ms), now), now)
 
 
 def test_a_request_is_quarantined_after_three_crashes():
     quarantine = Quarantine()
     assert [crash(quarantine, "f", f"i-{n}") for n in range(4)] == [False, False, True, False]
-    assert quarantine.refused_until("f", NOW) == NOW + REQUEST_LIFE
+    assert quarantine.refused_until("f", NOW) == NOW + CRASH_RETENTION
     assert quarantine.refused_until("g", NOW) is None
     assert quarantine.refused(NOW) == ["f"]
 
@@ -73,8 +73,8 @@
     for number in range(4):
         crash(quarantine, "f", f"i-{number}", NOW + number * 1000 * MS)
     until = quarantine.refused_until("f", NOW + 3000 * MS)
-    assert until == NOW + 1000 * MS + REQUEST_LIFE
+    assert until == NOW + 1000 * MS + CRASH_RETENTION
     assert quarantine.refused_until("f", until - MS) == until
     assert quarantine.refused_until("f", until) is None
-    quarantine.forget(NOW + 3000 * MS + REQUEST_LIFE)
+    quarantine.forget(NOW + 3000 * MS + CRASH_RETENTION)
     assert not quarantine
--- a/packages/core/tests/test_selection.py
+++ b/packages/core/tests/test_selection.py
@@ -11,7 +11,7 @@
 from cardamomloft.core.registrations import Registration
 from cardamomloft.core.routes import ServicePolicy
 from cardamomloft.core.selection import Choice, Preferences, Selector
-from cardamomloft.core.upstreambook import LoadReport, UpstreamBook
+from cardamomloft.core.upstreamtable import LoadReport, UpstreamTable
 from cardamomloft_standins.gateway import RULE
 
 MS = timedelta(milliseconds=1)
@@ -21,7 +21,7 @@
 
 
 def _selector(near: int = 4, far: int = 4, cold_left: timedelta = ZERO, name="e-0") -> Selector:
-    book = UpstreamBook({"a": "east", "b": "west"})
+    book = UpstreamTable({"a": "east", "b": "west"})
     for number in range(near + far):
         zone = "a" if number < near else "b"
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, cold_left)
@@ -77,7 +77,7 @@
 
 
 def test_large_bodies_stay_within_their_zone():
-    book = UpstreamBook({"a": "east", "b": "east"})
+    book = UpstreamTable({"a": "east", "b": "east"})
     for number in range(8):
         zone = "a" if number < 4 else "b"
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, ZERO)
@@ -151,7 +151,7 @@
     _fill(primary, 9)
     secondary = _choose(selector)
     _fill(primary, 0)
-    primary.work = secondary.work = 100 * MS
+    primary.service_time = secondary.service_time = 100 * MS
     _mark_cached(selector, primary)
     return primary, secondary
 
@@ -171,7 +171,7 @@
     selector = _selector()
     primary, secondary = _primary_and_secondary(selector)
     _mark_cached(selector, secondary)
-    primary.work = 400 * MS
+    primary.service_time = 400 * MS
     assert _choose(selector) is secondary
     _fill(secondary, 4)
     assert _choose(selector) is primary
@@ -182,7 +182,7 @@
     primary, secondary = _primary_and_secondary(selector)
     _mark_cached(selector, secondary)
     selector._book.register(primary.registration._replace(started_ms=1), NOW)
-    selector._book.get(primary.id).work = 100 * MS
+    selector._book.get(primary.id).service_time = 100 * MS
     assert _choose(selector) is secondary
 
 
@@ -222,7 +222,7 @@
     """The bound stays between 1.5 and 3 times the slots; the target is 400 ms."""
     selector = _selector()
     primary = _choose(selector)
-    primary.work = service_time_ms and service_time_ms * MS
+    primary.service_time = service_time_ms and service_time_ms * MS
     until = timedelta(minutes=1)
     for load in range(16):
         _fill(primary, load)
@@ -243,7 +243,7 @@
     selector = _selector()
     primary = _choose(selector)
     selector.answered(primary, 300 * MS, 7)
-    assert primary.work == 150 * MS
+    assert primary.service_time == 150 * MS
 
 
 def test_own_requests_in_flight_are_added_to_a_report():
@@ -442,7 +442,7 @@
 
 @pytest.mark.parametrize(("in_zone", "stays"), [(1, False), (2, True)])
 def test_large_bodies_stay_within_their_zone_if_zones_have_enough_endpoints(in_zone, stays):
-    book = UpstreamBook({"a": "east", "c": "east", "b": "west"})
+    book = UpstreamTable({"a": "east", "c": "east", "b": "west"})
     zones = ["a"] * in_zone + ["c"] * in_zone + ["b"] * in_zone
     for number, zone in enumerate(zones):
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, ZERO)
--- a/packages/core/tests/test_suspicion.py
+++ b/packages/core/tests/test_suspicion.py
@@ -4,12 +4,12 @@
 
 import pytest
 from cardamomloft.core import suspicion
-from cardamomloft.core.registrations import Life
+from cardamomloft.core.registrations import UpstreamIncarnation
 from cardamomloft.core.suspicion import INITIAL_EJECTION, MAX_EJECTION, Suspicions
 from hypothesis import given
 from hypothesis import strategies as st
 
-LIFE = Life("i-1", 1000)
+LIFE = UpstreamIncarnation("i-1", 1000)
 OWN = "e-0"
 START = timedelta(seconds=100)
 
@@ -21,69 +21,69 @@
 def with_failures(*entries, at=START):
     suspicions = Suspicions(OWN)
     for entry in entries:
-        suspicions.failed(LIFE, entry, at, at)
+        suspicions.record_failure(LIFE, entry, at, at)
     return suspicions
 
 
 @pytest.mark.parametrize("entries", [("e-1", "e-2"), (OWN, "e-1"), ("e-1", OWN), (OWN, OWN)])
 def test_two_consecutive_failures_eject_an_endpoint(entries):
-    assert with_failures(*entries).rest_until(LIFE) == START + INITIAL_EJECTION
-    assert with_failures(entries[0]).rest_until(LIFE) < START
+    assert with_failures(*entries).ejected_until(LIFE) == START + INITIAL_EJECTION
+    assert with_failures(entries[0]).ejected_until(LIFE) < START
 
 
 def test_repeated_failures_of_one_other_entry_do_not_eject_an_endpoint():
     """The failures may be those of that entry's own network."""
-    assert with_failures(*["e-1"] * 50).rest_until(LIFE) < START
+    assert with_failures(*["e-1"] * 50).ejected_until(LIFE) < START
 
 
 def test_an_answer_to_any_entry_ends_the_ejection_and_resets_the_count():
     suspicions = with_failures("e-1", "e-2")
-    suspicions.answered(LIFE, seconds(0.1))
-    assert suspicions.rest_until(LIFE) < START and not suspicions.is_suspected(LIFE)
-    suspicions.failed(LIFE, "e-1", seconds(0.2), seconds(0.2))
-    assert suspicions.rest_until(LIFE) < START and suspicions.is_suspected(LIFE)
+    suspicions.record_answer(LIFE, seconds(0.1))
+    assert suspicions.ejected_until(LIFE) < START and not suspicions.is_suspected(LIFE)
+    suspicions.record_failure(LIFE, "e-1", seconds(0.2), seconds(0.2))
+    assert suspicions.ejected_until(LIFE) < START and suspicions.is_suspected(LIFE)
 
 
 def test_late_reports_are_ignored():
     """A failure older than an answer, and an answer older than a failure, must be ignored."""
     suspicions = Suspicions(OWN)
-    suspicions.answered(LIFE, seconds(1))
-    suspicions.failed(LIFE, "e-1", seconds(0.5), seconds(1.1))
-    suspicions.failed(LIFE, "e-2", seconds(0.9), seconds(1.2))
+    suspicions.record_answer(LIFE, seconds(1))
+    suspicions.record_failure(LIFE, "e-1", seconds(0.5), seconds(1.1))
+    suspicions.record_failure(LIFE, "e-2", seconds(0.9), seconds(1.2))
     assert not suspicions.is_suspected(LIFE)
     ejected = with_failures("e-1", "e-2")
-    ejected.answered(LIFE, seconds(-0.1))
-    assert ejected.rest_until(LIFE) == START + INITIAL_EJECTION
+    ejected.record_answer(LIFE, seconds(-0.1))
+    assert ejected.ejected_until(LIFE) == START + INITIAL_EJECTION
 
 
 def test_failures_of_requests_sent_before_an_ejection_do_not_extend_it():
     suspicions = with_failures("e-1", "e-2")
     for number in range(3, 20):
-        suspicions.failed(LIFE, f"e-{number}", seconds(0.2), seconds(0.2))
-    assert suspicions.rest_until(LIFE) == START + INITIAL_EJECTION
+        suspicions.record_failure(LIFE, f"e-{number}", seconds(0.2), seconds(0.2))
+    assert suspicions.ejected_until(LIFE) == START + INITIAL_EJECTION
 
 
 def test_ejections_double_with_each_further_failure_up_to_a_maximum():
     suspicions, ejections = with_failures("e-1", "e-2"), []
     for _ in range(5):
-        now = suspicions.rest_until(LIFE)
-        suspicions.failed(LIFE, "e-1", now, now)
-        ejections.append(suspicions.rest_until(LIFE) - now)
+        now = suspicions.ejected_until(LIFE)
+        suspicions.record_failure(LIFE, "e-1", now, now)
+        ejections.append(suspicions.ejected_until(LIFE) - now)
     assert ejections[0] == 2 * INITIAL_EJECTION
     assert ejections == sorted(ejections) and ejections[-1] == MAX_EJECTION
 
 
 def test_a_new_incarnation_under_an_old_id_is_not_suspected():
     suspicions = with_failures("e-1", "e-2")
-    assert suspicions.rest_until(LIFE._replace(started_ms=2000)) < START
+    assert suspicions.ejected_until(LIFE._replace(started_ms=2000)) < START
 
 
 def test_the_number_of_suspects_is_bounded(monkeypatch):
     monkeypatch.setattr(suspicion, "MAX_SUSPECTS", 10)
     suspicions = Suspicions(OWN)
     for number in range(100):
-        suspicions.failed(Life(f"i-{number}", 1), "e-1", START, START)
-        suspicions.answered(Life(f"j-{number}", 1), START)
+        suspicions.record_failure(UpstreamIncarnation(f"i-{number}", 1), "e-1", START, START)
+        suspicions.record_answer(UpstreamIncarnation(f"j-{number}", 1), START)
     assert len(suspicions._suspects) <= 10 and len(suspicions._last_answers) <= 10
 
 
@@ -105,11 +105,11 @@
         at = now - timedelta(milliseconds=100 * late)
         seen.append((kind, at))
         if kind == "failed":
-            suspicions.failed(LIFE, entry, at, now)
+            suspicions.record_failure(LIFE, entry, at, now)
         else:
-            suspicions.answered(LIFE, at)
-        assert suspicions.rest_until(LIFE) - now <= MAX_EJECTION
-        if suspicions.rest_until(LIFE) > now:
+            suspicions.record_answer(LIFE, at)
+        assert suspicions.ejected_until(LIFE) - now <= MAX_EJECTION
+        if suspicions.ejected_until(LIFE) > now:
             last_answer = max((at for kind, at in seen if kind == "answered"), default=None)
             failures = [at for kind, at in seen if kind == "failed"]
             since = [at for at in failures if last_answer is None or at > last_answer]
--- a/packages/core/tests/test_timekeeping.py
+++ b/packages/core/tests/test_timekeeping.py
@@ -3,7 +3,7 @@
 from datetime import UTC, datetime, timedelta
 
 import pytest
-from cardamomloft.core.timekeeping import REPORT_THRESHOLD, ClockAnomaly, Timekeeper
+from cardamomloft.core.timekeeping import REPORT_THRESHOLD, ClockAnomaly, ClockMonitor
 
 MS = timedelta(milliseconds=1)
 INTERVAL = 200 * MS
@@ -27,10 +27,10 @@
 
 def check_after(elapsed, step=timedelta(0)):
     clocks = TwoClocks()
-    monitor = Timekeeper(clocks, INTERVAL)
-    assert monitor.look() is None
+    monitor = ClockMonitor(clocks, INTERVAL)
+    assert monitor.check() is None
     clocks.advance(elapsed, step)
-    return monitor.look()
+    return monitor.check()
 
 
 def test_a_check_in_time_reports_nothing():
--- a/packages/core/tests/test_touches.py
+++ b/packages/core/tests/test_touches.py
@@ -6,7 +6,7 @@
 from cardamomloft.core import touches
 from cardamomloft.core.registrations import Registration
 from cardamomloft.core.touches import Touch, Touches
-from cardamomloft.core.upstreambook import Upstream
+from cardamomloft.core.upstreamtable import Upstream
 
 ZERO = timedelta(0)
 
--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -31,7 +31,7 @@
 )
 from cardamomloft.core.operations import (
     OperationIds,
-    OwnId,
+    CallerSuppliedId,
     SystemId,
     fingerprint,
     parse_operation,
@@ -138,7 +138,7 @@
 
     async def _handle_own(
         self,
-        operation: OwnId,
+        operation: CallerSuppliedId,
         req: Request,
         head: RequestHead,
         whole: bytes,
@@ -160,7 +160,7 @@
             case outcome:
                 return self._words(outcome)
 
-    async def _claim(self, operation: OwnId, mark: str) -> Claimed | HeldBy | Refusal | Unknown:
+    async def _claim(self, operation: CallerSuppliedId, mark: str) -> Claimed | HeldBy | Refusal | Unknown:
         if self._claims is None:
             return Refusal(RefusalReason.CLAIM_BUDGET, "ids of callers' own making are turned off")
         await self._have_lease(self._claims)
--- a/packages/entry/src/cardamomloft/entry/gossip.py
+++ b/packages/entry/src/cardamomloft/entry/gossip.py
@@ -60,7 +60,7 @@
     def spread(self) -> None:
         """Send the digest to a few peers, and ask holders whose agreement is missing for theirs."""
         digest = self._describe()
-        self._membership.set_self(digest)
+        self._membership.set_own_digest(digest)
         targets = self._membership.gossip_targets(self._rng, TARGETS)
         self.send(Outgoing(seat, digest) for seat in targets)
         # Their digests may come by chance only.
@@ -72,7 +72,7 @@
     def announce(self) -> None:
         """Tell those that wait for our word, and a few others, what has changed here."""
         digest = self._describe()
-        self._membership.set_self(digest)
+        self._membership.set_own_digest(digest)
         targets = set(self._membership.gossip_targets(self._rng, TARGETS))
         targets |= self._shares.partners
         self.send(Outgoing(seat, digest) for seat in sorted(targets))
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -27,7 +27,7 @@
 from cardamomloft.core.router import Router, slots_key
 from cardamomloft.core.shares import Shares
 from cardamomloft.core.steering import Steering
-from cardamomloft.core.stewardship import STANDBYS, Stewardship
+from cardamomloft.core.stewardship import STANDBYS_PER_REGION, Stewardship
 from cardamomloft.entry.executor import Executor
 from cardamomloft.entry.forwarding import Forwarder
 from cardamomloft.entry.gossip import INTERVAL, Gossip
@@ -357,8 +357,8 @@
         )
 
     def _place_steward(self) -> None:
-        standby, size = self.membership.standing(STANDBYS)
-        self.steward.stewardship.place(standby=standby, size=size)
+        standby, size = self.membership.standby_status(STANDBYS_PER_REGION)
+        self.steward.stewardship.set_role(standby=standby, size=size)
 
     def _on_offer(self) -> None:
         self.store_at = self._clock.monotonic()
@@ -395,7 +395,7 @@
 
     def _spread(self) -> None:
         # One that owns nothing works on loans, and there are none for one that hears nobody.
-        if self.shares.owns_any or self.membership.hears_any():
+        if self.shares.owns_any or self.membership.has_recent_peer():
             self._useful_at = self._clock.monotonic()
         self.gossip.spread()
 
@@ -459,7 +459,7 @@
         return [seat for seat in near if seat != self.me.seat]
 
     def _take_vms(self, rows: list[VmRow]) -> None:
-        self.membership.on_vms(rows)
+        self.membership.on_vm_list(rows)
         gone = self.membership.gone_seats()
         for row in rows:
             if row.name in gone:
--- a/packages/entry/src/cardamomloft/entry/receiving.py
+++ b/packages/entry/src/cardamomloft/entry/receiving.py
@@ -25,7 +25,7 @@
     """Hand `message` to those whom it concerns, and send what they answer."""
     send = node.gossip.send
     if node.steward is not None:
-        node.steward.stewardship.heard(str(sender))
+        node.steward.stewardship.record_message(str(sender))
     match message:
         case Digest():
             node.membership.on_digest(sender, message)
--- a/packages/gateway/src/cardamomloft/gateway/changefeed.py
+++ b/packages/gateway/src/cardamomloft/gateway/changefeed.py
@@ -7,10 +7,10 @@
 from datetime import timedelta
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.entrybook import EntryBook
-from cardamomloft.core.messages import ConfigurationTold, Message, NoticesCompared, NoticesTold
+from cardamomloft.core.entrytable import EntryTable
+from cardamomloft.core.messages import ConfigurationPush, Message, NoticeDigest, NoticePush
 from cardamomloft.core.model import Incarnation
-from cardamomloft.core.notices import Dated
+from cardamomloft.core.notices import DatedNotice
 from cardamomloft.core.registrations import EntryRecord
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.relays import relays_of
@@ -68,10 +68,10 @@
         clock: Clock,
         control: Control,
         own: EntryRecord,
-        entries: EntryBook,
+        entries: EntryTable,
         is_announced: Callable[[], bool],
         drain_time: timedelta,
-        on_notice: Callable[[Dated], None],
+        on_notice: Callable[[DatedNotice], None],
         rng: random.Random,
         metrics: Metrics,
     ) -> None:
@@ -111,7 +111,7 @@
 
     def take(self, sender: Incarnation, message: Message) -> None:
         """Handle a message of another gateway."""
-        if isinstance(message, NoticesTold | NoticesCompared | ConfigurationTold):
+        if isinstance(message, NoticePush | NoticeDigest | ConfigurationPush):
             self.gossip.take(sender, message)
         else:
             self.port.take(sender, message)
--- a/packages/gateway/src/cardamomloft/gateway/forwarding.py
+++ b/packages/gateway/src/cardamomloft/gateway/forwarding.py
@@ -12,7 +12,7 @@
 from cardamomloft.core.comeback import ComeBack, Waits
 from cardamomloft.core.model import Refusal, RefusalReason
 from cardamomloft.core.selection import Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.noticing import Noticing
 from cardamomloft.gateway.passage import CallerState, Passage
@@ -61,7 +61,7 @@
         clock: Clock,
         rng: random.Random,
         selector: Selector,
-        upstream_table: UpstreamBook,
+        upstream_table: UpstreamTable,
         client: UpstreamClient,
         budget_for: Callable[[str], RetryBudget],
         metrics: Metrics,
--- a/packages/gateway/src/cardamomloft/gateway/gossip.py
+++ b/packages/gateway/src/cardamomloft/gateway/gossip.py
@@ -12,9 +12,9 @@
 from functools import singledispatchmethod
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.messages import ConfigurationTold, Message, NoticesCompared, NoticesTold
+from cardamomloft.core.messages import ConfigurationPush, Message, NoticeDigest, NoticePush
 from cardamomloft.core.model import Incarnation
-from cardamomloft.core.notices import Dated, Notice, NoticeBoard
+from cardamomloft.core.notices import DatedNotice, Notice, NoticeTable
 from cardamomloft.core.registrations import PlanRead
 from cardamomloft.core.routes import RoutePlan
 from cardamomloft.feed.factcodec import decode_facts, encode_facts
@@ -87,7 +87,7 @@
         rng: random.Random,
         peer_addresses: Callable[[], dict[str, str]],
         send: Send,
-        on_new_notice: Callable[[Dated], None],
+        on_new_notice: Callable[[DatedNotice], None],
         metrics: Metrics,
         address: str,
     ) -> None:
@@ -101,8 +101,8 @@
         self._address = address
         self.plan: Callable[[], RoutePlan | None] = lambda: None
         self.on_plan: Callable[[RoutePlan], None] = lambda plan: None
-        self._board = NoticeBoard()
-        self._unsent: list[Dated] = []
+        self._board = NoticeTable()
+        self._unsent: list[DatedNotice] = []
         self._push_timer: IDelayedCall | None = None
         self._started_at = clock.monotonic()
 
@@ -112,7 +112,7 @@
     def tell(self, notices: Iterable[Notice]) -> None:
         """Apply notices of this gateway here, and send them to all others."""
         now = self._clock.monotonic()
-        self._add((Dated(notice, now) for notice in notices), now)
+        self._add((DatedNotice(notice, now) for notice in notices), now)
 
     def compare(self) -> None:
         """Send a digest to one random gateway; call it at each `COMPARE_INTERVAL`."""
@@ -138,7 +138,7 @@
         self._metrics.count("peer_messages_of_another_kind")
 
     @_receive.register
-    def _(self, message: NoticesTold, sender: Incarnation) -> None:
+    def _(self, message: NoticePush, sender: Incarnation) -> None:
         now = self._clock.monotonic()
         match decode_notices(message.notices, now):
             case Result(tag="ok", ok=notices):
@@ -149,15 +149,15 @@
                 log("notices-unreadable", entry=sender.seat, detail=detail)
 
     @_receive.register
-    def _(self, message: NoticesCompared, sender: Incarnation) -> None:
+    def _(self, message: NoticeDigest, sender: Incarnation) -> None:
         address = self._peer_addresses().get(sender.seat) or (message.starting and message.address)
         if not address:
             return
         plan = self.plan()
         if message.starting and plan is not None and plan.number > message.configuration:
-            self._send(address, ConfigurationTold(encode_facts([PlanRead(plan)])))
+            self._send(address, ConfigurationPush(encode_facts([PlanRead(plan)])))
         now = self._clock.monotonic()
-        if message.sums == self._board.sums(now):
+        if message.sums == self._board.checksums(now):
             return
         missing = self._board.differing(message.sums, now)
         if missing:
@@ -166,7 +166,7 @@
             self._send(address, self._digest(answers=True))
 
     @_receive.register
-    def _(self, message: ConfigurationTold, sender: Incarnation) -> None:
+    def _(self, message: ConfigurationPush, sender: Incarnation) -> None:
         match decode_facts(message.fact):
             case Result(tag="ok", ok=[PlanRead(plan)]):
                 self._metrics.count("configurations_heard")
@@ -179,16 +179,16 @@
                     detail="the message holds no configuration",
                 )
 
-    def _digest(self, *, answers: bool) -> NoticesCompared:
+    def _digest(self, *, answers: bool) -> NoticeDigest:
         plan, now = self.plan(), self._clock.monotonic()
         number = 0 if plan is None else plan.number
-        sums = self._board.sums(now)
-        return NoticesCompared(sums, answers, self._is_starting(), number, self._address)
+        sums = self._board.checksums(now)
+        return NoticeDigest(sums, answers, self._is_starting(), number, self._address)
 
     def _is_starting(self) -> bool:
         return self._clock.monotonic() - self._started_at < CATCH_UP_TIME
 
-    def _add(self, received: Iterable[Dated], now: timedelta) -> None:
+    def _add(self, received: Iterable[DatedNotice], now: timedelta) -> None:
         new_notices = self._board.take(received, now)
         for dated in new_notices:
             self._on_new_notice(dated)
@@ -209,5 +209,5 @@
             self._send(address, message)
 
 
-def _notice_push(notices: list[Dated], now: timedelta) -> NoticesTold:
-    return NoticesTold(encode_notices(notices[:MAX_NOTICES_PER_MESSAGE], now))
+def _notice_push(notices: list[DatedNotice], now: timedelta) -> NoticePush:
+    return NoticePush(encode_notices(notices[:MAX_NOTICES_PER_MESSAGE], now))
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -10,14 +10,14 @@
 from cardamomloft.callers.exchange import Answer, RequestHead
 from cardamomloft.core.budgets import ColdLimit, RetryBudget
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.model import Refusal, RefusalReason
 from cardamomloft.core.naming import Names
 from cardamomloft.core.registrations import EntryRecord
 from cardamomloft.core.routes import RoutePlan
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.timekeeping import Timekeeper
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.timekeeping import ClockMonitor
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.calls import Call, CallerHeaders, Reader
 from cardamomloft.gateway.changefeed import ChangeFeed
 from cardamomloft.gateway.control import Control, Listing
@@ -121,15 +121,15 @@
         self._hard_stop: IDelayedCall | None = None
         self._reader: Reader | None = None
         self._logged_counters: Counter[str] = Counter()
-        self._timekeeper = Timekeeper(clock, _TICK)
+        self._timekeeper = ClockMonitor(clock, _TICK)
         self._build()
 
     def _build(self) -> None:
         cfg, clock, bounds = self._cfg, self._clock, self._bounds
         peers = cfg.get("peers", "")
         own = EntryRecord(cfg["name"], cfg["callers"], cfg["zone"], cfg["region"], peers)
-        self.book = UpstreamBook(cfg["zones"])
-        self.entries = EntryBook(own, bounds.retry_window)
+        self.book = UpstreamTable(cfg["zones"])
+        self.entries = EntryTable(own, bounds.retry_window)
         self._names = Names(self.entries)
         self.selector = Selector(
             self.book, cfg["name"], cfg["zone"], _cold_limit(cfg), Preferences()
@@ -213,7 +213,7 @@
         self.selector.cold = _cold_limit(self._cfg)
         for budget in self._budgets.values():
             budget.allow(*self._retry_budget_settings())
-        self.entries.memory = self._bounds.retry_window
+        self.entries.count_window = self._bounds.retry_window
         self.follower.timing = _poll_timing(self._bounds)
         self.feed.set_drain_time(self._bounds.drain_time)
         self.book.use_regions(self._cfg["zones"])
@@ -373,7 +373,7 @@
         self.noticing.tick()
 
     def _log_clock_irregularity(self) -> None:
-        found = self._timekeeper.look()
+        found = self._timekeeper.check()
         if found is not None:
             ms = timedelta(milliseconds=1)
             log("irregular-time", late_ms=found.late // ms, stepped_ms=found.stepped // ms)
--- a/packages/gateway/src/cardamomloft/gateway/noticing.py
+++ b/packages/gateway/src/cardamomloft/gateway/noticing.py
@@ -4,10 +4,10 @@
 from datetime import timedelta
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.notices import CrashUnderRequest, Dated, Notice, UpstreamLeaving
+from cardamomloft.core.notices import CrashUnderRequest, DatedNotice, Notice, UpstreamLeaving
 from cardamomloft.core.quarantine import Quarantine
-from cardamomloft.core.registrations import Life
-from cardamomloft.core.upstreambook import Upstream, UpstreamBook
+from cardamomloft.core.registrations import UpstreamIncarnation
+from cardamomloft.core.upstreamtable import Upstream, UpstreamTable
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 
@@ -30,7 +30,7 @@
         Sends notices to all gateways and applies them here.
     """
 
-    def __init__(self, clock: Clock, upstream_table: UpstreamBook, metrics: Metrics) -> None:
+    def __init__(self, clock: Clock, upstream_table: UpstreamTable, metrics: Metrics) -> None:
         self._clock = clock
         self._upstream_table = upstream_table
         self._metrics = metrics
@@ -50,7 +50,7 @@
         """Record that an upstream closed the connection of a request without an answer."""
         self._metrics.count("crashes_under_requests")
         now = self._clock.monotonic()
-        self.tell([self._quarantine.crashed(fingerprint, upstream.life, now)])
+        self.tell([self._quarantine.crashed(fingerprint, upstream.incarnation, now)])
 
     def record_answer(self, fingerprint: Callable[[], str]) -> None:
         """Record that a request was answered; its fingerprint is computed only if needed."""
@@ -60,16 +60,16 @@
     def record_leaving(self, upstream: Upstream) -> None:
         """Publish that an upstream is about to stop, unless that is known."""
         if not upstream.leaving:
-            self.tell([UpstreamLeaving(*upstream.life)])
+            self.tell([UpstreamLeaving(*upstream.incarnation)])
 
-    def apply(self, dated: Dated) -> None:
+    def apply(self, dated: DatedNotice) -> None:
         """Apply a notice of this or another gateway."""
         notice, at = dated
         match notice:
             case CrashUnderRequest():
                 self._apply_crash(notice, at)
             case UpstreamLeaving(id=upstream_id, started_ms=started_ms):
-                self._apply_leaving(Life(upstream_id, started_ms))
+                self._apply_leaving(UpstreamIncarnation(upstream_id, started_ms))
 
     def refused(self) -> list[str]:
         """Return the fingerprints of the quarantined requests."""
@@ -81,13 +81,13 @@
 
     def _apply_own(self, notices: Iterable[Notice]) -> None:
         for notice in notices:
-            self.apply(Dated(notice, self._clock.monotonic()))
+            self.apply(DatedNotice(notice, self._clock.monotonic()))
 
     def _apply_crash(self, notice: CrashUnderRequest, at: timedelta) -> None:
         if self._quarantine.apply(notice, at):
             self._metrics.count("requests_quarantined")
             log("request-quarantined", fingerprint=notice.fingerprint, upstream=notice.upstream)
 
-    def _apply_leaving(self, incarnation: Life) -> None:
+    def _apply_leaving(self, incarnation: UpstreamIncarnation) -> None:
         if self._upstream_table.leave(incarnation):
             log("upstream-leaving", id=incarnation.upstream_id, started_ms=incarnation.started_ms)
--- a/packages/gateway/src/cardamomloft/gateway/passage.py
+++ b/packages/gateway/src/cardamomloft/gateway/passage.py
@@ -16,7 +16,7 @@
 from cardamomloft.core.retries import may_retry
 from cardamomloft.core.selection import Choice, Reason
 from cardamomloft.core.touches import Touch
-from cardamomloft.core.upstreambook import LoadReport, Upstream
+from cardamomloft.core.upstreamtable import LoadReport, Upstream
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.outcomes import (
     EndpointStatus,
@@ -195,7 +195,7 @@
         if status.leaving:
             self._forwarder.noticing.record_leaving(upstream)
         if status.pause is not None:
-            upstream.alone_until = max(upstream.alone_until, self._now() + status.pause)
+            upstream.paused_until = max(upstream.paused_until, self._now() + status.pause)
         if status.load is not None:
             # This request still counts as in flight here, but no longer at the endpoint.
             own = max(0, upstream.in_flight - 1)
--- a/packages/gateway/src/cardamomloft/gateway/records.py
+++ b/packages/gateway/src/cardamomloft/gateway/records.py
@@ -12,7 +12,7 @@
 from cardamomloft.core.model import Refusal
 from cardamomloft.core.selection import Reason
 from cardamomloft.core.touches import Touch
-from cardamomloft.core.upstreambook import Upstream
+from cardamomloft.core.upstreamtable import Upstream
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.outcomes import EndpointStatus
 from cardamomloft.runtime.logs import log
--- a/packages/gateway/src/cardamomloft/gateway/relaying.py
+++ b/packages/gateway/src/cardamomloft/gateway/relaying.py
@@ -11,7 +11,7 @@
 from functools import singledispatchmethod
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.messages import ChangesAnswer, ChangesQuestion, Message
+from cardamomloft.core.messages import ChangesResponse, ChangesRequest, Message
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import EntryRecord, Fact
@@ -85,7 +85,7 @@
 
     requester: Incarnation
     address: str
-    request: ChangesQuestion
+    request: ChangesRequest
     arrived: timedelta
     timer: IDelayedCall
 
@@ -157,7 +157,7 @@
             (wait + timeout).total_seconds(), self._finish, number, Error(RelayFailure("no answer"))
         )
         self._pending[number] = _PendingRequest(relay, self._clock.monotonic(), done, timer)
-        request = ChangesQuestion(number, after.era, after.revision, wait // _MS)
+        request = ChangesRequest(number, after.era, after.revision, wait // _MS)
         if self.peers is None or not self.peers.send(relay.peers, request):
             self._finish(number, Error(RelayFailure("not sent")))
         return done
@@ -184,7 +184,7 @@
         self._metrics.count("peer_messages_of_another_kind")
 
     @_receive.register
-    def _(self, message: ChangesQuestion, sender: Incarnation) -> None:
+    def _(self, message: ChangesRequest, sender: Incarnation) -> None:
         address = self._address_of(sender.seat)
         if address is None:
             # The requester is not recorded here yet; without an answer it asks the store.
@@ -201,14 +201,14 @@
             self._release([held])
 
     @_receive.register
-    def _(self, message: ChangesAnswer, sender: Incarnation) -> None:
+    def _(self, message: ChangesResponse, sender: Incarnation) -> None:
         pending = self._pending.get(message.number)
         if pending is None or pending.relay.name != sender.seat:
             self._metrics.count("changes_answers_late")
             return
         self._finish(message.number, self._read(message, pending))
 
-    def _read(self, message: ChangesAnswer, pending: _PendingRequest) -> Outcome:
+    def _read(self, message: ChangesResponse, pending: _PendingRequest) -> Outcome:
         if message.facts is None:
             return Error(RelayFailure("the relay has no data yet"))
         match decode_facts(message.facts):
@@ -232,10 +232,10 @@
             pending.timer.cancel()
         pending.done.callback(outcome)
 
-    def _has_changes(self, request: ChangesQuestion) -> bool:
+    def _has_changes(self, request: ChangesRequest) -> bool:
         return self._table.since(Position(request.era, request.after)) != ()
 
-    def _on_hold_timeout(self, request: ChangesQuestion, requester: Incarnation) -> None:
+    def _on_hold_timeout(self, request: ChangesRequest, requester: Incarnation) -> None:
         self._release(
             [held for held in self._held if (held.request, held.requester) == (request, requester)]
         )
@@ -251,7 +251,7 @@
         age, table, request = self._age(), self._table, held.request
         changed = table.since(Position(request.era, request.after))
         facts = table.whole() if changed is None else changed
-        answer = ChangesAnswer(
+        answer = ChangesResponse(
             request.number,
             table.index.era,
             table.index.revision,
--- a/packages/gateway/src/cardamomloft/gateway/storeview.py
+++ b/packages/gateway/src/cardamomloft/gateway/storeview.py
@@ -10,7 +10,7 @@
 from functools import singledispatchmethod
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import (
     EntryRecorded,
@@ -24,10 +24,10 @@
     ZoneDrained,
     ZoneRestored,
 )
-from cardamomloft.core.restoration import DOUBT_TIME, missing_drains, sift
+from cardamomloft.core.restoration import CONFIRMATION_TIMEOUT, missing_drains, classify_facts
 from cardamomloft.core.routes import RoutePlan
 from cardamomloft.core.selection import Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.feed.changetable import FactKey, is_same, key_of
 from cardamomloft.gateway.control import Listing
 from cardamomloft.runtime.logs import Known, log
@@ -71,8 +71,8 @@
     def __init__(
         self,
         clock: Clock,
-        upstream_table: UpstreamBook,
-        entries: EntryBook,
+        upstream_table: UpstreamTable,
+        entries: EntryTable,
         selector: Selector,
         close_idle: Callable[[str], None],
         on_plan: Callable[[RoutePlan], None],
@@ -98,8 +98,8 @@
         self.take_changes(facts)
         upstreams = _listed_upstreams(listing.facts)
         entries = {fact.record.name for fact in facts if isinstance(fact, EntryRecorded)}
-        _log_gone(self._upstream_table.listed(upstreams, now))
-        self._entries.listed(entries, now)
+        _log_gone(self._upstream_table.withdraw_unlisted(upstreams, now))
+        self._entries.withdraw_unlisted(entries, now)
         for zone in missing_drains(listing.facts, self._upstream_table):
             if key_of(ZoneRestored(zone)) not in self._unconfirmed:
                 self._apply(ZoneRestored(zone))
@@ -116,13 +116,13 @@
         Records that the copy lacks are kept for a time, since their owners may write them again.
         """
         now = self._clock.monotonic()
-        self._upstream_table.expect_returns(now)
-        self._entries.expect_returns(now)
-        taken, unconfirmed = sift(listing.facts, self._upstream_table, self._entries)
+        self._upstream_table.start_grace_period(now)
+        self._entries.start_grace_period(now)
+        taken, unconfirmed = classify_facts(listing.facts, self._upstream_table, self._entries)
         drains = missing_drains(listing.facts, self._upstream_table)
         unconfirmed = (*unconfirmed, *map(ZoneRestored, sorted(drains)))
         self._unconfirmed = {
-            key_of(fact): _UnconfirmedFact(fact, now + DOUBT_TIME) for fact in unconfirmed
+            key_of(fact): _UnconfirmedFact(fact, now + CONFIRMATION_TIMEOUT) for fact in unconfirmed
         }
         self._metrics.count("stores_restored")
         self._metrics.count("doubted_facts", len(unconfirmed))
@@ -131,7 +131,7 @@
             era=listing.index.era,
             revision=listing.index.revision,
             doubted=[str(fact) for fact in unconfirmed[:MAX_UNCONFIRMED_LOGGED]],
-            doubted_ms=DOUBT_TIME // timedelta(milliseconds=1),
+            doubted_ms=CONFIRMATION_TIMEOUT // timedelta(milliseconds=1),
         )
         return taken
 
@@ -155,7 +155,7 @@
         withdrawn = _withdrawn(facts)
         if self._upstream_table.have_lapsed(withdrawn):
             log("registrations-lapsed", count=len(withdrawn), of=len(self._upstream_table))
-            self._upstream_table.expect_returns(self._clock.monotonic())
+            self._upstream_table.start_grace_period(self._clock.monotonic())
         for fact in facts:
             self._unconfirmed.pop(key_of(fact), None)
             self._apply(fact)
@@ -163,7 +163,7 @@
 
     def store_returned(self) -> None:
         """Record that the store has recovered: expired records may be written again."""
-        self._entries.expect_returns(self._clock.monotonic())
+        self._entries.start_grace_period(self._clock.monotonic())
 
     def tick(self) -> None:
         """Remove the records that were not written again in time, and apply confirmed facts."""
@@ -182,7 +182,7 @@
                 self._apply(unconfirmed.fact)
 
     def _update_selector_entries(self) -> None:
-        self._selector.entries = self._entries.sharing(self._clock.monotonic())
+        self._selector.entries = self._entries.max_recent_count(self._clock.monotonic())
         self._selector.others = [row.name for row in self._entries.records(with_own=False)]
 
     @singledispatchmethod
@@ -220,7 +220,7 @@
 
     @_apply.register
     def _(self, fact: UpstreamUnreadable) -> None:
-        used = self._upstream_table.hide(fact.id)
+        used = self._upstream_table.mark_unreadable(fact.id)
         if self._unreadable.is_new(fact.id, fact.detail):
             log("unreadable", upstream=fact.id, detail=fact.detail, was_used=used)
 
--- a/packages/gateway/tests/test_gossip.py
+++ b/packages/gateway/tests/test_gossip.py
@@ -5,10 +5,10 @@
 
 import pytest
 from cardamomloft.core.messages import (
-    ChangesQuestion,
-    ConfigurationTold,
-    NoticesCompared,
-    NoticesTold,
+    ChangesRequest,
+    ConfigurationPush,
+    NoticeDigest,
+    NoticePush,
 )
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.notices import CrashUnderRequest, UpstreamLeaving
@@ -204,12 +204,12 @@
     fleet = Fleet(2)
     member, stranger = fleet.members[0], Incarnation("stranger", "1")
     for message in (
-        NoticesTold(b"\xc1"),
-        NoticesCompared((), False, False, 0, ""),
-        NoticesCompared((1,) * 1000, True, False, 0, ""),
-        ConfigurationTold(b"x"),
-        ConfigurationTold(encode_facts([ZoneDrained("a")])),
-        ChangesQuestion(1, 0, 1, 1),
+        NoticePush(b"\xc1"),
+        NoticeDigest((), False, False, 0, ""),
+        NoticeDigest((1,) * 1000, True, False, 0, ""),
+        ConfigurationPush(b"x"),
+        ConfigurationPush(encode_facts([ZoneDrained("a")])),
+        ChangesRequest(1, 0, 1, 1),
     ):
         member.gossip.take(stranger, message)
     assert member.heard == []
@@ -252,4 +252,4 @@
     fleet.cut, fleet.loss = set(), 0.0
     fleet.run(2 * IN_TIME)
     now = fleet.time.clock.monotonic()
-    assert len({member.gossip._board.sums(now) for member in fleet.members}) == 1
+    assert len({member.gossip._board.checksums(now) for member in fleet.members}) == 1
--- a/packages/gateway/tests/test_heeding.py
+++ b/packages/gateway/tests/test_heeding.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 import pytest
-from cardamomloft.core.notices import REQUEST_LIFE
+from cardamomloft.core.notices import CRASH_RETENTION
 from cardamomloft.core.quarantine import RESTART_TIME
 from cardamomloft_standins import gateway as kit
 from cardamomloft_standins.carrying import (
@@ -27,7 +27,7 @@
     answer = bench.answer()
     assert answer.status == 503
     assert header(answer, "cardamomloft-reason") == "upstreams-crash-under-it"
-    left = REQUEST_LIFE - 2 * RESTART_TIME
+    left = CRASH_RETENTION - 2 * RESTART_TIME
     assert float(header(answer, "retry-after")) == pytest.approx(left.total_seconds())
     assert len(bench.client.sent) == 3
 
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 import pytest
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.registrations import (
     EntryRecord,
     EntryRecorded,
@@ -16,9 +16,9 @@
     ZoneDrained,
     ZoneRestored,
 )
-from cardamomloft.core.restoration import DOUBT_TIME
+from cardamomloft.core.restoration import CONFIRMATION_TIMEOUT
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.relays import relays_of
 from cardamomloft.feed.sources import Sources
@@ -52,9 +52,9 @@
 
     def __init__(self) -> None:
         self.time = kit.Time(Clock())
-        self.book = UpstreamBook({"a": "east", "b": "east"})
+        self.book = UpstreamTable({"a": "east", "b": "east"})
         own = EntryRecord("e-0", "10.0.0.1:80", "a", "east")
-        self.entries = EntryBook(own, timedelta(seconds=10))
+        self.entries = EntryTable(own, timedelta(seconds=10))
         selector = Selector(self.book, "e-0", "a", None, Preferences())
         self.plans = []
         self.metrics = Metrics()
@@ -124,7 +124,7 @@
     view.listed(up(1), entry)
     view.view.take_changes((UpstreamWithdrawn("i-1"), EntryWithdrawn(entry.record.name)))
     view.listed(up(1), entry, era=2)
-    view.pass_by(DOUBT_TIME - 200 * MS)
+    view.pass_by(CONFIRMATION_TIMEOUT - 200 * MS)
     if listed_again:
         view.listed(up(1), entry, era=2)
     assert (view.usable(), len(view.entries.records(with_own=False))) == ([], 0)
@@ -138,7 +138,7 @@
     view.view.take_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), era=2)
     view.view.take_changes((UpstreamWithdrawn("i-1"),))
-    view.pass_by(2 * DOUBT_TIME)
+    view.pass_by(2 * CONFIRMATION_TIMEOUT)
     assert view.usable() == []
 
 
@@ -148,7 +148,7 @@
     view.view.take_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), up(2), era=2)
     view.listed(up(2), era=2)
-    view.pass_by(2 * DOUBT_TIME)
+    view.pass_by(2 * CONFIRMATION_TIMEOUT)
     assert view.usable() == ["i-2"]
 
 
@@ -160,7 +160,7 @@
     view.pass_by(WRITTEN_AGAIN)
     assert view.usable() == []
     view.view.take_changes((ZoneDrained("a"),))
-    view.pass_by(2 * DOUBT_TIME)
+    view.pass_by(2 * CONFIRMATION_TIMEOUT)
     assert view.usable() == []
 
 
@@ -169,7 +169,7 @@
     view.listed(up(1), ZoneDrained("a"))
     view.listed(up(1), era=2)
     view.listed(up(1), era=2)
-    view.pass_by(DOUBT_TIME - 200 * MS)
+    view.pass_by(CONFIRMATION_TIMEOUT - 200 * MS)
     assert view.usable() == []
     view.pass_by(400 * MS)
     assert view.usable() == ["i-1"]
@@ -189,7 +189,7 @@
     view.listed(*records)
     view.listed(*records[:1], era=2)
     assert len(view.entries.records(with_own=True)) == 5
-    assert view.entries.sharing(view.time.clock.monotonic()) == 5
+    assert view.entries.max_recent_count(view.time.clock.monotonic()) == 5
 
 
 def test_without_eras_a_list_is_the_whole_truth():
@@ -273,7 +273,7 @@
         run.store.write(("zone", "c"), ZoneDrained("c"))
     run.run(DRAIN)
     assert {"c" in gateway.drained for gateway in run.gateways} == {True}
-    run.run(DOUBT_TIME)
+    run.run(CONFIRMATION_TIMEOUT)
     assert {frozenset(gateway.drained) for gateway in run.gateways} == {frozenset("c")}
 
 
@@ -388,7 +388,7 @@
     run.configure()
     run.run(DRAIN)
     assert run.late() == []
-    run.run(DOUBT_TIME)
+    run.run(CONFIRMATION_TIMEOUT)
     drained = {key[1] for key in run.store.held if key[0] == "zone"}
     for gateway in run.gateways:
         assert gateway.faults == []
--- a/scripts/slopes.py
+++ b/scripts/slopes.py
@@ -28,7 +28,7 @@
 import slopes_rules
 import slopes_store
 from cardamomloft.core.hints import MAX_REPORT_AGE
-from cardamomloft.core.membership import CACHED
+from cardamomloft.core.membership import CANDIDATE_CACHE_TTL
 from cardamomloft.core.shares import REVIEW
 from cardamomloft.entry import gossip, maps, node, steward, vms
 from cardamomloft.peers.node import MAX_LINKS
@@ -66,7 +66,7 @@
         "claims_per_s": min(defaults["claims_per_s"] * TARGET.entries, node.CLAIMS_PER_S),
         "digest_bytes": slopes_messages.DIGEST_BYTES,
         "gossip_targets": gossip.TARGETS,
-        "groups_kept_s": CACHED.total_seconds(),
+        "groups_kept_s": CANDIDATE_CACHE_TTL.total_seconds(),
         "ledger_bytes": defaults["ledger_bytes"],
         "ledger_entries": defaults["ledger_entries"],
         "load_every_s": defaults["load_every_ms"] / 1000,
--- a/standins/src/cardamomloft_standins/carrying.py
+++ b/standins/src/cardamomloft_standins/carrying.py
@@ -4,7 +4,7 @@
 from cardamomloft.callers.exchange import RequestHead
 from cardamomloft.core.budgets import ColdLimit, RetryBudget
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.calls import Reader
 from cardamomloft.gateway.forwarding import Forwarder
 from cardamomloft.gateway.noticing import Noticing
@@ -42,7 +42,7 @@
     def __init__(self, *outcomes, slack=1000.0, endpoints=4) -> None:
         self.time = kit.Time(Clock())
         self.client = kit.FakeClient(*outcomes)
-        self.book = UpstreamBook({"a": "east"})
+        self.book = UpstreamTable({"a": "east"})
         for number in range(endpoints):
             self.book.register(kit.registration(number), 0 * MS)
         self.selector = Selector(self.book, "e-0", "a", ColdLimit(1.5, 5), Preferences())
--- a/standins/src/cardamomloft_standins/experiment/policies.py
+++ b/standins/src/cardamomloft_standins/experiment/policies.py
@@ -9,11 +9,11 @@
 from cardamomloft.core.model import Refusal, RefusalReason
 from cardamomloft.core.routes import RouteRule
 from cardamomloft.core.selection import Choice, Preferences, Reason, Selector
-from cardamomloft.core.upstreambook import Upstream, UpstreamBook
+from cardamomloft.core.upstreamtable import Upstream, UpstreamTable
 
 from cardamomloft_standins.experiment.sharing import SharingSelector
 
-MakeSelector = Callable[[UpstreamBook, str, str, ColdLimit], Selector]
+MakeSelector = Callable[[UpstreamTable, str, str, ColdLimit], Selector]
 
 
 class _Plain(Selector):
@@ -32,7 +32,7 @@
         usable = [
             up
             for up in self._book.of_service(service)
-            if up.id not in tried and up.rest_until <= now
+            if up.id not in tried and up.ejected_until <= now
         ]
         if not usable:
             return Refusal(RefusalReason.OVERLOAD, "no endpoint is left")
--- a/standins/src/cardamomloft_standins/relayed.py
+++ b/standins/src/cardamomloft_standins/relayed.py
@@ -4,13 +4,13 @@
 import typing as t
 from datetime import timedelta
 
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.model import Incarnation
-from cardamomloft.core.notices import Dated
+from cardamomloft.core.notices import DatedNotice
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import EntryRecorded, EntryWithdrawn, PlanRead
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.feed.relays import relays_of
 from cardamomloft.gateway.changefeed import ChangeFeed
 from cardamomloft.gateway.control import Changes, Listing
@@ -185,14 +185,14 @@
     def __init__(self, record, store: Store, network: Network, time: kit.Time, seed: int) -> None:
         self.record, self.name, self.network = record, record.name, network
         self.me = Incarnation(record.name, str(seed))
-        self.entries = EntryBook(record, timedelta(seconds=10))
+        self.entries = EntryTable(record, timedelta(seconds=10))
         self.time = time
         self.plans: list[int] = [0]
         self.faults = []
         self.returns: list[timedelta] = []
         self.entries_gone: list[timedelta] = []
         self.stopped = False
-        self.notices: list[Dated] = []
+        self.notices: list[DatedNotice] = []
         network.gateways[record.peers] = self
         client = Client(store, self.name)
         metrics = self.metrics = Metrics()
@@ -210,7 +210,7 @@
             metrics,
         )
         self.feed.port.peers = self
-        self.book = UpstreamBook(dict.fromkeys("abc", record.region))
+        self.book = UpstreamTable(dict.fromkeys("abc", record.region))
         selector = Selector(self.book, self.name, record.zone, None, Preferences())
         self.view = StoreView(
             time.clock, self.book, self.entries, selector, _ignore, self._on_plan, metrics
--- a/standins/tests/test_experiment.py
+++ b/standins/tests/test_experiment.py
@@ -220,7 +220,7 @@
     first, second, *_ = [entry.selector for row in world.entries.values() for entry in row]
 
     def rests():
-        return [one._book.get("a1-0").rest_until for one in (first, second)]
+        return [one._book.get("a1-0").ejected_until for one in (first, second)]
 
     now = world.clock.monotonic()
     first.failed(first._book.get("a1-0"), now)
