--- a/packages/core/src/cardamomloft/core/budgets.py
+++ b/packages/core/src/cardamomloft/core/budgets.py
@@ -31,11 +31,11 @@
     """
 
     def __init__(self, ratio: float, slack: float, window: timedelta) -> None:
-        self.allow(ratio, slack, window)
+        self.set_limits(ratio, slack, window)
         self._requests: deque[timedelta] = deque()
         self._retries: deque[timedelta] = deque()
 
-    def allow(self, ratio: float, slack: float, window: timedelta) -> None:
+    def set_limits(self, ratio: float, slack: float, window: timedelta) -> None:
         """Replace the limits; requests and retries counted so far are kept."""
         self._ratio = ratio
         self._slack = slack
@@ -46,7 +46,7 @@
         self._requests.append(now)
         self._expire(now)
 
-    def may_repeat(self, entries: int, now: timedelta) -> bool:
+    def may_retry(self, entries: int, now: timedelta) -> bool:
         """Return whether one more retry fits within this entry's share.
 
         Parameters
--- a/packages/core/src/cardamomloft/core/touches.py
+++ b/packages/core/src/cardamomloft/core/cachestate.py
@@ -13,7 +13,7 @@
 """Pairs of endpoint and key that are tracked; the least recently used ones are dropped first."""
 
 
-class Touch(enum.StrEnum):
+class CacheState(enum.StrEnum):
     """Cache state of a key at an endpoint, as this entry sees it.
 
     `MISS`: no request for the key was sent there. `PENDING`: the first such request has not been
@@ -27,20 +27,20 @@
     NONE = "no-object"
 
 
-class Touches:
+class CacheTracker:
     """Tracks the keys that were sent to each endpoint; a new incarnation starts without any."""
 
     def __init__(self) -> None:
         self._answered: OrderedDict[tuple[str, int, str], bool] = OrderedDict()
 
-    def look(self, upstream: Upstream, key: str) -> Touch:
+    def state_of(self, upstream: Upstream, key: str) -> CacheState:
         """Return the cache state of `key` at `upstream`."""
         answered = self._answered.get(_pair(upstream, key))
         if answered is None:
-            return Touch.MISS
-        return Touch.HIT if answered else Touch.PENDING
+            return CacheState.MISS
+        return CacheState.HIT if answered else CacheState.PENDING
 
-    def sent(self, upstream: Upstream, key: str) -> None:
+    def record_sent(self, upstream: Upstream, key: str) -> None:
         """Record that a request for `key` is sent to `upstream`."""
         pair = _pair(upstream, key)
         self._answered.setdefault(pair, False)
@@ -48,11 +48,11 @@
         if len(self._answered) > MAX_TRACKED_PAIRS:
             self._answered.popitem(last=False)
 
-    def answered(self, upstream: Upstream, key: str) -> None:
+    def record_answer(self, upstream: Upstream, key: str) -> None:
         """Record that `upstream` has answered a request for `key`."""
         self._answered[_pair(upstream, key)] = True
 
-    def failed(self, upstream: Upstream, key: str) -> None:
+    def record_failure(self, upstream: Upstream, key: str) -> None:
         """Record that a request did not run, or that its outcome is unknown."""
         pair = _pair(upstream, key)
         if self._answered.get(pair) is False:
--- a/packages/core/src/cardamomloft/core/entrytable.py
+++ b/packages/core/src/cardamomloft/core/entrytable.py
@@ -3,7 +3,7 @@
 from collections import deque
 from datetime import timedelta
 
-from cardamomloft.core.recent import Recent
+from cardamomloft.core.recent import RecentSet
 from cardamomloft.core.registrations import RENEWAL_GRACE, EntryRecord
 
 MAX_GONE_ENTRIES = 5_000
@@ -33,7 +33,7 @@
         self.version = 0
         self._records: dict[str, EntryRecord] = {}
         self._missing: set[str] = set()
-        self._gone = Recent[str](MAX_GONE_ENTRIES)
+        self._gone = RecentSet[str](MAX_GONE_ENTRIES)
         self._grace_until = timedelta(0)
         self._count_history: deque[tuple[timedelta, int]] = deque()
 
--- a/packages/core/src/cardamomloft/core/quarantine.py
+++ b/packages/core/src/cardamomloft/core/quarantine.py
@@ -29,7 +29,7 @@
     def __len__(self) -> int:
         return len(self._crashes)
 
-    def crashed(self, fingerprint: str, life: UpstreamIncarnation, now: timedelta) -> CrashUnderRequest:
+    def crash_notice(self, fingerprint: str, life: UpstreamIncarnation, now: timedelta) -> CrashUnderRequest:
         """Return the notice that the upstream incarnation `life` crashed during the request."""
         number = 1
         for (upstream, started_ms, known), at in self._crashes.get(fingerprint, {}).items():
@@ -37,7 +37,7 @@
                 number = max(number, known + (now - at >= RESTART_TIME))
         return CrashUnderRequest(fingerprint, *life, number)
 
-    def answered(self, fingerprint: str) -> list[CrashUnderRequest]:
+    def clearing_notices(self, fingerprint: str) -> list[CrashUnderRequest]:
         """Return the notices that clear a request that has been answered."""
         return [
             CrashUnderRequest(fingerprint, *key, excused=True)
@@ -63,11 +63,11 @@
             return None
         return crashes[-CRASHES_TO_QUARANTINE] + CRASH_RETENTION
 
-    def refused(self, now: timedelta) -> list[str]:
+    def quarantined(self, now: timedelta) -> list[str]:
         """Return the fingerprints of the requests in quarantine."""
         return [each for each in self._crashes if self.refused_until(each, now) is not None]
 
-    def forget(self, now: timedelta) -> None:
+    def expire(self, now: timedelta) -> None:
         """Delete expired crashes."""
         for fingerprint, crashes in list(self._crashes.items()):
             if not _recent(crashes.values(), now):
--- a/packages/core/src/cardamomloft/core/ramping.py
+++ b/packages/core/src/cardamomloft/core/ramping.py
@@ -51,7 +51,7 @@
         return self.value
 
 
-class Selector:
+class WeightedRoundRobin:
     """Weighted round robin that distributes requests over places without randomness.
 
     It applies Tijdeman's algorithm for the chairman assignment problem: of the places that are not
@@ -95,7 +95,7 @@
         self.fractions: Fractions = dict(fractions)
         self.overflow = 0.0
         self._timer = StepTimer(now)
-        self._selector = Selector()
+        self._selector = WeightedRoundRobin()
         self._overflow_credit = 0.0
         self._overflow_wanted: timedelta | None = None
         self._reserves: dict[Priority, deque[str]] = {priority: deque() for priority in Priority}
--- a/packages/core/src/cardamomloft/core/recent.py
+++ b/packages/core/src/cardamomloft/core/recent.py
@@ -6,7 +6,7 @@
 T = t.TypeVar("T", bound=t.Hashable)
 
 
-class Recent(t.Generic[T]):
+class RecentSet(t.Generic[T]):
     """A set of at most `max_items` items; the items added longest ago are evicted first."""
 
     def __init__(self, max_items: int) -> None:
--- a/packages/core/src/cardamomloft/core/comeback.py
+++ b/packages/core/src/cardamomloft/core/retryafter.py
@@ -16,7 +16,7 @@
 retry at this point anyway."""
 
 
-class Waits(t.NamedTuple):
+class RetryAfterBounds(t.NamedTuple):
     """Bounds of the retry-after time without refusals, and when all requests are refused.
 
     Single slots become free within the first range. The second one is long enough for a short
@@ -29,14 +29,14 @@
     overload_max: timedelta = timedelta(milliseconds=2700)
 
 
-class ComeBack:
+class RetryAfterPolicy:
     """Retry-after times that one entry gives to the refused callers of one service."""
 
-    def __init__(self, waits: Waits) -> None:
+    def __init__(self, waits: RetryAfterBounds) -> None:
         self._waits = waits
         self._refused_fraction = 0.0
 
-    def note(self, refused: bool) -> None:
+    def record(self, refused: bool) -> None:
         """Record whether a request was refused."""
         self._refused_fraction += (refused - self._refused_fraction) / SMOOTHED_REQUESTS
 
--- a/packages/core/src/cardamomloft/core/selection.py
+++ b/packages/core/src/cardamomloft/core/selection.py
@@ -26,7 +26,7 @@
 from cardamomloft.core.ranks import EntryRanks
 from cardamomloft.core.routes import RouteRule, ServicePolicy
 from cardamomloft.core.sizes import BodySizes
-from cardamomloft.core.touches import Touch, Touches
+from cardamomloft.core.cachestate import CacheState, CacheTracker
 from cardamomloft.core.upstreamtable import LoadReport, Upstream, UpstreamTable
 from cardamomloft.core.zones import slot_weights
 
@@ -90,41 +90,41 @@
 
     Attributes
     ----------
-    choices
+    endpoints_per_key
         Number of endpoints that a key may use. Each endpoint caches a bounded number of keys, so
         a larger number causes cache evictions and slower answers under overload.
-    usual_load, least_load, most_load
+    default_load, min_load, max_load
         Load up to which a request waits at its primary endpoint. The bound follows from the
-        rule's target and the service time, and is kept between `least_load` and `most_load`;
-        `usual_load` applies while the service time is unknown.
-    second_load
+        rule's target and the service time, and is kept between `min_load` and `max_load`;
+        `default_load` applies while the service time is unknown.
+    secondary_load
         Load up to which a request overflows to its secondary endpoint, where it is usually a cache
         miss and evicts another key.
-    known_load
+    cached_load
         Load up to which a request prefers its secondary endpoint when it is a cache hit there and
         the primary is expected to answer later; 0 turns this off.
-    repeat_load
+    retry_load
         Load up to which another endpoint is given a retry.
     """
 
-    choices: int = 2
-    usual_load: float = 2.25
-    least_load: float = 1.5
-    most_load: float = 3.0
-    second_load: float = 0.5
-    known_load: float = 1.0
-    repeat_load: float = 1.0
+    endpoints_per_key: int = 2
+    default_load: float = 2.25
+    min_load: float = 1.5
+    max_load: float = 3.0
+    secondary_load: float = 0.5
+    cached_load: float = 1.0
+    retry_load: float = 1.0
 
 
 class Reason(enum.StrEnum):
     """Why an endpoint was chosen.
 
-    `Reason.HOME`: it is the primary endpoint of the key. `Reason.OVERFLOW`: the primary is full.
+    `Reason.PRIMARY`: it is the primary endpoint of the key. `Reason.OVERFLOW`: the primary is full.
     `Reason.MOVED`: the primary is ejected or cold. `Reason.RETRY`: another endpoint was tried
     before. `Reason.COLD`: only cold endpoints are available.
     """
 
-    HOME = "home"
+    PRIMARY = "home"
     OVERFLOW = "overflow"
     MOVED = "moved"
     RETRY = "repeat"
@@ -166,9 +166,9 @@
         The policy of each service.
     entries
         Number of entries that share the budgets.
-    sizes : BodySizes
+    body_sizes : BodySizes
         Body sizes of the requests of each rule.
-    touches : Touches
+    cache_states : CacheTracker
         Cache states of the keys at the endpoints.
     """
 
@@ -182,11 +182,11 @@
     ) -> None:
         self._book = book
         self._zone = zone
-        self.cold = cold_limit
+        self.cold_limit = cold_limit
         self._preferences = preferences
         self._rankings: dict[tuple[str, frozenset[str], bool], _Ranking] = {}
-        self.sizes = BodySizes()
-        self.touches = Touches()
+        self.body_sizes = BodySizes()
+        self.cache_states = CacheTracker()
         self.policies: Mapping[str, ServicePolicy] = {}
         self.entries = 1
         self._average_loads: dict[str, float] = {}
@@ -242,7 +242,7 @@
         if len(eligible) < len(order) * (1 - MAX_EJECTED_FRACTION):
             eligible = order
         warm = [up for up in eligible if up.cold_until <= now]
-        count = self._preferences.choices if rule.keyed else RANKED_ENDPOINTS
+        count = self._preferences.endpoints_per_key if rule.keyed else RANKED_ENDPOINTS
         untried = [up for up in warm if up.id not in tried][:count]
         chosen = None
         if rule.keyed and not tried and len(untried) > 1:
@@ -269,7 +269,7 @@
     ) -> Upstream | None:
         """Return the first endpoint in order that has room and is expected to answer in time."""
         preferences = self._preferences
-        other = preferences.repeat_load if is_retry else preferences.second_load
+        other = preferences.retry_load if is_retry else preferences.secondary_load
         for place, upstream in enumerate(warm):
             if upstream.full_until > now:
                 continue
@@ -291,14 +291,14 @@
         cached at its secondary endpoint only after its primary was full.
         """
         load = expected_load(secondary, now)
-        bound = self._preferences.known_load * secondary.registration.slots
+        bound = self._preferences.cached_load * secondary.registration.slots
         if load >= bound or secondary.full_until > now:
             return None
-        if self.touches.look(secondary, key) is not Touch.HIT:
+        if self.cache_states.state_of(secondary, key) is not CacheState.HIT:
             return None
         secondary_time = expected_time(secondary, load)
         primary_time = expected_time(primary, expected_load(primary, now))
-        if self.touches.look(primary, key) is Touch.MISS:
+        if self.cache_states.state_of(primary, key) is CacheState.MISS:
             primary_time *= CACHE_MISS_FACTOR
         return (
             secondary
@@ -319,15 +319,15 @@
         """Return the load, in multiples of the slots, at which an answer would miss its target."""
         preferences = self._preferences
         if not upstream.service_time:
-            return preferences.usual_load
-        return min(max(rule.target / upstream.service_time, preferences.least_load), preferences.most_load)
+            return preferences.default_load
+        return min(max(rule.target / upstream.service_time, preferences.min_load), preferences.max_load)
 
     def _cold_with_room(self, cold: list[Upstream], now: timedelta) -> Upstream | None:
         for upstream in cold:
             policy = self.policies.get(upstream.registration.service)
             rate = policy.cold_per_s if policy else 0.0
             rank = self._ranks.rank_for(upstream.id, upstream.seed)
-            allowance = cold_allowance(rate, self.cold, self.entries, rank)
+            allowance = cold_allowance(rate, self.cold_limit, self.entries, rank)
             if may_send_cold(upstream.cold_sends, allowance, now):
                 return upstream
         return None
@@ -343,7 +343,7 @@
         return found
 
     def _ranking(self, rule: RouteRule, service: str) -> "_Ranking":
-        large = self.sizes.has_large_bodies(rule.name)
+        large = self.body_sizes.has_large_bodies(rule.name)
         version = self._book.version(service)
         cached = self._rankings.get((service, rule.homes, large))
         if cached is not None and cached.version == version:
@@ -379,17 +379,17 @@
 
     # Feedback from requests.
 
-    def sent(self, upstream: Upstream, now: timedelta) -> None:
+    def record_sent(self, upstream: Upstream, now: timedelta) -> None:
         """Record that a request is sent to `upstream`."""
         upstream.in_flight += 1
         if upstream.cold_until > now:
             upstream.cold_sends.append(now)
 
-    def ended(self, upstream: Upstream) -> None:
+    def record_end(self, upstream: Upstream) -> None:
         """Record the end of a request, whatever its outcome."""
         upstream.in_flight -= 1
 
-    def reported(self, upstream: Upstream, report: LoadReport) -> None:
+    def record_report(self, upstream: Upstream, report: LoadReport) -> None:
         """Record a load report of an endpoint, and update the average load of its service."""
         upstream.report = report
         service = upstream.registration.service
@@ -397,7 +397,7 @@
         average = self._average_loads.get(service, 0.0)
         self._average_loads[service] = average + (load - average) * SMOOTHING_FACTOR
 
-    def answered(self, upstream: Upstream, took: timedelta, load: float) -> None:
+    def record_answer(self, upstream: Upstream, took: timedelta, load: float) -> None:
         """Record an answer, and update the service time of the endpoint.
 
         Parameters
@@ -417,12 +417,12 @@
             observed if average is None else average + (observed - average) * SMOOTHING_FACTOR
         )
 
-    def refused(self, upstream: Upstream, now: timedelta, *, had_room: bool) -> None:
+    def record_refusal(self, upstream: Upstream, now: timedelta, *, had_room: bool) -> None:
         """Record that the endpoint refused a request; `had_room` if it reported a free slot."""
         if not had_room:
             upstream.full_until = now + _FULL_TIME
 
-    def failed(self, upstream: Upstream, now: timedelta) -> None:
+    def record_failure(self, upstream: Upstream, now: timedelta) -> None:
         """Record a failed request, and eject the endpoint after consecutive failures."""
         upstream.failures += 1
         if upstream.failures >= _FAILURES_TO_EJECT:
@@ -436,7 +436,7 @@
     if is_retry:
         return Reason.RETRY
     if chosen is primary:
-        return Reason.HOME
+        return Reason.PRIMARY
     return Reason.MOVED if chosen is first_eligible else Reason.OVERFLOW
 
 
--- a/packages/core/src/cardamomloft/core/sizes.py
+++ b/packages/core/src/cardamomloft/core/sizes.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self._bytes: dict[str, float] = {}
 
-    def note(self, rule: str, size: int) -> None:
+    def record(self, rule: str, size: int) -> None:
         """Record the body size of one request in bytes."""
         average = self._bytes.get(rule, size)
         self._bytes[rule] = average + (size - average) * SMOOTHING_FACTOR
--- a/packages/core/src/cardamomloft/core/upstreamtable.py
+++ b/packages/core/src/cardamomloft/core/upstreamtable.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from cardamomloft.core.affinity import text_hash
-from cardamomloft.core.recent import Recent
+from cardamomloft.core.recent import RecentSet
 from cardamomloft.core.registrations import RENEWAL_GRACE, UpstreamIncarnation, Registration
 
 MIN_LAPSED = 3
@@ -140,8 +140,8 @@
         self._stale = False
         self._versions: Counter[str] = Counter()
         self._starts = _Starts()
-        self._leaving = Recent[UpstreamIncarnation](MAX_LEAVING)
-        self._gone = Recent[UpstreamIncarnation](MAX_LEAVING)
+        self._leaving = RecentSet[UpstreamIncarnation](MAX_LEAVING)
+        self._gone = RecentSet[UpstreamIncarnation](MAX_LEAVING)
         self._grace_until = timedelta(0)
         self._has_list = False
 
--- a/packages/core/tests/test_budgets.py
+++ b/packages/core/tests/test_budgets.py
@@ -23,7 +23,7 @@
         budget = rng.choice(budgets)
         budget.on_request(now)
         requests.append(now)
-        while budget.may_repeat(entries, now) and rng.random() < 0.9:
+        while budget.may_retry(entries, now) and rng.random() < 0.9:
             budget.spend(now)
             retries.append(now)
     assert retries
@@ -36,7 +36,7 @@
 def test_a_new_entry_gets_only_its_share_of_the_slack():
     budget = RetryBudget(0.2, 60, WINDOW)
     spent = 0
-    while budget.may_repeat(12, timedelta(0)):
+    while budget.may_retry(12, timedelta(0)):
         budget.spend(timedelta(0))
         spent += 1
     assert spent == 4
@@ -45,8 +45,8 @@
 def test_retries_expire_after_the_window():
     budget = RetryBudget(0.0, 2, WINDOW)
     budget.spend(timedelta(0))
-    assert not budget.may_repeat(1, WINDOW)
-    assert budget.may_repeat(1, WINDOW + MS)
+    assert not budget.may_retry(1, WINDOW)
+    assert budget.may_retry(1, WINDOW + MS)
 
 
 def _record(name: str) -> EntryRecord:
--- a/packages/core/tests/test_comeback.py
+++ b/packages/core/tests/test_comeback.py
@@ -4,17 +4,17 @@
 from datetime import timedelta
 
 import pytest
-from cardamomloft.core.comeback import ComeBack, Waits
+from cardamomloft.core.retryafter import RetryAfterPolicy, RetryAfterBounds
 
 MS = timedelta(milliseconds=1)
 LONG = timedelta(minutes=1)
-WAITS = Waits(100 * MS, 500 * MS, 900 * MS, 2500 * MS)
+WAITS = RetryAfterBounds(100 * MS, 500 * MS, 900 * MS, 2500 * MS)
 
 
-def _after(*refused: bool) -> ComeBack:
-    policy = ComeBack(WAITS)
+def _after(*refused: bool) -> RetryAfterPolicy:
+    policy = RetryAfterPolicy(WAITS)
     for each in refused:
-        policy.note(each)
+        policy.record(each)
     return policy
 
 
@@ -50,7 +50,7 @@
     100 callers arrive per second. There is room for 60 per second, and for 140 after four seconds;
     each refused caller retries once.
     """
-    rng, policy = random.Random(seed), ComeBack(Waits())
+    rng, policy = random.Random(seed), RetryAfterPolicy(RetryAfterBounds())
     returns, served, refused = [], 0, 0
     for tick in range(200):
         now = tick * 0.05
@@ -59,9 +59,9 @@
         returns = [at for at in returns if at > now]
         served += min(len(returned), room)
         fresh_room = max(0, room - len(returned))
-        used = policy if adaptive else ComeBack(Waits())
+        used = policy if adaptive else RetryAfterPolicy(RetryAfterBounds())
         for caller in range(5):
-            policy.note(caller >= fresh_room)
+            policy.record(caller >= fresh_room)
             if caller >= fresh_room:
                 refused += 1
                 returns.append(now + used.wait(rng.random(), LONG).total_seconds())
--- a/packages/core/tests/test_quarantine.py
+++ b/packages/core/tests/test_quarantine.py
@@ -12,7 +12,7 @@
 
 
 def crash(quarantine, fingerprint, upstream, now=NOW, started_ms=0):
-    return quarantine.apply(quarantine.crashed(fingerprint, UpstreamIncarnation(upstream, started_ms), now), now)
+    return quarantine.apply(quarantine.crash_notice(fingerprint, UpstreamIncarnation(upstream, started_ms), now), now)
 
 
 def test_a_request_is_quarantined_after_three_crashes():
@@ -20,7 +20,7 @@
     assert [crash(quarantine, "f", f"i-{n}") for n in range(4)] == [False, False, True, False]
     assert quarantine.refused_until("f", NOW) == NOW + CRASH_RETENTION
     assert quarantine.refused_until("g", NOW) is None
-    assert quarantine.refused(NOW) == ["f"]
+    assert quarantine.quarantined(NOW) == ["f"]
 
 
 def test_two_crashes_are_not_enough():
@@ -51,11 +51,11 @@
     for upstream in ("i-1", "i-2"):
         crash(quarantine, "harmless", upstream)
         crash(quarantine, "poison", upstream)
-    for notice in quarantine.answered("harmless"):
+    for notice in quarantine.clearing_notices("harmless"):
         quarantine.apply(notice, NOW)
     for fingerprint in ("harmless", "poison"):
         crash(quarantine, fingerprint, "i-3")
-    assert quarantine.refused(NOW) == ["poison"]
+    assert quarantine.quarantined(NOW) == ["poison"]
 
 
 def test_a_late_notice_of_an_answer_ends_the_quarantine():
@@ -76,5 +76,5 @@
     assert until == NOW + 1000 * MS + CRASH_RETENTION
     assert quarantine.refused_until("f", until - MS) == until
     assert quarantine.refused_until("f", until) is None
-    quarantine.forget(NOW + 3000 * MS + CRASH_RETENTION)
+    quarantine.expire(NOW + 3000 * MS + CRASH_RETENTION)
     assert not quarantine
--- a/packages/core/tests/test_selection.py
+++ b/packages/core/tests/test_selection.py
@@ -85,7 +85,7 @@
     selector = Selector(book, "e-0", "a", ColdLimit(1.5, 5), Preferences())
     zones = Counter(_choose(selector, str(key)).registration.zone for key in range(200))
     assert zones["b"] > 60
-    selector.sizes.note("menus", 60_000)
+    selector.body_sizes.record("menus", 60_000)
     assert {_choose(selector, str(key)).registration.zone for key in range(200)} == {"a"}
 
 
@@ -124,7 +124,7 @@
     """Its keys use their secondary endpoint up to the overflow bound, and return after 60 ms."""
     selector = _selector()
     primary = _choose(selector)
-    selector.refused(primary, NOW, had_room=False)
+    selector.record_refusal(primary, NOW, had_room=False)
     secondary = _choose(selector)
     assert secondary is not primary
     _fill(secondary, 2)
@@ -136,13 +136,13 @@
     """Such an endpoint sheds load; elsewhere its keys would be cache misses."""
     selector = _selector()
     primary = _choose(selector)
-    selector.refused(primary, NOW, had_room=True)
+    selector.record_refusal(primary, NOW, had_room=True)
     assert _choose(selector) is primary
 
 
 def _mark_cached(selector: Selector, upstream, key: str = "17") -> None:
-    selector.touches.sent(upstream, key)
-    selector.touches.answered(upstream, key)
+    selector.cache_states.record_sent(upstream, key)
+    selector.cache_states.record_answer(upstream, key)
 
 
 def _primary_and_secondary(selector: Selector):
@@ -191,7 +191,7 @@
     primary, secondary = _primary_and_secondary(selector)
     _mark_cached(selector, secondary)
     _fill(primary, 6)
-    selector.refused(secondary, NOW, had_room=False)
+    selector.record_refusal(secondary, NOW, had_room=False)
     assert _choose(selector) is primary
 
 
@@ -233,7 +233,7 @@
 def test_a_request_that_cannot_be_answered_in_time_is_refused():
     selector = _selector(near=1, far=0)
     primary = _choose(selector)
-    selector.answered(primary, 600 * MS, 0)
+    selector.record_answer(primary, 600 * MS, 0)
     assert _choose(selector) is primary
     _fill(primary, 7)
     assert isinstance(_choose(selector), Refusal)
@@ -242,7 +242,7 @@
 def test_waiting_time_does_not_count_as_service_time():
     selector = _selector()
     primary = _choose(selector)
-    selector.answered(primary, 300 * MS, 7)
+    selector.record_answer(primary, 300 * MS, 7)
     assert primary.service_time == 150 * MS
 
 
@@ -286,12 +286,12 @@
 def test_an_endpoint_is_ejected_after_failures_and_tried_again():
     selector = _selector()
     primary = _choose(selector)
-    selector.failed(primary, NOW)
+    selector.record_failure(primary, NOW)
     assert _choose(selector) is primary
-    selector.failed(primary, NOW)
+    selector.record_failure(primary, NOW)
     assert _choose(selector) is not primary
     assert _choose(selector, now=NOW + timedelta(seconds=5)) is primary
-    selector.answered(primary, 150 * MS, 0)
+    selector.record_answer(primary, 150 * MS, 0)
     assert _choose(selector) is primary
 
 
@@ -299,7 +299,7 @@
     selector = _selector()
     for upstream in selector._book.of_service("menus"):
         for _ in range(3):
-            selector.failed(upstream, NOW)
+            selector.record_failure(upstream, NOW)
     assert not isinstance(_choose(selector), Refusal)
 
 
@@ -328,7 +328,7 @@
             selector.entries = entries
             chosen = _choose(selector, now=now)
             if not isinstance(chosen, Refusal):
-                selector.sent(chosen, now)
+                selector.record_sent(chosen, now)
                 sent.append(now)
     max_rate = max(sum(1 for at in sent if start <= at < start + 1000 * MS) for start in sent)
     assert 0 < max_rate <= limit
@@ -394,7 +394,7 @@
     """Report the same load everywhere, often enough to raise the average load."""
     for upstream in selector._book.all():
         for _ in range(5):
-            selector.reported(upstream, LoadReport(load, 0, 4, own=0, at=NOW))
+            selector.record_report(upstream, LoadReport(load, 0, 4, own=0, at=NOW))
 
 
 def test_a_secondary_without_a_fresh_report_is_assumed_to_have_an_average_load():
@@ -448,7 +448,7 @@
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, ZERO)
         book.register(row, NOW)
     selector = Selector(book, "e-0", "a", ColdLimit(1.5, 5), Preferences())
-    selector.sizes.note(RULE.name, 60_000)
+    selector.body_sizes.record(RULE.name, 60_000)
     chosen = [_choose(selector, str(key)) for key in range(200)]
     assert ({up.registration.zone for up in chosen} == {"a"}) == stays
     assert {up.region for up in chosen} == {"east"}
@@ -457,6 +457,6 @@
 def test_a_zone_that_loses_an_endpoint_keeps_its_large_bodies():
     selector = _selector(near=2, far=2)
     selector._book.withdraw("i-3", NOW)
-    selector.sizes.note(RULE.name, 60_000)
+    selector.body_sizes.record(RULE.name, 60_000)
     chosen = [_choose(selector, str(key)) for key in range(100)]
     assert {up.registration.zone for up in chosen} == {"a"}
--- a/packages/gateway/src/cardamomloft/gateway/forwarding.py
+++ b/packages/gateway/src/cardamomloft/gateway/forwarding.py
@@ -9,7 +9,7 @@
 from cardamomloft.callers.exchange import Answer, RequestHead, failed, to_answer, with_fractions
 from cardamomloft.core.budgets import RetryBudget
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.comeback import ComeBack, Waits
+from cardamomloft.core.retryafter import RetryAfterPolicy, RetryAfterBounds
 from cardamomloft.core.model import Refusal, RefusalReason
 from cardamomloft.core.selection import Selector
 from cardamomloft.core.upstreamtable import UpstreamTable
@@ -78,7 +78,7 @@
         self.metrics = metrics
         self.records = records
         self.noticing = notice_handler
-        self._retry_after_policies: dict[str, ComeBack] = {}
+        self._retry_after_policies: dict[str, RetryAfterPolicy] = {}
 
     async def carry(
         self, call: Call, head: RequestHead, body: RequestBody, disconnected: "Deferred[None]"
@@ -107,7 +107,7 @@
             self.records.write(call, "refused", self.clock.monotonic(), detail=payload.detail)
             return self.refuse(payload)
         size = len(payload) if isinstance(payload, bytes) else t.cast(int, payload.length)
-        self.selector.sizes.note(call.rule.name, size)
+        self.selector.body_sizes.record(call.rule.name, size)
         return await Passage(self, call, head, payload, caller).run()
 
     def record_caller_left(self, call: Call, sends: Sequence[SendNote]) -> Answer:
@@ -147,7 +147,7 @@
         self.metrics.count(f"refused.{refusal.reason}")
         if refusal.retry_after is None and refusal.reason not in _NOT_RETRYABLE:
             if wait is None:
-                wait = ComeBack(Waits()).wait(self.rng.random(), _DEFAULT_CALLER_WAIT)
+                wait = RetryAfterPolicy(RetryAfterBounds()).wait(self.rng.random(), _DEFAULT_CALLER_WAIT)
             refusal = refusal._replace(retry_after=wait)
         return with_fractions(to_answer(refusal))
 
@@ -157,11 +157,11 @@
             self.rng.random(), call.caller_deadline - now
         )
 
-    def retry_after_policy(self, service: str) -> ComeBack:
+    def retry_after_policy(self, service: str) -> RetryAfterPolicy:
         """Return the retry-after policy of a service."""
         policy = self._retry_after_policies.get(service)
         if policy is None:
-            policy = self._retry_after_policies[service] = ComeBack(Waits())
+            policy = self._retry_after_policies[service] = RetryAfterPolicy(RetryAfterBounds())
         return policy
 
 
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -210,9 +210,9 @@
         free = {name: value for name, value in cfg.items() if name not in RESTART_SETTINGS}
         self._cfg = t.cast(GatewaySettings, {**free, **kept})
         self._bounds = parse_bounds(self._cfg)
-        self.selector.cold = _cold_limit(self._cfg)
+        self.selector.cold_limit = _cold_limit(self._cfg)
         for budget in self._budgets.values():
-            budget.allow(*self._retry_budget_settings())
+            budget.set_limits(*self._retry_budget_settings())
         self.entries.count_window = self._bounds.retry_window
         self.follower.timing = _poll_timing(self._bounds)
         self.feed.set_drain_time(self._bounds.drain_time)
--- a/packages/gateway/src/cardamomloft/gateway/noticing.py
+++ b/packages/gateway/src/cardamomloft/gateway/noticing.py
@@ -50,12 +50,12 @@
         """Record that an upstream closed the connection of a request without an answer."""
         self._metrics.count("crashes_under_requests")
         now = self._clock.monotonic()
-        self.tell([self._quarantine.crashed(fingerprint, upstream.incarnation, now)])
+        self.tell([self._quarantine.crash_notice(fingerprint, upstream.incarnation, now)])
 
     def record_answer(self, fingerprint: Callable[[], str]) -> None:
         """Record that a request was answered; its fingerprint is computed only if needed."""
         if self._quarantine:
-            self.tell(self._quarantine.answered(fingerprint()))
+            self.tell(self._quarantine.clearing_notices(fingerprint()))
 
     def record_leaving(self, upstream: Upstream) -> None:
         """Publish that an upstream is about to stop, unless that is known."""
@@ -73,11 +73,11 @@
 
     def refused(self) -> list[str]:
         """Return the fingerprints of the quarantined requests."""
-        return self._quarantine.refused(self._clock.monotonic())
+        return self._quarantine.quarantined(self._clock.monotonic())
 
     def tick(self) -> None:
         """Discard expired entries; call it periodically."""
-        self._quarantine.forget(self._clock.monotonic())
+        self._quarantine.expire(self._clock.monotonic())
 
     def _apply_own(self, notices: Iterable[Notice]) -> None:
         for notice in notices:
--- a/packages/gateway/src/cardamomloft/gateway/passage.py
+++ b/packages/gateway/src/cardamomloft/gateway/passage.py
@@ -15,7 +15,7 @@
 from cardamomloft.core.model import Endpoint, Refusal, RefusalReason
 from cardamomloft.core.retries import may_retry
 from cardamomloft.core.selection import Choice, Reason
-from cardamomloft.core.touches import Touch
+from cardamomloft.core.cachestate import CacheState
 from cardamomloft.core.upstreamtable import LoadReport, Upstream
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.outcomes import (
@@ -123,13 +123,13 @@
         self._deliveries += 1
         load = expected_load(upstream, now)
         report_age = None if upstream.report is None else now - upstream.report.at
-        selector.sent(upstream, now)
+        selector.record_sent(upstream, now)
         try:
             result = await self._forwarder.client.send(self._request_for(upstream, now))
             status = self._apply_status(upstream, result)
             outcome = await read_outcome(result, status, self._dialect, self._is_late)
         finally:
-            selector.ended(upstream)
+            selector.record_end(upstream)
         self._record_outcome(upstream, outcome, now, load)
         took = self._now() - now
         self._record_cache_outcome(upstream, cache_state, outcome, took)
@@ -140,28 +140,28 @@
         self._sends.append(note)
         return outcome
 
-    def _record_cache_access(self, upstream: Upstream, reason: Reason) -> Touch:
+    def _record_cache_access(self, upstream: Upstream, reason: Reason) -> CacheState:
         forwarder, call = self._forwarder, self._call
-        cache_state = Touch.NONE
+        cache_state = CacheState.NONE
         if call.rule.keyed:
-            cache_state = forwarder.selector.touches.look(upstream, call.key)
-            forwarder.selector.touches.sent(upstream, call.key)
+            cache_state = forwarder.selector.cache_states.state_of(upstream, call.key)
+            forwarder.selector.cache_states.record_sent(upstream, call.key)
         forwarder.metrics.count(f"sends.{reason}.{call.service}")
         forwarder.metrics.count(f"touch.{cache_state}.{call.service}")
         return cache_state
 
     def _record_cache_outcome(
-        self, upstream: Upstream, cache_state: Touch, outcome: Outcome, took: timedelta
+        self, upstream: Upstream, cache_state: CacheState, outcome: Outcome, took: timedelta
     ) -> None:
         forwarder, call = self._forwarder, self._call
         if isinstance(outcome, Served):
             forwarder.metrics.observe(f"{call.service}.{cache_state}", took)
-        if cache_state is Touch.NONE:
+        if cache_state is CacheState.NONE:
             return
         if isinstance(outcome, Served):
-            forwarder.selector.touches.answered(upstream, call.key)
+            forwarder.selector.cache_states.record_answer(upstream, call.key)
         else:
-            forwarder.selector.touches.failed(upstream, call.key)
+            forwarder.selector.cache_states.record_failure(upstream, call.key)
 
     def _request_for(self, upstream: Upstream, now: timedelta) -> UpstreamRequest:
         call, row = self._call, upstream.registration
@@ -200,7 +200,7 @@
             # This request still counts as in flight here, but no longer at the endpoint.
             own = max(0, upstream.in_flight - 1)
             report = LoadReport(*status.load, own=own, at=self._now())
-            self._selector.reported(upstream, report)
+            self._selector.record_report(upstream, report)
         return status
 
     def _record_outcome(
@@ -210,11 +210,11 @@
         match outcome:
             case Served(faulty=True):
                 self._may_have_run = True
-                self._selector.failed(upstream, now)
+                self._selector.record_failure(upstream, now)
                 self._forwarder.noticing.record_answer(self._get_fingerprint)
             case Served():
                 self._forwarder.noticing.record_answer(self._get_fingerprint)
-                self._selector.answered(upstream, now - sent_at, load)
+                self._selector.record_answer(upstream, now - sent_at, load)
             case Refused(misdirected=True):
                 self._forwarder.upstream_table.mark_leaving(upstream)
                 self._forwarder.records.write(self._call, "misdirected", now, upstream=upstream)
@@ -222,7 +222,7 @@
                 self._forwarder.metrics.count(
                     f"refused-there.{'with-room' if had_room else 'full'}"
                 )
-                self._selector.refused(upstream, now, had_room=had_room)
+                self._selector.record_refusal(upstream, now, had_room=had_room)
             case Failed() if self._caller.disconnected:
                 # The send was cancelled here, which says nothing about the endpoint.
                 self._may_have_run = True
@@ -230,7 +230,7 @@
                 self._connection_lost = self._connection_lost or outcome.cut
                 self._deliveries -= outcome.not_run
                 self._may_have_run = self._may_have_run or not outcome.not_run
-                self._selector.failed(upstream, now)
+                self._selector.record_failure(upstream, now)
                 if outcome.cut:
                     self._forwarder.noticing.record_crash(self._fingerprint, upstream)
 
@@ -244,7 +244,7 @@
             call.rule.idempotent, not_run, attempts, call.until - now, MIN_TIME_LEFT
         )
         entries = self._selector.entries
-        return allowed and (not self._deliveries or self._budget.may_repeat(entries, now))
+        return allowed and (not self._deliveries or self._budget.may_retry(entries, now))
 
     # Final answer.
 
@@ -256,7 +256,7 @@
 
     def _finish_served(self, outcome: Served) -> Answer:
         forwarder, now = self._forwarder, self._now()
-        forwarder.retry_after_policy(self._call.service).note(False)
+        forwarder.retry_after_policy(self._call.service).record(False)
         forwarder.metrics.count("complete")
         forwarder.metrics.observe(self._call.service, now - self._call.arrived)
         status = outcome.answer.status
@@ -266,7 +266,7 @@
     def _finish_unserved(self, last: Outcome | None, refusal: Refusal | None) -> Answer:
         forwarder, now = self._forwarder, self._now()
         if refusal is None or refusal.reason is not RefusalReason.QUARANTINED:
-            forwarder.retry_after_policy(self._call.service).note(not self._may_have_run)
+            forwarder.retry_after_policy(self._call.service).record(not self._may_have_run)
         detail = refusal.detail if refusal is not None else getattr(last, "detail", "")
         outcome = "refused"
         if self._may_have_run:
--- a/packages/gateway/src/cardamomloft/gateway/records.py
+++ b/packages/gateway/src/cardamomloft/gateway/records.py
@@ -11,7 +11,7 @@
 from cardamomloft.callers.exchange import RequestHead
 from cardamomloft.core.model import Refusal
 from cardamomloft.core.selection import Reason
-from cardamomloft.core.touches import Touch
+from cardamomloft.core.cachestate import CacheState
 from cardamomloft.core.upstreamtable import Upstream
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.outcomes import EndpointStatus
@@ -36,7 +36,7 @@
 
     endpoint: str
     reason: Reason
-    cache_state: Touch
+    cache_state: CacheState
     load: float
     slots: int
     report_age: timedelta | None
--- a/packages/upstreams/src/cardamomloft/upstreams/dialect.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/dialect.py
@@ -27,7 +27,7 @@
         Request headers: the id, which the answer may echo, and the remaining milliseconds.
     not_run
         Answer header of a definite refusal; its value is ``1``.
-    refusing
+    refusal_statuses
         Statuses that are a definite refusal in combination with `not_run`.
     misdirected
         Status with which an endpoint refuses a request meant for another incarnation, or None.
@@ -39,26 +39,26 @@
         Answer header with the endpoint's load as ``running,waiting,slots``, or None.
     close_ends_body
         Whether a body without a length is complete when its connection is closed cleanly.
-    reuses
+    reuse_always
         Whether idle connections are reused for non-idempotent requests as well.
     """
 
     request_id: str = REQUEST_ID_HEADER
     deadline_ms: str = DEADLINE_HEADER
     not_run: str = NOT_RUN_HEADER
-    refusing: frozenset[int] = frozenset({SHED_STATUS})
+    refusal_statuses: frozenset[int] = frozenset({SHED_STATUS})
     misdirected: int | None = None
     expected: str | None = None
     leaving: str = LEAVING_HEADER
     load: str | None = None
     close_ends_body: bool = False
-    reuses: bool = False
+    reuse_always: bool = False
 
     def is_refusal(self, status: int, not_run: str | None) -> bool:
         """Return whether an answer proves that the request was not run."""
         if status == self.misdirected:
             return True
-        return status in self.refusing and not_run == "1"
+        return status in self.refusal_statuses and not_run == "1"
 
 
 class HeaderLoad(t.NamedTuple):
--- a/standins/src/cardamomloft_standins/experiment/policies.py
+++ b/standins/src/cardamomloft_standins/experiment/policies.py
@@ -36,7 +36,7 @@
         ]
         if not usable:
             return Refusal(RefusalReason.OVERLOAD, "no endpoint is left")
-        return Choice(min(usable, key=lambda up: self.rank(up, key, now)), Reason.HOME)
+        return Choice(min(usable, key=lambda up: self.rank(up, key, now)), Reason.PRIMARY)
 
     def rank(self, upstream: Upstream, key: str, now: timedelta) -> t.Any:
         """Return what the least of is chosen."""
@@ -67,13 +67,13 @@
     return lambda book, name, zone, cold: kind(book, name, zone, cold, preferences)
 
 
-_UNBOUNDED = Preferences(usual_load=99, least_load=99, most_load=99)
+_UNBOUNDED = Preferences(default_load=99, min_load=99, max_load=99)
 
 POLICIES: dict[str, MakeSelector] = {
     "product": _made_by(Selector, Preferences()),
-    "eager-second": _made_by(Selector, Preferences(second_load=1.0)),
-    "first-only": _made_by(Selector, Preferences(known_load=0.0)),
-    "one-choice": _made_by(Selector, Preferences(choices=1)),
+    "eager-second": _made_by(Selector, Preferences(secondary_load=1.0)),
+    "first-only": _made_by(Selector, Preferences(cached_load=0.0)),
+    "one-choice": _made_by(Selector, Preferences(endpoints_per_key=1)),
     "hash-unbounded": _made_by(Selector, _UNBOUNDED),
     "shared-failures": _made_by(SharingSelector, Preferences()),
     "nearest": _made_by(Nearest, Preferences()),
--- a/standins/src/cardamomloft_standins/experiment/sharing.py
+++ b/standins/src/cardamomloft_standins/experiment/sharing.py
@@ -38,13 +38,13 @@
         """Tell `others` from now on."""
         self._loop, self._others = loop, others
 
-    def failed(self, upstream: Upstream, now: timedelta) -> None:
+    def record_failure(self, upstream: Upstream, now: timedelta) -> None:
         """Note a failure here, and tell the others."""
         self._tell(upstream.id, now, failed=True)
 
-    def answered(self, upstream: Upstream, took: timedelta, load: float) -> None:
+    def record_answer(self, upstream: Upstream, took: timedelta, load: float) -> None:
         """Note an answer here, and tell the others if the endpoint is suspected."""
-        super().answered(upstream, took, load)
+        super().record_answer(upstream, took, load)
         if self._suspicions.is_suspected(_life_of(upstream)):
             self._tell(upstream.id, timedelta(seconds=self._loop.seconds()), failed=False)
 
