--- a/packages/core/src/cardamomloft/core/accounts.py
+++ b/packages/core/src/cardamomloft/core/accounts.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from cardamomloft.core.limits import Limit, LimitKind
-from cardamomloft.core.loans import Lendings, Loans
+from cardamomloft.core.loans import GrantedLoans, BorrowedLoans
 from cardamomloft.core.ownership import Ownership
 
 PEAK_WINDOW = timedelta(milliseconds=100)
@@ -44,7 +44,7 @@
     """
 
     __slots__ = (
-        "lendings",
+        "granted_loans",
         "limit",
         "loans",
         "ownership",
@@ -61,18 +61,18 @@
         self.wanted = 0
         self.peak = 0
         self.peak_at = _ZERO
-        self.lendings: Lendings | None = None
-        self.loans: Loans | None = None
+        self.granted_loans: GrantedLoans | None = None
+        self.loans: BorrowedLoans | None = None
 
     @property
     def lent(self) -> int:
         """Own units lent to others."""
-        return self.lendings.lent if self.lendings else 0
+        return self.granted_loans.lent if self.granted_loans else 0
 
     @property
     def is_busy(self) -> bool:
         """Whether anything is in use, lent or borrowed."""
-        return bool(self.used or self.lendings or self.loans)
+        return bool(self.used or self.granted_loans or self.loans)
 
     def is_clear(self, now: timedelta) -> bool:
         """Return whether no loans are open and no use by an earlier incarnation can remain."""
--- a/packages/core/src/cardamomloft/core/claims.py
+++ b/packages/core/src/cardamomloft/core/claims.py
@@ -110,7 +110,7 @@
         self._tokens -= 1.0
         return True
 
-    def limit(self, per_second: float) -> None:
+    def set_rate(self, per_second: float) -> None:
         """Set the rate in writes per second; saved tokens are cut to the new burst size."""
         self._per_second = per_second
         self._tokens = min(self._tokens, max(1.0, per_second))
--- a/packages/core/src/cardamomloft/core/ledger.py
+++ b/packages/core/src/cardamomloft/core/ledger.py
@@ -113,7 +113,7 @@
     ----------
     clock
         Only its monotonic time is used.
-    max_entries
+    max_operations
         Maximum number of operations held.
     max_bytes
         Maximum memory. An operation counts with :data:`OPERATION_OVERHEAD_BYTES`, its id and its
@@ -129,7 +129,7 @@
         self,
         clock: Clock,
         *,
-        max_entries: int,
+        max_operations: int,
         max_bytes: int,
         max_answer_bytes: int = MAX_ANSWER_BYTES,
         grace: timedelta = EXPIRY_GRACE,
@@ -137,7 +137,7 @@
         if grace <= timedelta(0):
             raise ValueError(f"grace must be positive, got {grace}")
         self._clock = clock
-        self._max_entries = max_entries
+        self._max_operations = max_operations
         self._max_bytes = max_bytes
         self._max_answer_bytes = max_answer_bytes
         self._grace = grace
@@ -155,7 +155,7 @@
         """Bytes counted against `max_bytes`."""
         return self._bytes
 
-    def look(self, operation: str, fingerprint: str) -> Result[OperationStatus | None, Refusal]:
+    def lookup(self, operation: str, fingerprint: str) -> Result[OperationStatus | None, Refusal]:
         """Return the status of an operation without beginning it; None if it is not held."""
         self._evict()
         record = self._records.get(operation)
@@ -192,7 +192,7 @@
             that is not held is refused; `grace` later its outcome is unknown, because the ledger
             may have evicted it.
         """
-        found = self.look(operation, fingerprint)
+        found = self.lookup(operation, fingerprint)
         if found.is_error() or found.ok is not None:
             return found
         now = self._clock.monotonic()
@@ -201,7 +201,7 @@
         if now >= expires:
             return Error(Refusal(RefusalReason.EXPIRED, "the id has expired and was not run"))
         charged_bytes = OPERATION_OVERHEAD_BYTES + len(operation) + self._max_answer_bytes
-        if len(self._records) >= self._max_entries or self._bytes + charged_bytes > self._max_bytes:
+        if len(self._records) >= self._max_operations or self._bytes + charged_bytes > self._max_bytes:
             return Error(self._full_refusal())
         record = _Record(fingerprint, _second_after(expires + self._grace), charged_bytes)
         self._records[operation] = record
--- a/packages/core/src/cardamomloft/core/lending.py
+++ b/packages/core/src/cardamomloft/core/lending.py
@@ -9,7 +9,7 @@
 
 from cardamomloft.core.accounts import Account
 from cardamomloft.core.limits import Limit, base_shares
-from cardamomloft.core.loans import Lendings, Loans, loan_ids, max_loan_term
+from cardamomloft.core.loans import GrantedLoans, BorrowedLoans, loan_ids, max_loan_term
 from cardamomloft.core.messages import (
     LoanGrant,
     LoanRecall,
@@ -48,31 +48,31 @@
         stopping: bool,
     ) -> LoanGrant | None:
         """Return the grant or denial of a request; None for a duplicate of a completed one."""
-        if account.lendings is None:
-            account.lendings = Lendings(self._drift)
+        if account.granted_loans is None:
+            account.granted_loans = GrantedLoans(self._drift)
         spare = -1 if stopping else account.spare(now)
         max_term = max_loan_term(account.limit, self._drift)
-        return account.lendings.answer(borrower, req, spare, max_term, now)
+        return account.granted_loans.answer(borrower, req, spare, max_term, now)
 
     def close(self, account: Account | None, borrower: Incarnation, msg: LoanReturn) -> None:
         """Add back the units that a borrower returns."""
-        lendings = account.lendings if account else None
-        loan = lendings.find(borrower, msg.number) if lendings is not None else None
+        granted_loans = account.granted_loans if account else None
+        loan = granted_loans.find(borrower, msg.number) if granted_loans is not None else None
         if loan:
-            lendings.close(loan)
+            granted_loans.close(loan)
 
     def tick(
         self, key: str, account: Account, now: timedelta, *, stopping: bool
     ) -> Iterator[Outgoing]:
         """Remove expired loans, and recall units that this entry needs itself."""
-        lendings = account.lendings
-        if lendings is None:
+        granted_loans = account.granted_loans
+        if granted_loans is None:
             return
-        lendings.expire(now)
-        if not lendings:
-            account.lendings = None
-        shortfall = lendings.lent if stopping else account.wanted - account.free_own()
-        for seat, number in lendings.recall(shortfall, now):
+        granted_loans.expire(now)
+        if not granted_loans:
+            account.granted_loans = None
+        shortfall = granted_loans.lent if stopping else account.wanted - account.free_own()
+        for seat, number in granted_loans.recall(shortfall, now):
             yield Outgoing(seat, LoanRecall(number, key))
 
 
@@ -131,7 +131,7 @@
     def _borrow(self, account: Account, now: timedelta) -> Iterator[Outgoing]:
         """Request the missing units, but no less than half of what is already borrowed."""
         if account.loans is None:
-            account.loans = Loans(self._drift)
+            account.loans = BorrowedLoans(self._drift)
         loans, limit = account.loans, account.limit
         shortfall = account.wanted - account.free(now) - loans.pending_units()
         if shortfall <= 0:
--- a/packages/core/src/cardamomloft/core/loans.py
+++ b/packages/core/src/cardamomloft/core/loans.py
@@ -87,7 +87,7 @@
         return LoanGrant(self.number, key, self.granted, self.term // _MILLISECOND, 0)
 
 
-class Lendings:
+class GrantedLoans:
     """The loans of one limit that the lender has granted.
 
     A returned loan is kept until its term is over, so that a delayed duplicate of its request is
@@ -235,7 +235,7 @@
     length: timedelta
 
 
-class Loans:
+class BorrowedLoans:
     """The borrower's state for one limit: its loans and pending requests, by loan id."""
 
     __slots__ = ("_drift", "loans", "pauses", "requests")
--- a/packages/core/src/cardamomloft/core/naming.py
+++ b/packages/core/src/cardamomloft/core/naming.py
@@ -16,7 +16,7 @@
 """Bound on cached answers, needed because callers can send any zone and region."""
 
 
-class Names:
+class EntryLookup:
     """Selects entries for clients and caches each answer until the entries change.
 
     Parameters
@@ -31,7 +31,7 @@
         self._regions: Mapping[str, str] = {}
         self._cache: dict[tuple[str, str, frozenset[str], bool], list[EntryRecord]] = {}
 
-    def of(
+    def find(
         self,
         zone: str,
         region: str,
--- a/packages/core/src/cardamomloft/core/shares.py
+++ b/packages/core/src/cardamomloft/core/shares.py
@@ -27,7 +27,7 @@
 from cardamomloft.core.ownership import CoHolders
 from expression import Error, Ok, Result
 
-REVIEW = timedelta(milliseconds=200)
+REVIEW_INTERVAL = timedelta(milliseconds=200)
 """Interval at which unsettled divisions are reviewed when no digest arrives."""
 
 _ZERO = timedelta(0)
@@ -293,7 +293,7 @@
     def tick(self) -> list[Outgoing]:
         """Expire loans and return the messages that are due; call it every 20 to 50 ms."""
         now = self._clock.monotonic()
-        if now - self._reviewed_at >= REVIEW:
+        if now - self._reviewed_at >= REVIEW_INTERVAL:
             self._review()
         outgoing: list[Outgoing] = []
         for key in sorted(self._active):
@@ -301,7 +301,7 @@
             self._notify_rate_change(account)
             outgoing += self._lender.tick(key, account, now, stopping=self._stopping)
             outgoing += self._borrower.tick(key, account, now, stopping=self._stopping)
-            if not account.wanted and not account.lendings and not account.loans:
+            if not account.wanted and not account.granted_loans and not account.loans:
                 self._active.discard(key)
         return outgoing
 
--- a/packages/core/tests/test_loan_protocol.py
+++ b/packages/core/tests/test_loan_protocol.py
@@ -11,7 +11,7 @@
 import pytest
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.limits import Limit, LimitKind
-from cardamomloft.core.loans import Lendings, Loans
+from cardamomloft.core.loans import GrantedLoans, BorrowedLoans
 from cardamomloft.core.messages import Digest
 from cardamomloft.core.model import Hold, Incarnation
 from cardamomloft.core.ownership import Ownership
@@ -262,21 +262,21 @@
 
 
 def test_search_detects_a_lender_that_does_not_subtract() -> None:
-    with mock.patch.object(Lendings, "lent", property(lambda _: 0, lambda *_: None)):
+    with mock.patch.object(GrantedLoans, "lent", property(lambda _: 0, lambda *_: None)):
         assert_fault_detected()
 
 
 def test_search_detects_a_borrower_that_starts_the_term_at_the_grants_arrival() -> None:
-    on_grant = Loans.on_grant
+    on_grant = BorrowedLoans.on_grant
 
     def on_grant_counting_from_now(
-        self: Loans, lender: Incarnation, grant: t.Any, now: timedelta
+        self: BorrowedLoans, lender: Incarnation, grant: t.Any, now: timedelta
     ) -> bool:
         for request in self.requests.values():
             request.requested_at = now
         return on_grant(self, lender, grant, now)
 
-    with mock.patch.object(Loans, "on_grant", on_grant_counting_from_now):
+    with mock.patch.object(BorrowedLoans, "on_grant", on_grant_counting_from_now):
         assert_fault_detected()
 
 
--- a/packages/core/tests/test_naming.py
+++ b/packages/core/tests/test_naming.py
@@ -4,7 +4,7 @@
 
 from cardamomloft.core import naming
 from cardamomloft.core.entrytable import EntryTable
-from cardamomloft.core.naming import MAX_ENTRIES, MIN_ENTRIES, Names, entries_for
+from cardamomloft.core.naming import MAX_ENTRIES, MIN_ENTRIES, EntryLookup, entries_for
 from cardamomloft.core.registrations import EntryRecord
 from hypothesis import given
 from hypothesis import strategies as st
@@ -63,13 +63,13 @@
 @given(MOVES, st.sampled_from(["", "a", "b", "c"]), st.booleans())
 def test_cached_answers_match_the_registered_entries(moves, zone, with_own):
     book = EntryTable(OWN, ZERO)
-    names = Names(book)
+    names = EntryLookup(book)
     for kind, record in moves:
         if kind == "withdraw":
             book.withdraw(record.name, ZERO)
         else:
             book.add(record._replace(address="10.9.9.9:80") if kind == "move" else record, ZERO)
-        cached = names.of(zone, "", frozenset(), REGIONS, with_own=with_own)
+        cached = names.find(zone, "", frozenset(), REGIONS, with_own=with_own)
         registered = book.records(with_own=with_own)
         assert cached == entries_for(registered, zone, "", frozenset(), REGIONS)
 
@@ -78,19 +78,19 @@
     computed = []
     monkeypatch.setattr(naming, "entries_for", lambda *_: computed.append(1) or [])
     book = EntryTable(OWN, ZERO)
-    names, zones = Names(book), dict(REGIONS)
+    names, zones = EntryLookup(book), dict(REGIONS)
     for _ in range(3):
-        names.of("a", "", frozenset(), zones, with_own=True)
+        names.find("a", "", frozenset(), zones, with_own=True)
     assert len(computed) == 1
     book.add(OTHERS[0], ZERO)
-    names.of("a", "", frozenset(), zones, with_own=True)
+    names.find("a", "", frozenset(), zones, with_own=True)
     assert len(computed) == 2
-    names.of("a", "", frozenset(), dict(REGIONS), with_own=True)
+    names.find("a", "", frozenset(), dict(REGIONS), with_own=True)
     assert len(computed) == 3
 
 
 def test_answer_cache_stays_bounded_for_arbitrary_zones():
-    names = Names(EntryTable(OWN, ZERO))
+    names = EntryLookup(EntryTable(OWN, ZERO))
     for number in range(3 * naming.MAX_CACHED_ANSWERS):
-        names.of(f"zone-{number}", "", frozenset(), REGIONS, with_own=True)
+        names.find(f"zone-{number}", "", frozenset(), REGIONS, with_own=True)
     assert len(names._cache) <= naming.MAX_CACHED_ANSWERS
--- a/packages/core/tests/test_once_protocol.py
+++ b/packages/core/tests/test_once_protocol.py
@@ -84,7 +84,7 @@
             SkewedClock(world.clock, skew),
         )
         self.ids = self.ids_type(self.me, clock, f"secret of {number:>9}".encode())
-        self.ledger = self.ledger_type(clock, max_entries=6, max_bytes=10**6)
+        self.ledger = self.ledger_type(clock, max_operations=6, max_bytes=10**6)
         self.claims = self.claims_type(self.me, clock, writes_per_s=5)
 
     def receive(self, submission: Submission) -> None:
@@ -101,7 +101,7 @@
         )
 
     def claim(self, submission: Submission, own: CallerSuppliedId) -> None:
-        found = self.ledger.look(submission.text, "f").ok
+        found = self.ledger.lookup(submission.text, "f").ok
         if found is not None:
             return self.on_status(submission, found)
         request = self.claims.want_lease()
--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -145,7 +145,7 @@
         gone: "Deferred[None]",
     ) -> Answer:
         mark = fingerprint(req, whole)
-        match self._ledger.look(operation.text, mark):
+        match self._ledger.lookup(operation.text, mark):
             case Result(tag="error", error=refusal):
                 return self._words(refusal)
             case Result(ok=None):
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -132,7 +132,7 @@
         self.fetcher = MapFetcher(self, self._on_fault)
         self.ids = OperationIds(self.me, clock, secrets.token_bytes(32))
         self.ledger = Ledger(
-            clock, max_entries=cfg["ledger_entries"], max_bytes=cfg["ledger_bytes"]
+            clock, max_operations=cfg["ledger_entries"], max_bytes=cfg["ledger_bytes"]
         )
         self.lookups = Lookups(self.me, self.membership, self.ids)
         per_s = cfg["claims_per_s"]
@@ -303,7 +303,7 @@
         self._place_steward()
         if self.claims is not None:
             entries = len(held.document["entries"])
-            self.claims.budget.limit(min(self._cfg["claims_per_s"], CLAIMS_PER_S / entries))
+            self.claims.budget.set_rate(min(self._cfg["claims_per_s"], CLAIMS_PER_S / entries))
         log("in-force", revision=held.number)
         self.life.prepared()
         self.gossip.announce()
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -12,7 +12,7 @@
 from cardamomloft.core.clock import Clock
 from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.model import Refusal, RefusalReason
-from cardamomloft.core.naming import Names
+from cardamomloft.core.naming import EntryLookup
 from cardamomloft.core.registrations import EntryRecord
 from cardamomloft.core.routes import RoutePlan
 from cardamomloft.core.selection import Preferences, Selector
@@ -130,7 +130,7 @@
         own = EntryRecord(cfg["name"], cfg["callers"], cfg["zone"], cfg["region"], peers)
         self.book = UpstreamTable(cfg["zones"])
         self.entries = EntryTable(own, bounds.retry_window)
-        self._names = Names(self.entries)
+        self._names = EntryLookup(self.entries)
         self.selector = Selector(
             self.book, cfg["name"], cfg["zone"], _cold_limit(cfg), Preferences()
         )
@@ -333,7 +333,7 @@
             return Refusal(RefusalReason.NOT_READY, "no configuration yet")
         homes = self._reader.homes.get(host, frozenset())
         zones, ready = self._cfg["zones"], self.ready()
-        named = self._names.of(zone, region, homes, zones, with_own=ready)
+        named = self._names.find(zone, region, homes, zones, with_own=ready)
         if not named:
             return Refusal(RefusalReason.NOT_READY, "no entry is ready")
         life = min(MAX_LOOKUP_TTL, self._bounds.lookup_life)
