--- a/packages/core/tests/test_router.py
+++ b/packages/core/tests/test_router.py
@@ -211,5 +211,5 @@
     bench.clock.advance(timedelta(seconds=2))
     out += bench.router.pump()
     assert [(type(item), item.ticket.number) for item in out] == [(Dropped, waiting.number)]
-    bench.router.report_wants()
+    bench.router.report_demand()
     assert bench.used() == {}
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -429,7 +429,7 @@
 
     def _tick_limits(self) -> None:
         """Ask for, renew and return loans, and send what now fits; also as soon as one queues."""
-        self.router.report_wants()
+        self.router.report_demand()
         self._send_all(self.shares.tick())
         self.forwarder.pump()
 
@@ -474,7 +474,7 @@
     def _poll_load(self) -> "Deferred[None] | None":
         if self.router is None:
             return None
-        return self.loads.poll(self.router.nearby, self.router.steering)
+        return self.loads.poll(self.router.region_endpoints, self.router.steering)
 
     def _on_broken(self, failure: Failure) -> None:
         """End the process: its state contradicts itself, and a new life starts from the truth."""
