--- a/packages/gateway/src/cardamomloft/gateway/calls.py
+++ b/packages/gateway/src/cardamomloft/gateway/calls.py
@@ -32,7 +32,7 @@
 class Call(t.NamedTuple):
     """One parsed request, as the routing decisions need it.
 
-    Instants are monotonic. `until` is the instant by which the caller must have its answer: the
+    Instants are monotonic. `deadline` is the instant by which the caller must have its answer: the
     earlier of its own deadline and the rule's timeout. `caller_deadline` is the instant at which
     the caller itself stops waiting. `target` is the path with its query, as sent.
     """
@@ -42,12 +42,12 @@
     service: str
     key: str
     arrived: timedelta
-    until: timedelta
+    deadline: timedelta
     target: str
     caller_deadline: timedelta = timedelta(0)
 
 
-class Reader:
+class RequestReader:
     """Parses requests according to one configuration.
 
     Parameters
@@ -68,7 +68,7 @@
             (rule.host, rule.prefix): ServiceRotation(rule.services, rng.random())
             for rule in plan.rules
         }
-        self.homes = _home_regions_by_host(plan)
+        self.home_regions = _home_regions_by_host(plan)
 
     def is_idempotent(self, head: RequestHead) -> bool:
         """Tell whether the rule of the request allows running it more than once."""
@@ -105,7 +105,7 @@
             service=self._rotations[rule.host, rule.prefix].next(),
             key=request_id if key is None else key,
             arrived=now,
-            until=now + time_limit,
+            deadline=now + time_limit,
             target=f"{head.path}?{head.query}" if head.query else head.path,
             caller_deadline=now + caller_wait,
         )
--- a/packages/gateway/src/cardamomloft/gateway/changefeed.py
+++ b/packages/gateway/src/cardamomloft/gateway/changefeed.py
@@ -104,17 +104,17 @@
                 self._reactor,
                 me,
                 self._own.peers,
-                self.take,
+                self.receive,
                 on_fault=on_fault,
                 max_links=MAX_PEER_LINKS,
             )
 
-    def take(self, sender: Incarnation, message: Message) -> None:
+    def receive(self, sender: Incarnation, message: Message) -> None:
         """Handle a message of another gateway."""
         if isinstance(message, NoticePush | NoticeDigest | ConfigurationPush):
-            self.gossip.take(sender, message)
+            self.gossip.receive(sender, message)
         else:
-            self.port.take(sender, message)
+            self.port.receive(sender, message)
 
     def stop(self) -> None:
         """Answer held requests, send pending notices and close; call it before `Follower.stop`."""
--- a/packages/gateway/src/cardamomloft/gateway/following.py
+++ b/packages/gateway/src/cardamomloft/gateway/following.py
@@ -30,7 +30,7 @@
 """Pause after a failed request that took longer than the retry interval."""
 
 
-class Pace(t.NamedTuple):
+class PollTiming(t.NamedTuple):
     """Timing of requests to the store.
 
     Attributes
@@ -74,7 +74,7 @@
         clock: Clock,
         control: Control,
         rng: random.Random,
-        timing: Pace,
+        timing: PollTiming,
         on_listing: Callable[[Listing], None],
         on_changes: Callable[[tuple[Fact, ...]], None],
         on_recovered: Callable[[], None],
@@ -97,12 +97,12 @@
         self._request: Deferred[Result[Listing | Changes, StoreFailure]] | None = None
 
     @property
-    def silence(self) -> timedelta:
+    def time_since_answer(self) -> timedelta:
         """Time since the store, or a relay in its place, last answered; since start if never."""
         return self._clock.monotonic() - self._answered_at
 
     @property
-    def away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the store counts as unavailable, after repeated failures."""
         return self._failures >= FAILURES_UNTIL_AWAY
 
@@ -118,7 +118,7 @@
         if self._running is not None:
             self._running.cancel()
 
-    def doubt(self) -> None:
+    def poll_now(self) -> None:
         """Request changes at once, since another call to the store has failed.
 
         A pending long poll may have been lost with that call and would otherwise wait until its
@@ -183,7 +183,7 @@
             log("store-away", detail=failure.detail)
 
     def _record_success(self) -> None:
-        self._was_unavailable = self._was_unavailable or self.away
+        self._was_unavailable = self._was_unavailable or self.store_unavailable
         self._failures = 0
         self._answered_at = self._clock.monotonic()
 
--- a/packages/gateway/src/cardamomloft/gateway/forwarding.py
+++ b/packages/gateway/src/cardamomloft/gateway/forwarding.py
@@ -14,8 +14,8 @@
 from cardamomloft.core.selection import Selector
 from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.calls import Call
-from cardamomloft.gateway.noticing import Noticing
-from cardamomloft.gateway.passage import CallerState, Passage
+from cardamomloft.gateway.noticehandler import NoticeHandler
+from cardamomloft.gateway.requestrun import CallerState, RequestRun
 from cardamomloft.gateway.records import RequestLog, SendNote
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import UpstreamClient
@@ -66,7 +66,7 @@
         budget_for: Callable[[str], RetryBudget],
         metrics: Metrics,
         records: RequestLog,
-        notice_handler: Noticing,
+        notice_handler: NoticeHandler,
     ) -> None:
         self.reactor = reactor
         self.clock = clock
@@ -77,10 +77,10 @@
         self.budget_for = budget_for
         self.metrics = metrics
         self.records = records
-        self.noticing = notice_handler
+        self.notice_handler = notice_handler
         self._retry_after_policies: dict[str, RetryAfterPolicy] = {}
 
-    async def carry(
+    async def forward(
         self, call: Call, head: RequestHead, body: RequestBody, disconnected: "Deferred[None]"
     ) -> Answer:
         """Return the answer to a call; if the caller disconnects, cancel the attempt."""
@@ -102,13 +102,13 @@
     async def _forward(
         self, call: Call, head: RequestHead, body: RequestBody, caller: CallerState
     ) -> Answer:
-        payload = await self._payload(body, call.until)
+        payload = await self._payload(body, call.deadline)
         if isinstance(payload, Refusal):
             self.records.write(call, "refused", self.clock.monotonic(), detail=payload.detail)
             return self.refuse(payload)
         size = len(payload) if isinstance(payload, bytes) else t.cast(int, payload.length)
         self.selector.body_sizes.record(call.rule.name, size)
-        return await Passage(self, call, head, payload, caller).run()
+        return await RequestRun(self, call, head, payload, caller).run()
 
     def record_caller_left(self, call: Call, sends: Sequence[SendNote]) -> Answer:
         """Log and count that the caller has disconnected; return an answer that nobody receives."""
--- a/packages/gateway/src/cardamomloft/gateway/gossip.py
+++ b/packages/gateway/src/cardamomloft/gateway/gossip.py
@@ -109,7 +109,7 @@
     def __len__(self) -> int:
         return len(self._board)
 
-    def tell(self, notices: Iterable[Notice]) -> None:
+    def publish(self, notices: Iterable[Notice]) -> None:
         """Apply notices of this gateway here, and send them to all others."""
         now = self._clock.monotonic()
         self._add((DatedNotice(notice, now) for notice in notices), now)
@@ -123,7 +123,7 @@
         """Send a digest to several gateways, to receive the notices that this one has missed."""
         self._send_to_random(FANOUT, self._digest(answers=False))
 
-    def take(self, sender: Incarnation, message: Message) -> None:
+    def receive(self, sender: Incarnation, message: Message) -> None:
         """Handle a message of another gateway."""
         self._receive(message, sender)
 
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -18,13 +18,13 @@
 from cardamomloft.core.selection import Preferences, Selector
 from cardamomloft.core.timekeeping import ClockMonitor
 from cardamomloft.core.upstreamtable import UpstreamTable
-from cardamomloft.gateway.calls import Call, CallerHeaders, Reader
+from cardamomloft.gateway.calls import Call, CallerHeaders, RequestReader
 from cardamomloft.gateway.changefeed import ChangeFeed
 from cardamomloft.gateway.control import Control, Listing
-from cardamomloft.gateway.following import Follower, Pace
+from cardamomloft.gateway.following import Follower, PollTiming
 from cardamomloft.gateway.forwarding import Forwarder
 from cardamomloft.gateway.gossip import COMPARE_INTERVAL
-from cardamomloft.gateway.noticing import Noticing
+from cardamomloft.gateway.noticehandler import NoticeHandler
 from cardamomloft.gateway.presence import Presence
 from cardamomloft.gateway.records import RequestLog
 from cardamomloft.gateway.settings import RESTART_SETTINGS, Bounds, GatewaySettings, parse_bounds
@@ -72,7 +72,7 @@
     """Result of a look-up: the addresses to send requests to, and for how long it may be cached."""
 
     addresses: list[str]
-    life: timedelta
+    ttl: timedelta
 
 
 class Gateway:
@@ -114,12 +114,12 @@
         self._bounds = parse_bounds(cfg)
         self.metrics = Metrics()
         self.stopped: Deferred[None] = Deferred()
-        self.life = make_life_cycle(self)
+        self.lifecycle = make_life_cycle(self)
         self._timers = Timers(reactor, self._on_fault)
         self._port: IListeningPort | None = None
         self.pages: IListeningPort | None = None
         self._hard_stop: IDelayedCall | None = None
-        self._reader: Reader | None = None
+        self._reader: RequestReader | None = None
         self._logged_counters: Counter[str] = Counter()
         self._timekeeper = ClockMonitor(clock, _TICK)
         self._build()
@@ -128,36 +128,36 @@
         cfg, clock, bounds = self._cfg, self._clock, self._bounds
         peers = cfg.get("peers", "")
         own = EntryRecord(cfg["name"], cfg["callers"], cfg["zone"], cfg["region"], peers)
-        self.book = UpstreamTable(cfg["zones"])
+        self.upstream_table = UpstreamTable(cfg["zones"])
         self.entries = EntryTable(own, bounds.retry_window)
         self._names = EntryLookup(self.entries)
         self.selector = Selector(
-            self.book, cfg["name"], cfg["zone"], _cold_limit(cfg), Preferences()
+            self.upstream_table, cfg["name"], cfg["zone"], _cold_limit(cfg), Preferences()
         )
         self._budgets: dict[str, RetryBudget] = {}
         self.records = RequestLog(lambda: self.configuration)
-        self.noticing = Noticing(clock, self.book, self.metrics)
+        self.notice_handler = NoticeHandler(clock, self.upstream_table, self.metrics)
         self.forwarder = Forwarder(
             self._reactor,
             clock,
             self._rng,
             self.selector,
-            self.book,
+            self.upstream_table,
             self._client,
             self._budget_for,
             self.metrics,
             self.records,
-            self.noticing,
+            self.notice_handler,
         )
         self.app = CallersApp(
             None, self.handle, self._on_fault, may_overlap=self._may_overlap, meter=self.metrics
         )
         self.presence = Presence(
-            self._control, own, bounds.record_life, lambda: self.follower.doubt()
+            self._control, own, bounds.record_life, lambda: self.follower.poll_now()
         )
         self.view = StoreView(
             clock,
-            self.book,
+            self.upstream_table,
             self.entries,
             self.selector,
             self._client.forget,
@@ -172,12 +172,12 @@
             self.entries,
             self.ready,
             bounds.drain_time,
-            self.noticing.apply,
+            self.notice_handler.apply,
             self._rng,
             self.metrics,
         )
         gossip = self.feed.gossip
-        self.noticing.tell = gossip.tell
+        self.notice_handler.publish = gossip.publish
         gossip.plan = lambda: self._reader and self._reader.plan
         gossip.on_plan = self._apply_plan
         self.follower = Follower(
@@ -187,8 +187,8 @@
             self._rng,
             _poll_timing(bounds),
             self._on_listing,
-            self.view.take_changes,
-            self.view.store_returned,
+            self.view.apply_changes,
+            self.view.store_recovered,
         )
 
     def _budget_for(self, service: str) -> RetryBudget:
@@ -216,7 +216,7 @@
         self.entries.count_window = self._bounds.retry_window
         self.follower.timing = _poll_timing(self._bounds)
         self.feed.set_drain_time(self._bounds.drain_time)
-        self.book.use_regions(self._cfg["zones"])
+        self.upstream_table.use_regions(self._cfg["zones"])
         log("reloaded", changed_fixed=bool(fixed))
 
     # Life cycle.
@@ -245,16 +245,16 @@
 
     def stop(self) -> None:
         """Start a graceful stop; further calls have no effect."""
-        self.life.stop()
+        self.lifecycle.stop()
 
     def ready(self) -> bool:
         """Tell whether look-ups may name this entry."""
-        return self.life.state() == "ready"
+        return self.lifecycle.state() == "ready"
 
     def on_ready(self) -> None:
         """Record this entry in the store, so that look-ups of other entries name it."""
-        log("ready", configuration=self.configuration, upstreams=len(self.book))
-        self._timers.every(self.presence.interval, self.presence.keep)
+        log("ready", configuration=self.configuration, upstreams=len(self.upstream_table))
+        self._timers.every(self.presence.interval, self.presence.refresh)
 
     def on_leaving(self) -> None:
         """Remove this entry from look-ups, and go on serving callers that know its address."""
@@ -262,8 +262,8 @@
         self.presence.withdraw()
         self.app.closing()
         stop_time = self._bounds.stop_time.total_seconds()
-        self._reactor.callLater(stop_time * LINGER_FRACTION, self.life.lingered)
-        self._hard_stop = self._reactor.callLater(stop_time * HARD_STOP_FRACTION, self.life.drained)
+        self._reactor.callLater(stop_time * LINGER_FRACTION, self.lifecycle.lingered)
+        self._hard_stop = self._reactor.callLater(stop_time * HARD_STOP_FRACTION, self.lifecycle.drained)
 
     def on_closing(self) -> None:
         """Close the listener, and finish the requests in flight."""
@@ -273,7 +273,7 @@
         finished = self.app.drained()
         # The last answers may still be in send buffers: wait until their connections are closed.
         finished.addCallback(lambda _: self.app.disconnect())
-        finished.addCallback(lambda _: self._reactor.callLater(0, self.life.drained))
+        finished.addCallback(lambda _: self._reactor.callLater(0, self.lifecycle.drained))
 
     def on_stopped(self) -> None:
         """Release all resources and end the process."""
@@ -303,15 +303,15 @@
             request_id = dict(head.headers).get(self.headers.request_id, "")
             self.records.write_unparsed(head, request_id, call, self._clock.monotonic())
             return self.forwarder.refuse(call)
-        return await self.forwarder.carry(call, head, body, disconnected)
+        return await self.forwarder.forward(call, head, body, disconnected)
 
     def _may_overlap(self, head: RequestHead) -> bool:
         return self._reader is not None and self._reader.is_idempotent(head)
 
     def _admit(self, head: RequestHead) -> Call | Refusal:
-        if self.life.admits() and self._reader is not None:
+        if self.lifecycle.admits() and self._reader is not None:
             return self.read(head)
-        starting = self.life.state() == "starting"
+        starting = self.lifecycle.state() == "starting"
         reason = RefusalReason.NOT_READY if starting else RefusalReason.STOPPING
         return Refusal(reason, "ask another entry")
 
@@ -331,19 +331,19 @@
         self.metrics.count("lookups")
         if self._reader is None:
             return Refusal(RefusalReason.NOT_READY, "no configuration yet")
-        homes = self._reader.homes.get(host, frozenset())
+        homes = self._reader.home_regions.get(host, frozenset())
         zones, ready = self._cfg["zones"], self.ready()
         named = self._names.find(zone, region, homes, zones, with_own=ready)
         if not named:
             return Refusal(RefusalReason.NOT_READY, "no entry is ready")
-        life = min(MAX_LOOKUP_TTL, self._bounds.lookup_life)
-        return LookupResult([record.address for record in named], life)
+        ttl = min(MAX_LOOKUP_TTL, self._bounds.lookup_life)
+        return LookupResult([record.address for record in named], ttl)
 
     # Changes from the store.
 
     def _on_listing(self, listing: Listing) -> None:
         first = not self.view.listed
-        self.view.take_listing(listing)
+        self.view.apply_listing(listing)
         if first:
             self.feed.gossip.catch_up()
         self._check_prepared()
@@ -354,7 +354,7 @@
             if plan.number < held:
                 log("configuration-older", offered=plan.number, held=held)
             return
-        self._reader = Reader(plan, self.headers, self._rng)
+        self._reader = RequestReader(plan, self.headers, self._rng)
         self.selector.policies = plan.services
         self.app.keep_idle(plan.limits.idle_timeout)
         self.app.bound_heads(plan.limits.head_bytes, plan.limits.head_timeout)
@@ -363,14 +363,14 @@
 
     def _check_prepared(self) -> None:
         if self.view.listed and self._reader is not None:
-            self.life.prepared()
+            self.lifecycle.prepared()
 
     # Timers.
 
     def _tick(self) -> None:
         self._log_clock_irregularity()
         self.view.tick()
-        self.noticing.tick()
+        self.notice_handler.tick()
 
     def _log_clock_irregularity(self) -> None:
         found = self._timekeeper.check()
@@ -396,5 +396,5 @@
     return ColdLimit(cfg["cold"]["overage"], cfg["cold"]["slack"])
 
 
-def _poll_timing(bounds: Bounds) -> Pace:
-    return Pace(bounds.drain_time * POLL_INTERVAL_FRACTION, bounds.drain_time * STORE_WAIT_FRACTION)
+def _poll_timing(bounds: Bounds) -> PollTiming:
+    return PollTiming(bounds.drain_time * POLL_INTERVAL_FRACTION, bounds.drain_time * STORE_WAIT_FRACTION)
--- a/packages/gateway/src/cardamomloft/gateway/noticing.py
+++ b/packages/gateway/src/cardamomloft/gateway/noticehandler.py
@@ -12,7 +12,7 @@
 from cardamomloft.runtime.metrics import Metrics
 
 
-class Noticing:
+class NoticeHandler:
     """Publishes and applies the notices of one gateway.
 
     Parameters
@@ -26,7 +26,7 @@
 
     Attributes
     ----------
-    tell
+    publish
         Sends notices to all gateways and applies them here.
     """
 
@@ -35,7 +35,7 @@
         self._upstream_table = upstream_table
         self._metrics = metrics
         self._quarantine = Quarantine()
-        self.tell: Callable[[Iterable[Notice]], None] = self._apply_own
+        self.publish: Callable[[Iterable[Notice]], None] = self._apply_own
 
     def refused_until(self, fingerprint: Callable[[], str]) -> timedelta | None:
         """Return the instant until which a request is quarantined, None if it is not.
@@ -50,17 +50,17 @@
         """Record that an upstream closed the connection of a request without an answer."""
         self._metrics.count("crashes_under_requests")
         now = self._clock.monotonic()
-        self.tell([self._quarantine.crash_notice(fingerprint, upstream.incarnation, now)])
+        self.publish([self._quarantine.crash_notice(fingerprint, upstream.incarnation, now)])
 
     def record_answer(self, fingerprint: Callable[[], str]) -> None:
         """Record that a request was answered; its fingerprint is computed only if needed."""
         if self._quarantine:
-            self.tell(self._quarantine.clearing_notices(fingerprint()))
+            self.publish(self._quarantine.clearing_notices(fingerprint()))
 
     def record_leaving(self, upstream: Upstream) -> None:
         """Publish that an upstream is about to stop, unless that is known."""
         if not upstream.leaving:
-            self.tell([UpstreamLeaving(*upstream.incarnation)])
+            self.publish([UpstreamLeaving(*upstream.incarnation)])
 
     def apply(self, dated: DatedNotice) -> None:
         """Apply a notice of this or another gateway."""
@@ -71,7 +71,7 @@
             case UpstreamLeaving(id=upstream_id, started_ms=started_ms):
                 self._apply_leaving(UpstreamIncarnation(upstream_id, started_ms))
 
-    def refused(self) -> list[str]:
+    def quarantined(self) -> list[str]:
         """Return the fingerprints of the quarantined requests."""
         return self._quarantine.quarantined(self._clock.monotonic())
 
--- a/packages/gateway/src/cardamomloft/gateway/plaintext.py
+++ b/packages/gateway/src/cardamomloft/gateway/plaintext.py
@@ -7,7 +7,7 @@
 import sys
 
 
-def leave_out_tls() -> None:
+def block_openssl_import() -> None:
     """Make any later import of OpenSSL fail; call it before Twisted is imported.
 
     Raises
--- a/packages/gateway/src/cardamomloft/gateway/presence.py
+++ b/packages/gateway/src/cardamomloft/gateway/presence.py
@@ -47,10 +47,10 @@
 
     @property
     def interval(self) -> timedelta:
-        """Interval at which `keep` must be called."""
+        """Interval at which `refresh` must be called."""
         return self._ttl / RENEWALS_PER_TTL
 
-    def keep(self) -> "Deferred[None]":
+    def refresh(self) -> "Deferred[None]":
         """Record the entry, or renew its lease."""
         return ensureDeferred(self._refresh())
 
--- a/packages/gateway/src/cardamomloft/gateway/records.py
+++ b/packages/gateway/src/cardamomloft/gateway/records.py
@@ -17,7 +17,7 @@
 from cardamomloft.gateway.outcomes import EndpointStatus
 from cardamomloft.runtime.logs import log
 
-LINES_PER_S = 100
+MAX_LINES_PER_S = 100
 """Maximum number of lines a second, so that logging takes only a small fraction of a core."""
 
 SAMPLE_INTERVAL = 50
@@ -102,7 +102,7 @@
             service=call.service,
             key=call.key,
             ms=_ms(now - call.arrived),
-            left_ms=_ms(call.until - now),
+            left_ms=_ms(call.deadline - now),
             configuration=self._version(),
             **fields,
         )
@@ -129,7 +129,7 @@
                 log("requests-not-logged", count=self._suppressed)
             self._window, self._lines, self._suppressed = now, 0, 0
         self._lines += 1
-        if self._lines <= LINES_PER_S:
+        if self._lines <= MAX_LINES_PER_S:
             return True
         self._suppressed += 1
         return False
--- a/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
@@ -10,7 +10,7 @@
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.sources import Question, Sources
 from cardamomloft.gateway.control import Changes, Control, Listing
-from cardamomloft.gateway.relaying import Passed, RelayFailure, RelayPort
+from cardamomloft.gateway.relaying import RelayedChanges, RelayFailure, RelayPort
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.store.failures import StoreFailure
@@ -80,9 +80,9 @@
         """
         return ensureDeferred(self._changes(after, wait))
 
-    def record(self, record: EntryRecord, life: timedelta) -> "Deferred[Result[str, StoreFailure]]":
+    def record(self, record: EntryRecord, ttl: timedelta) -> "Deferred[Result[str, StoreFailure]]":
         """Record an entry under a new lease."""
-        return self._control.record(record, life)
+        return self._control.record(record, ttl)
 
     def renew(self, lease: str) -> "Deferred[Result[bool, StoreFailure]]":
         """Renew a lease."""
@@ -98,7 +98,7 @@
         if outcome.is_ok():
             self._table.listed(outcome.ok.facts, outcome.ok.index)
             self._sources.complete(requested_at)
-            self._port.publish()
+            self._port.answer_held_requests()
         return outcome
 
     async def _changes(self, after: Position, wait: timedelta) -> Result[Changes, StoreFailure]:
@@ -116,7 +116,7 @@
         if request.relay is None:
             return await self._from_store_without_wait(after)
         wait = request.wait or timedelta(0)
-        match await self._port.ask(request.relay, after, wait, self._sources.patience):
+        match await self._port.request_changes(request.relay, after, wait, self._sources.patience):
             case Result(tag="ok", ok=relayed) if self._is_store_still_away(relayed, after):
                 delegated = StoreFailure(
                     False, f"relay {request.relay.name} checks whether the store has recovered"
@@ -136,7 +136,7 @@
         relay = self._sources.relay(self._records(), self._clock.monotonic())
         if relay is None:
             return outcome
-        match await self._port.ask(relay, after, timedelta(0), self._sources.patience):
+        match await self._port.request_changes(relay, after, timedelta(0), self._sources.patience):
             case Result(tag="ok", ok=relayed) if self._is_current(relayed, after):
                 return Ok(self._apply_relayed(relayed, after, None)._replace(failure=outcome.error))
             case Result(tag="error", error=failure) if not failure.cancelled:
@@ -147,7 +147,7 @@
         self, relay: EntryRecord, request: Question, after: Position
     ) -> Result[Changes, StoreFailure]:
         wait = request.wait or timedelta(0)
-        match await self._port.ask(relay, after, wait, self._sources.patience):
+        match await self._port.request_changes(relay, after, wait, self._sources.patience):
             case Result(tag="ok", ok=relayed) if self._is_current(relayed, after):
                 return Ok(self._apply_relayed(relayed, after, request.pause))
             case Result(tag="error", error=RelayFailure(cancelled=True, detail=detail)):
@@ -156,27 +156,27 @@
                 self._record_relay_failure(relay, failure)
         return await self._from_store(after, timedelta(0), request.pause)
 
-    def _apply_relayed(self, relayed: Passed, after: Position, pause: timedelta | None) -> Changes:
+    def _apply_relayed(self, relayed: RelayedChanges, after: Position, pause: timedelta | None) -> Changes:
         self._metrics.count("changes_from_relay")
         self._sources.complete(relayed.complete_at)
         if relayed.whole:
             self._table.listed(relayed.facts, relayed.index)
-            self._port.publish()
+            self._port.answer_held_requests()
             return Changes(relayed.facts, relayed.index, whole=True, pause=pause)
         index = max(after, relayed.index)
         self._record_changes(relayed.facts, index)
         return Changes(relayed.facts, index, pause=pause)
 
-    def _is_store_still_away(self, relayed: Passed, after: Position) -> bool:
+    def _is_store_still_away(self, relayed: RelayedChanges, after: Position) -> bool:
         return not self._sources.is_back(relayed.complete_at) and self._is_current(relayed, after)
 
-    def _is_current(self, relayed: Passed, after: Position) -> bool:
+    def _is_current(self, relayed: RelayedChanges, after: Position) -> bool:
         """Tell whether a relay's answer is no older than what is known here."""
         if relayed.whole:
             return relayed.index >= after
         return relayed.index.era == after.era and not self._revision_decreased(relayed, after)
 
-    def _revision_decreased(self, relayed: Passed, after: Position) -> bool:
+    def _revision_decreased(self, relayed: RelayedChanges, after: Position) -> bool:
         """Tell whether a relay saw a lower revision later, so the store has reset its revisions."""
         own = self._sources.known_at
         return relayed.index < after and own is not None and relayed.complete_at > own
@@ -205,4 +205,4 @@
 
     def _record_changes(self, facts: t.Iterable[t.Any], index: int) -> None:
         self._table.changed(facts, index)
-        self._port.publish()
+        self._port.answer_held_requests()
--- a/packages/gateway/src/cardamomloft/gateway/relaying.py
+++ b/packages/gateway/src/cardamomloft/gateway/relaying.py
@@ -48,7 +48,7 @@
         ...
 
 
-class Passed(t.NamedTuple):
+class RelayedChanges(t.NamedTuple):
     """Changes received from a relay.
 
     `facts` are all changes up to the position `index`, complete until the instant `complete_at` of
@@ -68,7 +68,7 @@
     cancelled: bool = False
 
 
-Outcome = Result[Passed, RelayFailure]
+Outcome = Result[RelayedChanges, RelayFailure]
 
 
 class _PendingRequest(t.NamedTuple):
@@ -134,7 +134,7 @@
         """The number of requests that wait for a change."""
         return len(self._held)
 
-    def ask(
+    def request_changes(
         self, relay: EntryRecord, after: Position, wait: timedelta, timeout: timedelta
     ) -> "Deferred[Outcome]":
         """Request from `relay` what has changed after the position `after`.
@@ -162,11 +162,11 @@
             self._finish(number, Error(RelayFailure("not sent")))
         return done
 
-    def take(self, sender: Incarnation, message: Message) -> None:
+    def receive(self, sender: Incarnation, message: Message) -> None:
         """Handle a message of another gateway."""
         self._receive(message, sender)
 
-    def publish(self) -> None:
+    def answer_held_requests(self) -> None:
         """Answer the held requests for which there is a change now."""
         self._release([held for held in self._held if self._has_changes(held.request)])
 
@@ -222,7 +222,7 @@
         transit_time = elapsed - min(elapsed, min(message.held_ms, MAX_HOLD_MS) * _MS)
         age = min(message.age_ms, MAX_AGE_MS) * _MS
         position = Position(message.era, message.index)
-        return Ok(Passed(facts, position, now - age - transit_time, message.whole))
+        return Ok(RelayedChanges(facts, position, now - age - transit_time, message.whole))
 
     def _finish(self, number: int, outcome: Outcome) -> None:
         pending = self._pending.pop(number, None)
--- a/packages/gateway/src/cardamomloft/gateway/reloading.py
+++ b/packages/gateway/src/cardamomloft/gateway/reloading.py
@@ -59,7 +59,7 @@
             sleep(RETRY_INTERVAL_S)
         return None
 
-    def changed(self) -> GatewaySettings | None:
+    def read_if_changed(self) -> GatewaySettings | None:
         """Return the settings if the file's content differs from that of the last read.
 
         Mistakes are logged, and an invalid file is not read again before it has changed.
--- a/packages/gateway/src/cardamomloft/gateway/passage.py
+++ b/packages/gateway/src/cardamomloft/gateway/requestrun.py
@@ -49,7 +49,7 @@
         self.disconnected = False
 
 
-class Passage:
+class RequestRun:
     """Handles one request, and tracks whether any endpoint can have run it."""
 
     def __init__(
@@ -101,14 +101,14 @@
 
     def _choose(self) -> Choice | Refusal:
         call, now = self._call, self._now()
-        if call.until - now < MIN_TIME_LEFT:
+        if call.deadline - now < MIN_TIME_LEFT:
             return Refusal(RefusalReason.DEADLINE, "no time is left")
-        refused_until = self._forwarder.noticing.refused_until(self._get_fingerprint)
+        refused_until = self._forwarder.notice_handler.refused_until(self._get_fingerprint)
         if refused_until is not None:
             detail = "upstreams crash under this request"
             return Refusal(RefusalReason.QUARANTINED, detail, refused_until - now)
         return self._selector.choose(
-            call.rule, call.service, call.key, self._tried, call.until, now
+            call.rule, call.service, call.key, self._tried, call.deadline, now
         )
 
     # Sending.
@@ -174,14 +174,14 @@
             path=call.target,
             headers=self._head.headers,
             body=self._payload,
-            timeout=call.until - now,
+            timeout=call.deadline - now,
             request_id=call.id,
             idempotent=call.rule.idempotent,
             expected=row.id,
         )
 
     def _is_late(self) -> bool:
-        return self._call.until - self._now() < MIN_TIME_LEFT
+        return self._call.deadline - self._now() < MIN_TIME_LEFT
 
     # Evaluation of answers.
 
@@ -193,7 +193,7 @@
             return EndpointStatus()
         status = endpoint_status(result.ok, self._dialect)
         if status.leaving:
-            self._forwarder.noticing.record_leaving(upstream)
+            self._forwarder.notice_handler.record_leaving(upstream)
         if status.pause is not None:
             upstream.paused_until = max(upstream.paused_until, self._now() + status.pause)
         if status.load is not None:
@@ -211,9 +211,9 @@
             case Served(faulty=True):
                 self._may_have_run = True
                 self._selector.record_failure(upstream, now)
-                self._forwarder.noticing.record_answer(self._get_fingerprint)
+                self._forwarder.notice_handler.record_answer(self._get_fingerprint)
             case Served():
-                self._forwarder.noticing.record_answer(self._get_fingerprint)
+                self._forwarder.notice_handler.record_answer(self._get_fingerprint)
                 self._selector.record_answer(upstream, now - sent_at, load)
             case Refused(misdirected=True):
                 self._forwarder.upstream_table.mark_leaving(upstream)
@@ -232,7 +232,7 @@
                 self._may_have_run = self._may_have_run or not outcome.not_run
                 self._selector.record_failure(upstream, now)
                 if outcome.cut:
-                    self._forwarder.noticing.record_crash(self._fingerprint, upstream)
+                    self._forwarder.notice_handler.record_crash(self._fingerprint, upstream)
 
     def _may_retry(self, outcome: Outcome) -> bool:
         not_run = isinstance(outcome, Refused) or (isinstance(outcome, Failed) and outcome.not_run)
@@ -241,7 +241,7 @@
         call, now = self._call, self._now()
         attempts = min(call.rule.attempts - self._deliveries, MAX_SENDS - len(self._tried))
         allowed = may_retry(
-            call.rule.idempotent, not_run, attempts, call.until - now, MIN_TIME_LEFT
+            call.rule.idempotent, not_run, attempts, call.deadline - now, MIN_TIME_LEFT
         )
         entries = self._selector.entries
         return allowed and (not self._deliveries or self._budget.may_retry(entries, now))
--- a/packages/gateway/src/cardamomloft/gateway/storeview.py
+++ b/packages/gateway/src/cardamomloft/gateway/storeview.py
@@ -90,12 +90,12 @@
         self._unconfirmed: dict[FactKey, _UnconfirmedFact] = {}
         self.listed = False
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Apply a complete listing: what it does not contain has been removed from the store."""
         now = self._clock.monotonic()
         restored = self._is_restored(listing.index)
         facts = self._sift(listing) if restored else self._without_unconfirmed(listing.facts)
-        self.take_changes(facts)
+        self.apply_changes(facts)
         upstreams = _listed_upstreams(listing.facts)
         entries = {fact.record.name for fact in facts if isinstance(fact, EntryRecorded)}
         _log_gone(self._upstream_table.withdraw_unlisted(upstreams, now))
@@ -150,7 +150,7 @@
         unconfirmed = self._unconfirmed.get(key_of(fact))
         return unconfirmed is not None and is_same(unconfirmed.fact, fact)
 
-    def take_changes(self, facts: tuple[Fact, ...]) -> None:
+    def apply_changes(self, facts: tuple[Fact, ...]) -> None:
         """Apply facts that have changed, in order."""
         withdrawn = _withdrawn(facts)
         if self._upstream_table.have_lapsed(withdrawn):
@@ -161,7 +161,7 @@
             self._apply(fact)
         self._update_selector_entries()
 
-    def store_returned(self) -> None:
+    def store_recovered(self) -> None:
         """Record that the store has recovered: expired records may be written again."""
         self._entries.start_grace_period(self._clock.monotonic())
 
--- a/packages/gateway/tests/test_relayed_changes.py
+++ b/packages/gateway/tests/test_relayed_changes.py
@@ -120,13 +120,13 @@
     for _ in range(6):
         run.configure()
         for _ in range(2):
-            alone.follower.doubt()
+            alone.follower.poll_now()
             run.run(1500 * MS)
         assert run.late() == []
-    assert alone.follower.away
+    assert alone.follower.store_unavailable
     getattr(run.store, fault).clear()
     run.run(2000 * MS)
-    assert not alone.follower.away
+    assert not alone.follower.store_unavailable
 
 
 def test_a_store_that_is_away_for_all_is_noticed_as_soon_as_without_relays():
@@ -134,9 +134,9 @@
     names = {gateway.name for gateway in run.gateways}
     run.store.refused |= names
     for gateway in run.gateways:
-        gateway.follower.doubt()
+        gateway.follower.poll_now()
     run.run(1200 * MS)
-    assert {gateway.name for gateway in run.gateways if gateway.follower.away} == names
+    assert {gateway.name for gateway in run.gateways if gateway.follower.store_unavailable} == names
 
 
 def test_while_the_store_is_away_listeners_leave_it_to_relays_to_ask():
@@ -211,7 +211,7 @@
     listener = run.listeners()[0]
     before = listener.metrics.counters["changes_from_store"]
     run.run(DRAIN * 0.2)
-    listener.follower.doubt()
+    listener.follower.poll_now()
     run.run(700 * MS)
     assert listener.metrics.counters["changes_from_store"] == before + 1
 
@@ -237,10 +237,10 @@
     port.peers = SimpleNamespace(send=lambda *message: sent.append(message) or True)
     relay = kit.entry_records(1)[0]
     outcomes = []
-    port.ask(relay, kit.at(5), DRAIN, DRAIN).addCallback(outcomes.append)
+    port.request_changes(relay, kit.at(5), DRAIN, DRAIN).addCallback(outcomes.append)
     time.advance(40 * MS)
     asked = sent[0][1]
-    port.take(
+    port.receive(
         Incarnation(relay.name, "1"),
         ChangesResponse(asked.number, 0, 5, encode_facts([]), False, age_ms, held_ms),
     )
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -24,7 +24,7 @@
 from cardamomloft.feed.sources import Sources
 from cardamomloft.gateway.control import Changes, Listing
 from cardamomloft.gateway.relayedcontrol import RelayedControl
-from cardamomloft.gateway.relaying import Passed
+from cardamomloft.gateway.relaying import RelayedChanges
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft_standins import gateway as kit
@@ -69,7 +69,7 @@
         )
 
     def listed(self, *facts, era=1) -> None:
-        self.view.take_listing(Listing(facts, kit.at(10, era)))
+        self.view.apply_listing(Listing(facts, kit.at(10, era)))
 
     def pass_by(self, duration) -> None:
         for _ in range(duration // (100 * MS)):
@@ -90,7 +90,7 @@
     view.listed(up(1), era=2)
     assert view.usable() == ["i-1", "i-2"]
     view.pass_by(1500 * MS)
-    view.view.take_changes((up(2),))
+    view.view.apply_changes((up(2),))
     view.pass_by(5000 * MS)
     assert view.usable() == ["i-1", "i-2"]
 
@@ -107,12 +107,12 @@
 def test_an_endpoint_that_had_left_gets_nothing_on_the_word_of_the_copy(left):
     view = View()
     view.listed(up(1), up(2))
-    view.view.take_changes((left,))
+    view.view.apply_changes((left,))
     view.listed(up(1), up(2), era=2)
     view.pass_by(RENEWED)
     assert view.usable() == ["i-2"]
     assert view.metrics.counters["doubted_facts"] == 1
-    view.view.take_changes((up(1),))
+    view.view.apply_changes((up(1),))
     assert view.usable() == ["i-1", "i-2"]
 
 
@@ -122,7 +122,7 @@
     view = View()
     entry = EntryRecorded(kit.entry_records(1)[0])
     view.listed(up(1), entry)
-    view.view.take_changes((UpstreamWithdrawn("i-1"), EntryWithdrawn(entry.record.name)))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"), EntryWithdrawn(entry.record.name)))
     view.listed(up(1), entry, era=2)
     view.pass_by(CONFIRMATION_TIMEOUT - 200 * MS)
     if listed_again:
@@ -135,9 +135,9 @@
 def test_one_that_is_withdrawn_while_it_is_doubted_is_not_believed():
     view = View()
     view.listed(up(1))
-    view.view.take_changes((UpstreamWithdrawn("i-1"),))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), era=2)
-    view.view.take_changes((UpstreamWithdrawn("i-1"),))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"),))
     view.pass_by(2 * CONFIRMATION_TIMEOUT)
     assert view.usable() == []
 
@@ -145,7 +145,7 @@
 def test_one_that_is_missing_in_a_later_list_is_not_believed():
     view = View()
     view.listed(up(1), up(2))
-    view.view.take_changes((UpstreamWithdrawn("i-1"),))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), up(2), era=2)
     view.listed(up(2), era=2)
     view.pass_by(2 * CONFIRMATION_TIMEOUT)
@@ -155,11 +155,11 @@
 def test_a_zone_drained_since_the_copy_stays_so_until_operators_write_it_again():
     view = View()
     view.listed(up(1))
-    view.view.take_changes((ZoneDrained("a"),))
+    view.view.apply_changes((ZoneDrained("a"),))
     view.listed(up(1), era=2)
     view.pass_by(WRITTEN_AGAIN)
     assert view.usable() == []
-    view.view.take_changes((ZoneDrained("a"),))
+    view.view.apply_changes((ZoneDrained("a"),))
     view.pass_by(2 * CONFIRMATION_TIMEOUT)
     assert view.usable() == []
 
@@ -179,7 +179,7 @@
     view = View()
     view.listed(up(1), ZoneDrained("a"))
     view.listed(up(1), era=2)
-    view.view.take_changes((ZoneRestored("a"),))
+    view.view.apply_changes((ZoneRestored("a"),))
     assert view.usable() == ["i-1"]
 
 
@@ -324,8 +324,8 @@
     table.listed((), kit.at(60, era=2))
     sources.complete(time.clock.monotonic())
     time.advance(100 * MS)
-    answer = Passed((OLD_PLAN,), index, time.clock.monotonic(), whole)
-    port = SimpleNamespace(ask=lambda *question: succeed(Ok(answer)), publish=lambda: None)
+    answer = RelayedChanges((OLD_PLAN,), index, time.clock.monotonic(), whole)
+    port = SimpleNamespace(request_changes=lambda *question: succeed(Ok(answer)), answer_held_requests=lambda: None)
     store = SimpleNamespace(changes=lambda after, wait: succeed(Ok(FROM_STORE)))
     control = RelayedControl(store, time.clock, table, sources, port, lambda: records, Metrics())
     found = []
--- a/standins/src/cardamomloft_standins/experiment/world.py
+++ b/standins/src/cardamomloft_standins/experiment/world.py
@@ -12,7 +12,7 @@
 from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.forwarding import Forwarder
-from cardamomloft.gateway.noticing import Noticing
+from cardamomloft.gateway.noticehandler import NoticeHandler
 from cardamomloft.gateway.records import RequestLog
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import SendFailure, UpstreamAnswer, UpstreamRequest
@@ -201,7 +201,7 @@
             lambda service: budget,
             Metrics(),
             _NoLog(lambda: 1),
-            Noticing(world.clock, book, Metrics()),
+            NoticeHandler(world.clock, book, Metrics()),
         )
 
     def ask(self, request_id: str, key: str, patience: timedelta) -> "Deferred[Answer]":
@@ -212,7 +212,7 @@
         call = Call(request_id, rule, SERVICE, key, now, until, "/", now + patience)
         head = RequestHead("GET", "/", "", (), "10.0.0.1", 0, False)
         gone: Deferred[None] = Deferred()
-        carried = self._forwarder.carry(call, head, RequestBody(0, _Flow()), gone)
+        carried = self._forwarder.forward(call, head, RequestBody(0, _Flow()), gone)
         return Deferred.fromCoroutine(carried)
 
 
--- a/standins/src/cardamomloft_standins/gateway.py
+++ b/standins/src/cardamomloft_standins/gateway.py
@@ -157,7 +157,7 @@
         self.waits.append(wait)
         return succeed(self.next) if self.pending is None else self.pending
 
-    def record(self, record, life):
+    def record(self, record, ttl):
         """Note that an entry is recorded."""
         self.calls.append(f"record {record.name}")
         return succeed(self.lease)
--- a/standins/src/cardamomloft_standins/relayed.py
+++ b/standins/src/cardamomloft_standins/relayed.py
@@ -14,7 +14,7 @@
 from cardamomloft.feed.relays import relays_of
 from cardamomloft.gateway.changefeed import ChangeFeed
 from cardamomloft.gateway.control import Changes, Listing
-from cardamomloft.gateway.following import Follower, Pace
+from cardamomloft.gateway.following import Follower, PollTiming
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.store.failures import StoreFailure
@@ -220,8 +220,8 @@
             time.clock,
             self.feed.control,
             random.Random(seed),
-            Pace(DRAIN * 0.4, DRAIN * 0.6),
-            self.view.take_listing,
+            PollTiming(DRAIN * 0.4, DRAIN * 0.6),
+            self.view.apply_listing,
             self._on_changes,
             self._on_returned,
         )
@@ -251,7 +251,7 @@
     def receive(self, sender, message) -> None:
         """Take a message of another gateway."""
         if not self.stopped:
-            self.feed.take(sender, message)
+            self.feed.receive(sender, message)
 
     @property
     def drained(self) -> set[str]:
@@ -261,7 +261,7 @@
     def _on_changes(self, facts) -> None:
         gone = [fact for fact in facts if isinstance(fact, EntryWithdrawn)]
         self.entries_gone += [self.time.clock.monotonic()] * len(gone)
-        self.view.take_changes(facts)
+        self.view.apply_changes(facts)
 
     def _on_plan(self, plan) -> None:
         if plan.number > self.plans[-1]:
@@ -269,7 +269,7 @@
 
     def _on_returned(self) -> None:
         self.returns.append(self.time.clock.monotonic())
-        self.view.store_returned()
+        self.view.store_recovered()
 
 
 def _ignore(address) -> None:
