--- a/packages/core/src/cardamomloft/core/accounts.py
+++ b/packages/core/src/cardamomloft/core/accounts.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from cardamomloft.core.limits import Limit, LimitKind
-from cardamomloft.core.loans import GrantedLoans, BorrowedLoans
+from cardamomloft.core.loans import BorrowedLoans, GrantedLoans
 from cardamomloft.core.ownership import Ownership
 
 PEAK_WINDOW = timedelta(milliseconds=100)
--- a/packages/core/src/cardamomloft/core/checking.py
+++ b/packages/core/src/cardamomloft/core/checking.py
@@ -16,7 +16,7 @@
 from cardamomloft.core.model import Priority
 from cardamomloft.core.references import reference_mistakes
 from cardamomloft.core.requests import idempotent_methods, service_priority
-from cardamomloft.core.rules import ANY_VALUE, strip_trailing_slashes, is_under, path_prefixes
+from cardamomloft.core.rules import ANY_VALUE, is_under, path_prefixes, strip_trailing_slashes
 from expression import Error, Ok, Result
 from pydantic import TypeAdapter, ValidationError
 from pydantic_core import ErrorDetails
--- a/packages/core/src/cardamomloft/core/claims.py
+++ b/packages/core/src/cardamomloft/core/claims.py
@@ -208,7 +208,9 @@
         if self._lease is not None and self._lease.name == lease:
             self._lease = None
 
-    def start(self, own: CallerSuppliedId, fingerprint: str) -> Result["Attempt", Refusal | Unknown]:
+    def start(
+        self, own: CallerSuppliedId, fingerprint: str
+    ) -> Result["Attempt", Refusal | Unknown]:
         """Start an attempt to claim `own`.
 
         Call it only for an id that the ledger does not hold.
@@ -262,7 +264,9 @@
     safe on a VM that was suspended, whose own clocks stood still.
     """
 
-    def __init__(self, claims: Claims, own: CallerSuppliedId, fingerprint: str, lease: Lease | None) -> None:
+    def __init__(
+        self, claims: Claims, own: CallerSuppliedId, fingerprint: str, lease: Lease | None
+    ) -> None:
         self._claims = claims
         self._own = own
         self._fingerprint = fingerprint
--- a/packages/core/src/cardamomloft/core/ledger.py
+++ b/packages/core/src/cardamomloft/core/ledger.py
@@ -201,7 +201,10 @@
         if now >= expires:
             return Error(Refusal(RefusalReason.EXPIRED, "the id has expired and was not run"))
         charged_bytes = OPERATION_OVERHEAD_BYTES + len(operation) + self._max_answer_bytes
-        if len(self._records) >= self._max_operations or self._bytes + charged_bytes > self._max_bytes:
+        if (
+            len(self._records) >= self._max_operations
+            or self._bytes + charged_bytes > self._max_bytes
+        ):
             return Error(self._full_refusal())
         record = _Record(fingerprint, _second_after(expires + self._grace), charged_bytes)
         self._records[operation] = record
--- a/packages/core/src/cardamomloft/core/lending.py
+++ b/packages/core/src/cardamomloft/core/lending.py
@@ -9,7 +9,7 @@
 
 from cardamomloft.core.accounts import Account
 from cardamomloft.core.limits import Limit, base_shares
-from cardamomloft.core.loans import GrantedLoans, BorrowedLoans, loan_ids, max_loan_term
+from cardamomloft.core.loans import BorrowedLoans, GrantedLoans, loan_ids, max_loan_term
 from cardamomloft.core.messages import (
     LoanGrant,
     LoanRecall,
--- a/packages/core/src/cardamomloft/core/quarantine.py
+++ b/packages/core/src/cardamomloft/core/quarantine.py
@@ -29,7 +29,9 @@
     def __len__(self) -> int:
         return len(self._crashes)
 
-    def crash_notice(self, fingerprint: str, life: UpstreamIncarnation, now: timedelta) -> CrashUnderRequest:
+    def crash_notice(
+        self, fingerprint: str, life: UpstreamIncarnation, now: timedelta
+    ) -> CrashUnderRequest:
         """Return the notice that the upstream incarnation `life` crashed during the request."""
         number = 1
         for (upstream, started_ms, known), at in self._crashes.get(fingerprint, {}).items():
--- a/packages/core/src/cardamomloft/core/requests.py
+++ b/packages/core/src/cardamomloft/core/requests.py
@@ -8,7 +8,7 @@
 from cardamomloft.core.blocks import BlockMap
 from cardamomloft.core.document import Document, ServiceRow
 from cardamomloft.core.model import Priority, Refusal, RefusalReason, Request
-from cardamomloft.core.rules import strip_trailing_slashes, path_prefixes, path_without_query
+from cardamomloft.core.rules import path_prefixes, path_without_query, strip_trailing_slashes
 from expression import Error, Ok, Result
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
--- a/packages/core/src/cardamomloft/core/restoration.py
+++ b/packages/core/src/cardamomloft/core/restoration.py
@@ -36,7 +36,9 @@
     unconfirmed: tuple[Fact, ...]
 
 
-def classify_facts(facts: Iterable[Fact], table: UpstreamTable, entries: EntryTable) -> ClassifiedFacts:
+def classify_facts(
+    facts: Iterable[Fact], table: UpstreamTable, entries: EntryTable
+) -> ClassifiedFacts:
     """Divide the facts of a restored store by comparing them with this entry's state."""
     accepted: list[Fact] = []
     unconfirmed: list[Fact] = []
--- a/packages/core/src/cardamomloft/core/selection.py
+++ b/packages/core/src/cardamomloft/core/selection.py
@@ -15,6 +15,7 @@
 
 from cardamomloft.core.affinity import Candidate, first_ranked
 from cardamomloft.core.budgets import ColdLimit, cold_allowance, may_send_cold
+from cardamomloft.core.cachestate import CacheState, CacheTracker
 from cardamomloft.core.estimates import (
     SMOOTHING_FACTOR,
     describe_load,
@@ -26,7 +27,6 @@
 from cardamomloft.core.ranks import EntryRanks
 from cardamomloft.core.routes import RouteRule, ServicePolicy
 from cardamomloft.core.sizes import BodySizes
-from cardamomloft.core.cachestate import CacheState, CacheTracker
 from cardamomloft.core.upstreamtable import LoadReport, Upstream, UpstreamTable
 from cardamomloft.core.zones import slot_weights
 
@@ -320,7 +320,9 @@
         preferences = self._preferences
         if not upstream.service_time:
             return preferences.default_load
-        return min(max(rule.target / upstream.service_time, preferences.min_load), preferences.max_load)
+        return min(
+            max(rule.target / upstream.service_time, preferences.min_load), preferences.max_load
+        )
 
     def _cold_with_room(self, cold: list[Upstream], now: timedelta) -> Upstream | None:
         for upstream in cold:
--- a/packages/core/src/cardamomloft/core/suspicion.py
+++ b/packages/core/src/cardamomloft/core/suspicion.py
@@ -81,7 +81,9 @@
         """Return the instant at which the endpoint's ejection ends; in the past if not ejected."""
         return self._suspects.get(incarnation, _UNSUSPECTED).ejected_until
 
-    def record_failure(self, incarnation: UpstreamIncarnation, entry: str, at: timedelta, now: timedelta) -> None:
+    def record_failure(
+        self, incarnation: UpstreamIncarnation, entry: str, at: timedelta, now: timedelta
+    ) -> None:
         """Record that a request of `entry` to the endpoint failed.
 
         Parameters
--- a/packages/core/src/cardamomloft/core/upstreamtable.py
+++ b/packages/core/src/cardamomloft/core/upstreamtable.py
@@ -7,7 +7,7 @@
 
 from cardamomloft.core.affinity import text_hash
 from cardamomloft.core.recent import RecentSet
-from cardamomloft.core.registrations import RENEWAL_GRACE, UpstreamIncarnation, Registration
+from cardamomloft.core.registrations import RENEWAL_GRACE, Registration, UpstreamIncarnation
 
 MIN_LAPSED = 3
 """Minimum number of registrations that vanish at once to count as lapsed; fewer may be planned."""
--- a/packages/core/tests/test_comeback.py
+++ b/packages/core/tests/test_comeback.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 import pytest
-from cardamomloft.core.retryafter import RetryAfterPolicy, RetryAfterBounds
+from cardamomloft.core.retryafter import RetryAfterBounds, RetryAfterPolicy
 
 MS = timedelta(milliseconds=1)
 LONG = timedelta(minutes=1)
--- a/packages/core/tests/test_loan_protocol.py
+++ b/packages/core/tests/test_loan_protocol.py
@@ -11,7 +11,7 @@
 import pytest
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.limits import Limit, LimitKind
-from cardamomloft.core.loans import GrantedLoans, BorrowedLoans
+from cardamomloft.core.loans import BorrowedLoans, GrantedLoans
 from cardamomloft.core.messages import Digest
 from cardamomloft.core.model import Hold, Incarnation
 from cardamomloft.core.ownership import Ownership
--- a/packages/core/tests/test_notices.py
+++ b/packages/core/tests/test_notices.py
@@ -4,10 +4,10 @@
 
 from cardamomloft.core.notices import (
     BUCKETS,
+    CRASH_RETENTION,
     EXCUSE_RETENTION,
     LEAVING_RETENTION,
     MAX_NOTICES,
-    CRASH_RETENTION,
     CrashUnderRequest,
     DatedNotice,
     NoticeTable,
@@ -69,7 +69,9 @@
 
 def test_the_number_of_notices_is_bounded():
     board = NoticeTable()
-    board.take((DatedNotice(UpstreamLeaving(f"i-{n}", 0), NOW) for n in range(MAX_NOTICES + 9)), NOW)
+    board.take(
+        (DatedNotice(UpstreamLeaving(f"i-{n}", 0), NOW) for n in range(MAX_NOTICES + 9)), NOW
+    )
     assert len(board) == MAX_NOTICES
     assert UpstreamLeaving(f"i-{MAX_NOTICES + 8}", 0) in held_notices(board)
 
--- a/packages/core/tests/test_once_protocol.py
+++ b/packages/core/tests/test_once_protocol.py
@@ -17,7 +17,7 @@
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.ledger import IN_FLIGHT, Answered, Join, KeptAnswer, Ledger, Run, Settled
 from cardamomloft.core.model import Incarnation, Refusal, RefusalReason, Unknown
-from cardamomloft.core.operations import OperationIds, CallerSuppliedId, SystemId, parse_operation
+from cardamomloft.core.operations import CallerSuppliedId, OperationIds, SystemId, parse_operation
 from expression import Error, Ok
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
--- a/packages/core/tests/test_quarantine.py
+++ b/packages/core/tests/test_quarantine.py
@@ -12,7 +12,9 @@
 
 
 def crash(quarantine, fingerprint, upstream, now=NOW, started_ms=0):
-    return quarantine.apply(quarantine.crash_notice(fingerprint, UpstreamIncarnation(upstream, started_ms), now), now)
+    return quarantine.apply(
+        quarantine.crash_notice(fingerprint, UpstreamIncarnation(upstream, started_ms), now), now
+    )
 
 
 def test_a_request_is_quarantined_after_three_crashes():
--- a/packages/core/tests/test_restoration.py
+++ b/packages/core/tests/test_restoration.py
@@ -11,7 +11,7 @@
     UpstreamRegistered,
     ZoneDrained,
 )
-from cardamomloft.core.restoration import missing_drains, classify_facts
+from cardamomloft.core.restoration import classify_facts, missing_drains
 from cardamomloft.core.routes import CallerLimits, RoutePlan
 from cardamomloft.core.upstreamtable import UpstreamTable
 
--- a/packages/core/tests/test_shifting.py
+++ b/packages/core/tests/test_shifting.py
@@ -8,7 +8,7 @@
 from cardamomloft.core import ramping
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.model import Priority
-from cardamomloft.core.ramping import WeightedRoundRobin, Shift
+from cardamomloft.core.ramping import Shift, WeightedRoundRobin
 from cardamomloft.core.rules import Directive, WeightedPlace
 from cardamomloft.core.shifting import (
     AppliedMove,
--- a/packages/core/tests/test_stewardship.py
+++ b/packages/core/tests/test_stewardship.py
@@ -5,7 +5,14 @@
 
 import pytest
 from cardamomloft.core.clock import ManualClock
-from cardamomloft.core.stewardship import LEASE_DURATION, ReadLease, Renew, Stewardship, TryLease, WatchLease
+from cardamomloft.core.stewardship import (
+    LEASE_DURATION,
+    ReadLease,
+    Renew,
+    Stewardship,
+    TryLease,
+    WatchLease,
+)
 
 STEP = timedelta(milliseconds=50)
 
--- a/packages/core/tests/test_touches.py
+++ b/packages/core/tests/test_touches.py
@@ -4,8 +4,8 @@
 
 import pytest
 from cardamomloft.core import cachestate
-from cardamomloft.core.registrations import Registration
 from cardamomloft.core.cachestate import CacheState, CacheTracker
+from cardamomloft.core.registrations import Registration
 from cardamomloft.core.upstreamtable import Upstream
 
 ZERO = timedelta(0)
@@ -23,7 +23,9 @@
     assert tracker.state_of(upstream, "17") is CacheState.PENDING
     tracker.record_answer(upstream, "17")
     assert tracker.state_of(upstream, "17") is CacheState.HIT
-    assert tracker.state_of(upstream, "18") is tracker.state_of(endpoint(2), "17") is CacheState.MISS
+    assert (
+        tracker.state_of(upstream, "18") is tracker.state_of(endpoint(2), "17") is CacheState.MISS
+    )
 
 
 def test_a_failed_first_request_leaves_the_key_uncached():
--- a/packages/core/tests/test_upstreambook.py
+++ b/packages/core/tests/test_upstreambook.py
@@ -4,7 +4,7 @@
 
 import pytest
 from cardamomloft.core import upstreamtable
-from cardamomloft.core.registrations import RENEWAL_GRACE, UpstreamIncarnation, Registration
+from cardamomloft.core.registrations import RENEWAL_GRACE, Registration, UpstreamIncarnation
 from cardamomloft.core.upstreamtable import UpstreamTable
 
 MS = timedelta(milliseconds=1)
@@ -171,7 +171,12 @@
     before.in_flight, before.leaving = 2, True
     assert table.register(_row(started_ms=200, cold_left=500 * MS), 1000 * MS)
     after = table.get("i-1")
-    assert (after.failures, after.service_time, after.ejected_until, after.in_flight) == (0, None, ZERO, 0)
+    assert (after.failures, after.service_time, after.ejected_until, after.in_flight) == (
+        0,
+        None,
+        ZERO,
+        0,
+    )
     assert after.report is None and not after.leaving and after.cold_until == 1500 * MS
     assert after.seed == before.seed and table.version("menus") > version
     assert table.of_service("menus") == [after]
@@ -202,7 +207,11 @@
     table = UpstreamTable(REGIONS)
     table.register(_row(), ZERO)
     table.get("i-1").service_time = 40 * MS
-    assert table.mark_unreadable("i-1") and not table.mark_unreadable("i-1") and not table.mark_unreadable("i-2")
+    assert (
+        table.mark_unreadable("i-1")
+        and not table.mark_unreadable("i-1")
+        and not table.mark_unreadable("i-2")
+    )
     assert _ids(table) == []
     assert table.register(_row(), ZERO) and _ids(table) == ["i-1"]
     assert table.get("i-1").service_time == 40 * MS
--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -30,8 +30,8 @@
     Unknown,
 )
 from cardamomloft.core.operations import (
-    OperationIds,
     CallerSuppliedId,
+    OperationIds,
     SystemId,
     fingerprint,
     parse_operation,
@@ -160,7 +160,9 @@
             case outcome:
                 return self._words(outcome)
 
-    async def _claim(self, operation: CallerSuppliedId, mark: str) -> Claimed | HeldBy | Refusal | Unknown:
+    async def _claim(
+        self, operation: CallerSuppliedId, mark: str
+    ) -> Claimed | HeldBy | Refusal | Unknown:
         if self._claims is None:
             return Refusal(RefusalReason.CLAIM_BUDGET, "ids of callers' own making are turned off")
         await self._have_lease(self._claims)
--- a/packages/gateway/src/cardamomloft/gateway/forwarding.py
+++ b/packages/gateway/src/cardamomloft/gateway/forwarding.py
@@ -9,14 +9,14 @@
 from cardamomloft.callers.exchange import Answer, RequestHead, failed, to_answer, with_fractions
 from cardamomloft.core.budgets import RetryBudget
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.retryafter import RetryAfterPolicy, RetryAfterBounds
 from cardamomloft.core.model import Refusal, RefusalReason
+from cardamomloft.core.retryafter import RetryAfterBounds, RetryAfterPolicy
 from cardamomloft.core.selection import Selector
 from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.noticehandler import NoticeHandler
-from cardamomloft.gateway.requestrun import CallerState, RequestRun
 from cardamomloft.gateway.records import RequestLog, SendNote
+from cardamomloft.gateway.requestrun import CallerState, RequestRun
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import UpstreamClient
 from expression import Result
@@ -147,7 +147,9 @@
         self.metrics.count(f"refused.{refusal.reason}")
         if refusal.retry_after is None and refusal.reason not in _NOT_RETRYABLE:
             if wait is None:
-                wait = RetryAfterPolicy(RetryAfterBounds()).wait(self.rng.random(), _DEFAULT_CALLER_WAIT)
+                wait = RetryAfterPolicy(RetryAfterBounds()).wait(
+                    self.rng.random(), _DEFAULT_CALLER_WAIT
+                )
             refusal = refusal._replace(retry_after=wait)
         return with_fractions(to_answer(refusal))
 
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -263,7 +263,9 @@
         self.app.closing()
         stop_time = self._bounds.stop_time.total_seconds()
         self._reactor.callLater(stop_time * LINGER_FRACTION, self.lifecycle.lingered)
-        self._hard_stop = self._reactor.callLater(stop_time * HARD_STOP_FRACTION, self.lifecycle.drained)
+        self._hard_stop = self._reactor.callLater(
+            stop_time * HARD_STOP_FRACTION, self.lifecycle.drained
+        )
 
     def on_closing(self) -> None:
         """Close the listener, and finish the requests in flight."""
@@ -397,4 +399,6 @@
 
 
 def _poll_timing(bounds: Bounds) -> PollTiming:
-    return PollTiming(bounds.drain_time * POLL_INTERVAL_FRACTION, bounds.drain_time * STORE_WAIT_FRACTION)
+    return PollTiming(
+        bounds.drain_time * POLL_INTERVAL_FRACTION, bounds.drain_time * STORE_WAIT_FRACTION
+    )
--- a/packages/gateway/src/cardamomloft/gateway/pages.py
+++ b/packages/gateway/src/cardamomloft/gateway/pages.py
@@ -36,7 +36,9 @@
     @app.route("/lookup")
     def _lookup(self, req: IRequest) -> bytes:
         named = self._gateway.lookup(
-            query_argument(req, b"host"), query_argument(req, b"zone"), query_argument(req, b"region")
+            query_argument(req, b"host"),
+            query_argument(req, b"zone"),
+            query_argument(req, b"region"),
         )
         req.setHeader("Content-Type", "application/json")
         if isinstance(named, Refusal):
--- a/packages/gateway/src/cardamomloft/gateway/records.py
+++ b/packages/gateway/src/cardamomloft/gateway/records.py
@@ -9,9 +9,9 @@
 from datetime import timedelta
 
 from cardamomloft.callers.exchange import RequestHead
+from cardamomloft.core.cachestate import CacheState
 from cardamomloft.core.model import Refusal
 from cardamomloft.core.selection import Reason
-from cardamomloft.core.cachestate import CacheState
 from cardamomloft.core.upstreamtable import Upstream
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.outcomes import EndpointStatus
--- a/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
@@ -156,7 +156,9 @@
                 self._record_relay_failure(relay, failure)
         return await self._from_store(after, timedelta(0), request.pause)
 
-    def _apply_relayed(self, relayed: RelayedChanges, after: Position, pause: timedelta | None) -> Changes:
+    def _apply_relayed(
+        self, relayed: RelayedChanges, after: Position, pause: timedelta | None
+    ) -> Changes:
         self._metrics.count("changes_from_relay")
         self._sources.complete(relayed.complete_at)
         if relayed.whole:
--- a/packages/gateway/src/cardamomloft/gateway/relaying.py
+++ b/packages/gateway/src/cardamomloft/gateway/relaying.py
@@ -11,7 +11,7 @@
 from functools import singledispatchmethod
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.messages import ChangesResponse, ChangesRequest, Message
+from cardamomloft.core.messages import ChangesRequest, ChangesResponse, Message
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import EntryRecord, Fact
--- a/packages/gateway/src/cardamomloft/gateway/requestrun.py
+++ b/packages/gateway/src/cardamomloft/gateway/requestrun.py
@@ -10,12 +10,12 @@
 
 from cardamomloft.callers.body import RequestBody
 from cardamomloft.callers.exchange import Answer, RequestHead, failed, late
+from cardamomloft.core.cachestate import CacheState
 from cardamomloft.core.estimates import expected_load
 from cardamomloft.core.fingerprints import fingerprint
 from cardamomloft.core.model import Endpoint, Refusal, RefusalReason
 from cardamomloft.core.retries import may_retry
 from cardamomloft.core.selection import Choice, Reason
-from cardamomloft.core.cachestate import CacheState
 from cardamomloft.core.upstreamtable import LoadReport, Upstream
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.outcomes import (
--- a/packages/gateway/src/cardamomloft/gateway/storeview.py
+++ b/packages/gateway/src/cardamomloft/gateway/storeview.py
@@ -24,7 +24,7 @@
     ZoneDrained,
     ZoneRestored,
 )
-from cardamomloft.core.restoration import CONFIRMATION_TIMEOUT, missing_drains, classify_facts
+from cardamomloft.core.restoration import CONFIRMATION_TIMEOUT, classify_facts, missing_drains
 from cardamomloft.core.routes import RoutePlan
 from cardamomloft.core.selection import Selector
 from cardamomloft.core.upstreamtable import UpstreamTable
--- a/packages/gateway/tests/test_relayed_changes.py
+++ b/packages/gateway/tests/test_relayed_changes.py
@@ -9,7 +9,7 @@
 
 import pytest
 from cardamomloft.core.entrytable import EntryTable
-from cardamomloft.core.messages import ChangesResponse, ChangesRequest
+from cardamomloft.core.messages import ChangesRequest, ChangesResponse
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.registrations import (
     EntryWithdrawn,
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -325,7 +325,9 @@
     sources.complete(time.clock.monotonic())
     time.advance(100 * MS)
     answer = RelayedChanges((OLD_PLAN,), index, time.clock.monotonic(), whole)
-    port = SimpleNamespace(request_changes=lambda *question: succeed(Ok(answer)), answer_held_requests=lambda: None)
+    port = SimpleNamespace(
+        request_changes=lambda *question: succeed(Ok(answer)), answer_held_requests=lambda: None
+    )
     store = SimpleNamespace(changes=lambda after, wait: succeed(Ok(FROM_STORE)))
     control = RelayedControl(store, time.clock, table, sources, port, lambda: records, Metrics())
     found = []
--- a/standins/src/cardamomloft_standins/carrying.py
+++ b/standins/src/cardamomloft_standins/carrying.py
@@ -70,7 +70,9 @@
             ("user-agent", caller),
         )
         head = RequestHead("GET", path, "", pairs, address, len(body), False)
-        call = RequestReader(kit.plan(), kit.HEADERS, kit.rng()).read(head, self.time.clock.monotonic())
+        call = RequestReader(kit.plan(), kit.HEADERS, kit.rng()).read(
+            head, self.time.clock.monotonic()
+        )
         carried = RequestBody(len(body), self)
         if body:
             carried.data_received(body if whole else body[:1])
--- a/standins/src/cardamomloft_standins/gateway.py
+++ b/standins/src/cardamomloft_standins/gateway.py
@@ -24,7 +24,9 @@
 
 MS = timedelta(milliseconds=1)
 HEADERS = CallerHeaders("x-request-id", "x-deadline-ms", "x-object")
-DIALECT = Dialect(misdirected=421, expected="x-expected", load="x-load", refusal_statuses=frozenset({503}))
+DIALECT = Dialect(
+    misdirected=421, expected="x-expected", load="x-load", refusal_statuses=frozenset({503})
+)
 AWAY = Error(StoreFailure(False, "away"))
 
 RULE = RouteRule(
