--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,8 +1,8 @@
-"""Builds what a VM runs under ``target/``: libraries, and the project's own packages.
+"""Builds the runtime files of a VM under ``target/``: libraries, and the project's own packages.
 
-The new tree is put in place by one rename of a link, and an unchanged one is left alone: processes
-that were started from ``target/`` may still import modules while the next build runs. A tree stays
-until the second build after it, for those that run from it.
+Running processes may still import modules from ``target/`` during a build. Therefore a new tree of
+modules is activated atomically by replacing a symbolic link, an unchanged tree is not rewritten,
+and the previous tree is kept until the next build with changes.
 """
 
 import compileall
@@ -15,10 +15,10 @@
 from hashlib import sha256
 
 NAMESPACE = "cardamomloft"
-"""The package under which all of the project's own modules lie."""
+"""The namespace package of all modules of the project."""
 
 TREES_KEPT = 2
-"""Trees that stay: the one in place and the one before, from which processes may still run."""
+"""The active tree, and the previous one, from which processes may still be running."""
 
 
 def main(root: pathlib.Path) -> None:
@@ -29,18 +29,18 @@
 
 
 def _install_libraries(requirements: pathlib.Path, deps: pathlib.Path) -> None:
-    """Install the libraries anew when their list has changed."""
-    mark = deps / "installed"
-    if mark.exists() and mark.stat().st_mtime > requirements.stat().st_mtime:
+    """Reinstall the libraries if the requirements file is newer than the last installation."""
+    marker = deps / "installed"
+    if marker.exists() and marker.stat().st_mtime > requirements.stat().st_mtime:
         return
     shutil.rmtree(deps, ignore_errors=True)
     command = [sys.executable, "-m", "pip", "install", "--quiet", "--target", str(deps)]
     subprocess.run([*command, "--requirement", str(requirements)], check=True)
-    mark.touch()
+    marker.touch()
 
 
 def install_sources(root: pathlib.Path, deps: pathlib.Path) -> None:
-    """Put the project's modules under `deps`, unless they are there as they are now."""
+    """Install the project's modules under `deps`, unless they are unchanged."""
     sources = _sources(root)
     digest = _digest(sources)
     trees = deps.parent / "trees"
@@ -48,15 +48,15 @@
     if not tree.exists():
         _write_tree(sources, tree)
     link = deps / NAMESPACE
-    goal = pathlib.Path(os.path.relpath(tree, deps))
-    if not link.is_symlink() or link.readlink() != goal:
-        _point(link, goal)
+    target = pathlib.Path(os.path.relpath(tree, deps))
+    if not link.is_symlink() or link.readlink() != target:
+        _replace_symlink(link, target)
     os.utime(tree)
-    _forget_old(trees)
+    _remove_old_trees(trees)
 
 
 def _sources(root: pathlib.Path) -> dict[str, pathlib.Path]:
-    """Return the project's modules by their path below the namespace."""
+    """Return the project's modules by their path relative to the namespace package."""
     folders = [*root.glob(f"packages/*/src/{NAMESPACE}"), root / "platform" / "src" / NAMESPACE]
     return {
         path.relative_to(folder).as_posix(): path
@@ -66,41 +66,44 @@
 
 
 def _digest(sources: dict[str, pathlib.Path]) -> str:
-    found = sha256()
+    hasher = sha256()
     for name in sorted(sources):
         content = sources[name].read_bytes()
-        found.update(f"{name} {len(content)}\n".encode() + content)
-    return found.hexdigest()[:16]
+        hasher.update(f"{name} {len(content)}\n".encode() + content)
+    return hasher.hexdigest()[:16]
 
 
 def _write_tree(sources: dict[str, pathlib.Path], tree: pathlib.Path) -> None:
-    """Write and compile a tree beside its place, so that it is there whole or not at all."""
-    draft = tree.with_name(f"{tree.name}.{os.getpid()}")
+    """Write and compile a tree in a temporary directory, and rename it to `tree` when complete."""
+    staging = tree.with_name(f"{tree.name}.{os.getpid()}")
     for name, path in sources.items():
-        target = draft / name
+        target = staging / name
         target.parent.mkdir(parents=True, exist_ok=True)
         shutil.copyfile(path, target)
-    # By their contents: the place, and so the time of change, is another after the rename.
+    # Hash-based bytecode files do not depend on the sources' modification times.
     mode = py_compile.PycInvalidationMode.UNCHECKED_HASH
-    if not compileall.compile_dir(draft, ddir=NAMESPACE, quiet=1, invalidation_mode=mode):
+    if not compileall.compile_dir(staging, ddir=NAMESPACE, quiet=1, invalidation_mode=mode):
         raise SystemExit("the modules do not compile")
     try:
-        draft.rename(tree)
+        staging.rename(tree)
     except OSError:
-        # Another build of the same sources was first.
-        shutil.rmtree(draft)
+        # A concurrent build of the same sources has created the tree.
+        shutil.rmtree(staging)
 
 
-def _point(link: pathlib.Path, goal: pathlib.Path) -> None:
-    """Let `link` name `goal`, in one step."""
+def _replace_symlink(link: pathlib.Path, target: pathlib.Path) -> None:
+    """Atomically replace the symbolic link `link` by one to `target`.
+
+    A directory in the place of the link is removed first.
+    """
     if link.is_dir() and not link.is_symlink():
         shutil.rmtree(link)
-    draft = link.with_name(f"{link.name}.{os.getpid()}")
-    draft.symlink_to(goal)
-    draft.replace(link)
+    staging = link.with_name(f"{link.name}.{os.getpid()}")
+    staging.symlink_to(target)
+    staging.replace(link)
 
 
-def _forget_old(trees: pathlib.Path) -> None:
+def _remove_old_trees(trees: pathlib.Path) -> None:
     by_age = sorted(trees.iterdir(), key=lambda path: path.stat().st_mtime, reverse=True)
     for path in by_age[TREES_KEPT:]:
         shutil.rmtree(path)
