--- a/packages/operators/src/cardamomloft/operators/__init__.py
+++ b/packages/operators/src/cardamomloft/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command, cardamomctl."""
+"""Implementation of the operators' command-line tool, ``cardamomctl``."""
--- a/packages/operators/src/cardamomloft/operators/acceptance.py
+++ b/packages/operators/src/cardamomloft/operators/acceptance.py
@@ -1,8 +1,9 @@
-"""Whether a revision is accepted, and how far a drain is, from what entries report.
+"""Evaluates the acceptance of a revision and the progress of a drain from entry reports.
 
-A revision is accepted when every entry of the roster has it in force or is known to be out. Only
-an entry's own answer or the VM list's word "gone" counts; silence and a missing row do not. An
-entry answers for one process only, so the answers of two rounds are compared.
+A revision is accepted when it is in force at every entry of the roster, apart from entries that are
+out of service. Evidence is either the entry's own status or the state "gone" in the VM list; an
+entry that does not answer, or a VM that is not listed, proves nothing. A status holds for one
+process incarnation only, so acceptance is confirmed by comparing two polling rounds.
 """
 
 import enum
@@ -22,7 +23,7 @@
 
 @_strict
 class ServiceStatus(TypedDict):
-    """One entry's part of a service: its slots and what is running and queued."""
+    """Slots and requests of one service at one entry."""
 
     slots_free: int
     slots_total: int
@@ -32,7 +33,7 @@
 
 @_strict
 class DrainStatus(TypedDict):
-    """One entry's view of a drain; `expected_end_ms` counts from the answer."""
+    """State of a drain at one entry; `expected_end_ms` is relative to the time of the answer."""
 
     name: str
     kind: str
@@ -43,7 +44,7 @@
 
 @_strict
 class EntryStatus(TypedDict):
-    """What an entry answers at ``/status``; keys unknown here are ignored."""
+    """Body of an entry's ``/status`` answer; unknown keys are ignored."""
 
     seat: str
     incarnation: str
@@ -61,7 +62,7 @@
 
 
 class EntryReport(t.NamedTuple):
-    """The outcome of asking one seat; without a status `detail` says why."""
+    """Result of a status request to one seat; `detail` is the error if there is no status."""
 
     seat: str
     address: str
@@ -70,15 +71,18 @@
 
 
 class Verdict(enum.StrEnum):
-    """What is known of one seat and one revision."""
+    """Whether a revision is in force at a seat.
+
+    `LACKING` includes seats whose state is unknown; `OUT` means that the VM is gone.
+    """
 
     IN_FORCE = "in force"
     LACKING = "lacking"
     OUT = "out"
 
 
-class Standing(t.NamedTuple):
-    """The verdict on one seat, the revision it reported, and why."""
+class SeatVerdict(t.NamedTuple):
+    """Verdict on one seat, with the revision that it reported and the reason."""
 
     seat: str
     verdict: Verdict
@@ -87,23 +91,23 @@
 
 
 class Acceptance(t.NamedTuple):
-    """The standings of all seats that count for one revision."""
+    """Verdicts on all seats that are required to have revision `number`."""
 
     number: int
-    standings: tuple[Standing, ...]
+    seat_verdicts: tuple[SeatVerdict, ...]
 
-    def of(self, verdict: Verdict) -> tuple[Standing, ...]:
-        """Return the standings with `verdict`."""
-        return tuple(s for s in self.standings if s.verdict is verdict)
+    def with_verdict(self, verdict: Verdict) -> tuple[SeatVerdict, ...]:
+        """Return the seats' verdicts that equal `verdict`."""
+        return tuple(s for s in self.seat_verdicts if s.verdict is verdict)
 
     @property
     def accepted(self) -> bool:
-        """Whether no seat lacks the revision."""
-        return not self.of(Verdict.LACKING)
+        """Whether no seat has the verdict `LACKING`."""
+        return not self.with_verdict(Verdict.LACKING)
 
 
 class DrainProgress(t.NamedTuple):
-    """A drain over all entries: `pending` names the seats that are not done."""
+    """Progress of a drain over all entries; `pending` lists the seats where it is not done."""
 
     in_flight: int
     expected_end: timedelta | None
@@ -111,51 +115,51 @@
 
     @property
     def done(self) -> bool:
-        """Whether every entry that counts has reported the drain done."""
+        """Whether the drain is done at every entry."""
         return not self.pending
 
 
-def judge(
+def evaluate_acceptance(
     number: int,
     reports: t.Iterable[EntryReport],
     vms: Mapping[str, VmState] | None,
     removed: frozenset[str] = frozenset(),
     *,
-    before: Mapping[str, EntryReport] | None = None,
+    first_round: Mapping[str, EntryReport] | None = None,
 ) -> Acceptance:
-    """Decide for every seat whether revision `number` is in force there.
+    """Evaluate whether revision `number` is in force at every seat.
 
     Parameters
     ----------
     number
-        The revision asked about.
+        The revision to evaluate.
     reports
         One report for each seat of the roster, and for each seat that the revision removes.
     vms
         The VM list, or None if it could not be read.
     removed
-        Seats that the revision takes off the roster. Their VMs may already be off the list, so a
-        missing row means for them what "gone" means for others.
+        Seats that the revision removes from the roster. Their VMs may already be deleted, so a
+        missing row in the VM list counts as "gone" for them.
     before
-        The reports of the round before this one, if there was one. Without it the verdicts hold
-        for the processes that answered, but not for their successors.
+        The reports of the previous polling round. Without them the verdicts hold only for the
+        processes that answered, not for a process that replaces one of them.
     """
     by_seat = {report.seat: report for report in reports}
-    said = _said_by(by_seat.values())
-    # The VM list lags, so an entry that answers is alive whatever the list says.
-    gone = {s for s in by_seat.keys() - said.keys() if _is_gone(s, vms, s in removed)}
-    if before is None:
-        in_force = {seat: report.revision for seat, report in said.items()}
+    answered = _reports_by_seat(by_seat.values())
+    # The VM list is eventually consistent: an entry that answers is running even if listed as gone.
+    gone = {s for s in by_seat.keys() - answered.keys() if _is_gone(s, vms, s in removed)}
+    if first_round is None:
+        in_force = {seat: report.revision for seat, report in answered.items()}
         lacking = acceptance(number, by_seat.keys(), in_force, gone).lacking
     else:
-        first = _said_by(before.values())
-        lacking = confirm_acceptance(number, by_seat.keys(), first, said, gone).lacking
+        first_reports = _reports_by_seat(first_round.values())
+        lacking = confirm_acceptance(number, by_seat.keys(), first_reports, answered, gone).lacking
     return Acceptance(
-        number, tuple(_stand(r, number, lacking, gone, vms) for r in by_seat.values())
+        number, tuple(_seat_verdict(r, number, lacking, gone, vms) for r in by_seat.values())
     )
 
 
-def _said_by(reports: t.Iterable[EntryReport]) -> dict[str, Report]:
+def _reports_by_seat(reports: t.Iterable[EntryReport]) -> dict[str, Report]:
     return {
         report.seat: Report(report.status["incarnation"], report.status["revision"])
         for report in reports
@@ -169,30 +173,31 @@
     return vms.get(seat, "gone" if removed else None) == "gone"
 
 
-def _stand(
+def _seat_verdict(
     report: EntryReport,
     number: int,
     lacking: Mapping[str, int | None],
     gone: Collection[str],
     vms: Mapping[str, VmState] | None,
-) -> Standing:
+) -> SeatVerdict:
     seat = report.seat
     if report.status is not None:
         revision = report.status["revision"]
         if seat not in lacking:
-            return Standing(seat, Verdict.IN_FORCE, revision, f"has revision {revision}")
+            return SeatVerdict(seat, Verdict.IN_FORCE, revision, f"has revision {revision}")
         replaced = ", but was started meanwhile" if revision >= number else ""
-        return Standing(seat, Verdict.LACKING, revision, f"has revision {revision}{replaced}")
+        return SeatVerdict(seat, Verdict.LACKING, revision, f"has revision {revision}{replaced}")
     if seat in gone:
-        return Standing(seat, Verdict.OUT, None, "VM gone")
+        return SeatVerdict(seat, Verdict.OUT, None, "VM gone")
     listed = "VM list not available" if vms is None else f"VM {vms.get(seat, 'not on the list')}"
-    return Standing(seat, Verdict.LACKING, None, f"{report.detail}; {listed}")
+    return SeatVerdict(seat, Verdict.LACKING, None, f"{report.detail}; {listed}")
 
 
 def drain_progress(name: str, reports: t.Iterable[EntryReport]) -> DrainProgress:
-    """Sum up the drain `name` over entries; pass no report of an entry that is out.
+    """Aggregate the progress of the drain `name` over entries.
 
-    An entry that cannot be asked, or does not list the drain, is not done.
+    An entry without a status, or whose status does not list the drain, counts as not done, so
+    `reports` must not include entries that are out of service.
     """
     in_flight = 0
     ends: list[float] = []
@@ -212,7 +217,7 @@
 
 
 def find_drain(report: EntryReport, name: str) -> DrainStatus | None:
-    """Return the row of the drain `name` in a report, if there is one."""
+    """Return the status of the drain `name` in a report, or None if it is not listed."""
     rows = report.status["drains"] if report.status is not None else []
     return next((row for row in rows if row["name"] == name), None)
 
--- a/packages/operators/src/cardamomloft/operators/applying.py
+++ b/packages/operators/src/cardamomloft/operators/applying.py
@@ -1,4 +1,4 @@
-"""The commands ``check``, ``plan`` and ``apply``: an operator's file and what is in force."""
+"""The commands ``check``, ``plan`` and ``apply``, which take a configuration file."""
 
 import typing as t
 from datetime import timedelta
@@ -9,19 +9,26 @@
 from cardamomloft.core.document import Document
 from cardamomloft.operators import conflicts, editing, fleet, trail, waiting, wording
 from cardamomloft.operators.acceptance import Acceptance, highest_revision
-from cardamomloft.operators.outcomes import ExitCode, Failure, Outcome, unavailable, unwritten
-from cardamomloft.operators.recording import Base, Written, read_base, write
-from cardamomloft.operators.rendering import count
+from cardamomloft.operators.outcomes import (
+    ExitCode,
+    Failure,
+    Outcome,
+    unavailable,
+    with_nothing_written,
+)
+from cardamomloft.operators.recording import Base, WrittenRecord, read_base, write
+from cardamomloft.operators.rendering import format_count
 from cardamomloft.operators.session import Session
 from cardamomloft.operators.trail import AuditEntry
-from cardamomloft.operators.wording import Recording
+from cardamomloft.operators.wording import RecordedChange
 from expression import Error, Ok, Result
 
-RECENT = 20
+MAX_RECENT_ENTRIES = 20
+"""Audit entries that a file is checked against for conflicts."""
 
 
 class Intent(t.NamedTuple):
-    """Who makes a change and why; `change` is its unique id."""
+    """Author and reason of a change; `change` is its unique id."""
 
     who: str
     why: str
@@ -29,25 +36,27 @@
 
 
 def read_document(text: str) -> Result[Document, Failure]:
-    """Check an operator's file; the failure lists every mistake."""
-    checked = load_json(text).bind(check_document).map(editing.without_empty_plans)
-    return checked.map_error(lambda mistakes: wording.refused("the file has mistakes", mistakes))
+    """Parse and validate a configuration file; the failure lists every mistake."""
+    checked = load_json(text).bind(check_document).map(editing.drop_empty_drains_and_moves)
+    return checked.map_error(
+        lambda mistakes: wording.mistakes_failure("the file has mistakes", mistakes)
+    )
 
 
 async def check(session: Session, text: str) -> Result[Outcome, Failure]:
-    """Check a file without asking anyone."""
+    """Validate a file offline."""
     match read_document(text):
         case Result(tag="error", error=failure):
             return Error(failure)
         case Result(ok=document):
             found = wording.warn_document(session, document)
-            session.console.say(f"no mistakes, {count(len(found), 'warning')}")
+            session.console.info(f"no mistakes, {format_count(len(found), 'warning')}")
             return Ok(Outcome(ExitCode.OK, {"outcome": "ok", "warnings": found}))
     raise AssertionError("a result is neither ok nor error")
 
 
 async def plan(session: Session, text: str) -> Result[Outcome, Failure]:
-    """Show what applying a file would change; write nothing."""
+    """Show the difference that applying a file would make, without writing."""
     match read_document(text):
         case Result(tag="error", error=failure):
             return Error(failure)
@@ -65,12 +74,12 @@
             pass
     changes = _changes(base, document)
     found = conflicts.overlaps(recent, changes)
-    wording.say_base(session, base)
-    wording.say_difference(session, changes)
+    wording.report_base(session, base)
+    wording.report_difference(session, changes)
     warned = wording.warn_document(session, document)
     wording.warn_overlaps(session, found)
     if changes:
-        session.console.say(f"apply it with --base {base.number} to be sure of this plan")
+        session.console.info(f"apply it with --base {base.number} to be sure of this plan")
     payload = {
         "outcome": "plan" if changes else "no change",
         "base": base.number,
@@ -93,22 +102,22 @@
     Parameters
     ----------
     base_number
-        The revision that the file was edited from. With it a file may undo recorded changes, and
-        any change since then is a conflict.
+        The revision that the file was edited from. If given, the file may undo changes up to that
+        revision, and any later revision is a conflict.
     """
     match read_document(text):
         case Result(tag="error", error=failure):
-            return Error(unwritten(failure))
+            return Error(with_nothing_written(failure))
         case Result(ok=document):
             pass
     match await read_base(session):
         case Result(tag="error", error=failure):
-            return Error(unwritten(failure))
+            return Error(with_nothing_written(failure))
         case Result(ok=base):
             pass
     match await read_recent(session, base, repair=True):
         case Result(tag="error", error=failure):
-            return Error(unwritten(failure))
+            return Error(with_nothing_written(failure))
         case Result(ok=recent):
             pass
     known = find_recorded(base, recent, intent.change)
@@ -116,25 +125,25 @@
         if not known.written.superseded and base.document != document:
             text = f"change {intent.change} is recorded, with another file; leave --change out"
             return Error(Failure(ExitCode.REFUSED, text))
-        session.console.say(f"change {intent.change} is recorded already")
-        return Ok(await conclude(session, known, wait))
+        session.console.info(f"change {intent.change} is recorded already")
+        return Ok(await wait_and_report(session, known, wait))
     changes = _changes(base, document)
     if not changes:
-        return Ok(wording.no_change(session, base))
-    match _allow(base, base_number, recent, changes):
+        return Ok(wording.report_no_change(session, base))
+    match _check_conflicts(base, base_number, recent, changes):
         case Result(tag="error", error=failure):
-            return Error(unwritten(failure))
-    wording.say_base(session, base)
-    wording.say_difference(session, changes)
+            return Error(with_nothing_written(failure))
+    wording.report_base(session, base)
+    wording.report_difference(session, changes)
     wording.warn_document(session, document)
     wording.warn_overlaps(session, conflicts.overlaps(recent, changes))
     match await record(session, base, document, intent, recent):
         case Result(tag="error", error=failure):
-            return Error(unwritten(failure))
+            return Error(with_nothing_written(failure))
         case Result(ok=Conflict(winner)):
-            return Error(await conflict(session, base, winner, changes))
-        case Result(ok=recording):
-            return Ok(await conclude(session, recording, wait))
+            return Error(await describe_conflict(session, base, winner, changes))
+        case Result(ok=recorded):
+            return Ok(await wait_and_report(session, recorded, wait))
     raise AssertionError("a result is neither ok nor error")
 
 
@@ -144,13 +153,14 @@
     document: Document,
     intent: Intent,
     recent: tuple[AuditEntry, ...],
-) -> Result[Recording | Conflict, Failure]:
-    """Write `document` over `base`."""
+) -> Result[RecordedChange | Conflict, Failure]:
+    """Write `document` to the store as the revision that follows `base`."""
     rows = conflicts.as_rows(_changes(base, document))
-    above = await _highest_held(session, base, document)
-    if above > base.number:
+    highest = await _highest_entry_revision(session, base, document)
+    if highest > base.number:
         session.console.warn(
-            f"warning: entries hold revision {above}, the store only {base.number}: it lost changes"
+            f"warning: entries hold revision {highest}, the store only {base.number}:"
+            " it lost changes"
         )
     new = next_record(
         base.record,
@@ -159,36 +169,43 @@
         session.clock.utcnow().isoformat(timespec="milliseconds"),
         intent.why,
         intent.change,
-        above=above,
+        above=highest,
     )
     match await write(session, base, new, rows):
-        case Result(tag="ok", ok=Written() as written):
-            wording.say_recorded(session, written)
-            return Ok(Recording(written, rows, recent))
+        case Result(tag="ok", ok=WrittenRecord() as written):
+            wording.report_recorded(session, written)
+            return Ok(RecordedChange(written, rows, recent))
         case other:
-            return t.cast(Result[Recording | Conflict, Failure], other)
+            return t.cast(Result[RecordedChange | Conflict, Failure], other)
+
 
+async def wait_and_report(session: Session, recorded: RecordedChange, wait: timedelta) -> Outcome:
+    """Wait until the revision is accepted or `wait` has elapsed, and report the result."""
+    acceptance, _ = await wait_for_acceptance(session, recorded, wait)
+    return wording.report_acceptance(session, recorded, acceptance)
 
-async def conclude(session: Session, recording: Recording, wait: timedelta) -> Outcome:
-    """Wait for acceptance and report it."""
-    acceptance, _ = await accept(session, recording, wait)
-    return wording.conclusion(session, recording, acceptance)
 
+async def wait_for_acceptance(
+    session: Session, recorded: RecordedChange, wait: timedelta
+) -> tuple[Acceptance, waiting.RequiredSeats]:
+    """Wait until the recorded revision is accepted or `wait` has elapsed.
 
-async def accept(
-    session: Session, recording: Recording, wait: timedelta
-) -> tuple[Acceptance, waiting.Audience]:
-    """Wait until the recorded revision is accepted or `wait` is over."""
-    new = recording.written.record
-    audience = await waiting.find_audience(session, new, recording.difference, recording.recent)
-    return await waiting.wait_accepted(session, new["number"], audience, wait), audience
+    Returns
+    -------
+    tuple
+        The last evaluation, and the seats that it covers.
+    """
+    new = recorded.written.record
+    required = await waiting.find_required_seats(session, new, recorded.difference, recorded.recent)
+    return await waiting.wait_accepted(session, new["number"], required, wait), required
 
 
-def find_recorded(base: Base, recent: t.Iterable[AuditEntry], change: str) -> Recording | None:
-    """Return the change `change` if the store shows that it was recorded.
+def find_recorded(base: Base, recent: t.Iterable[AuditEntry], change: str) -> RecordedChange | None:
+    """Return the change with the id `change` if the recent audit trail contains it.
 
-    Only the record in force has its document at hand; of an older change the roster in force now
-    is asked, since every later revision contains it.
+    The store keeps only the current document, so the returned record contains that one even if the
+    change is older: its acceptance is evaluated for the current roster, which is valid because
+    every later revision includes the change.
     """
     if base.record is None:
         return None
@@ -196,38 +213,40 @@
         if entry["change"] == change:
             found = t.cast(Record, {**base.record, "number": entry["number"], "change": change})
             superseded = entry["number"] < base.number
-            written = Written(found, superseded, audited=True)
-            return Recording(written, entry["difference"] or [], tuple(recent))
+            written = WrittenRecord(found, superseded, audited=True)
+            return RecordedChange(written, entry["difference"] or [], tuple(recent))
     return None
 
 
-async def conflict(
+async def describe_conflict(
     session: Session, base: Base, winner: Record, mine: t.Sequence[Change]
 ) -> Failure:
-    """Report who recorded a change first, what it was, and whether the edits meet."""
+    """Return the failure that describes the changes recorded first and where the edits overlap."""
     theirs: tuple[AuditEntry, ...] = ()
     current = Base(winner, 0)
     match await read_recent(session, current, repair=True):
         case Result(tag="ok", ok=recent):
-            theirs = conflicts.since(recent, base.number)
+            theirs = conflicts.entries_after(recent, base.number)
     return wording.conflict_failure(current, theirs, mine)
 
 
-def _allow(
+def _check_conflicts(
     base: Base,
     base_number: int | None,
     recent: t.Sequence[AuditEntry],
     mine: t.Sequence[Change],
 ) -> Result[None, Failure]:
-    """Refuse a file that would take back what others have recorded without knowing of it."""
+    """Reject a file that would unintentionally undo recorded changes."""
     if base_number is not None:
         if base_number == base.number:
             return Ok(None)
-        return Error(wording.conflict_failure(base, conflicts.since(recent, base_number), mine))
-    undone = conflicts.undone(conflicts.overlaps(recent, mine))
-    if not undone:
+        return Error(
+            wording.conflict_failure(base, conflicts.entries_after(recent, base_number), mine)
+        )
+    undoing = conflicts.filter_undoing(conflicts.overlaps(recent, mine))
+    if not undoing:
         return Ok(None)
-    numbers = {overlap.number for overlap in undone}
+    numbers = {overlap.number for overlap in undoing}
     theirs = [entry for entry in recent if entry["number"] in numbers]
     failure = wording.conflict_failure(base, theirs, mine)
     revisions = "revision" if len(numbers) == 1 else "revisions"
@@ -240,10 +259,11 @@
 async def read_recent(
     session: Session, base: Base, *, repair: bool
 ) -> Result[tuple[AuditEntry, ...], Failure]:
-    """Read the recent trail.
+    """Read the most recent audit entries.
 
-    With `repair` the entry of the record in force is written if it is missing. That has to be done
-    before the record is replaced: the trail alone tells then whose change it was.
+    With `repair`, the audit entry of the current record is created if it is missing. This must
+    happen before the record is replaced, since afterwards only the audit trail identifies the
+    change.
     """
     if base.record is None or session.store is None:
         return Ok(())
@@ -251,11 +271,11 @@
         match await trail.ensure_entry(session.store, base.record):
             case Result(tag="error", error=fault):
                 return Error(unavailable(fault.detail))
-    read = await trail.read_back_from(session.store, base.number, RECENT)
+    read = await trail.read_back_from(session.store, base.number, MAX_RECENT_ENTRIES)
     return read.map(trail.read_entries).map_error(lambda fault: unavailable(fault.detail))
 
 
-async def _highest_held(session: Session, base: Base, document: Document) -> int:
+async def _highest_entry_revision(session: Session, base: Base, document: Document) -> int:
     addresses = fleet.roster(document)
     if base.document is not None:
         addresses = {**fleet.roster(base.document), **addresses}
--- a/packages/operators/src/cardamomloft/operators/editing.py
+++ b/packages/operators/src/cardamomloft/operators/editing.py
@@ -1,8 +1,9 @@
-"""Edits of the configuration document that announce planned work.
+"""Edits of the configuration document that add and remove drains and moves.
 
-Every edit returns a new document and leaves its argument alone. An edit whose result is already
-there returns an equal document, so that repeating a command writes nothing. The edits commute
-with edits of other parts, and can be made again on a newer document after a conflict.
+An edit returns a new document and does not modify its argument. Edits are idempotent: if the
+document already has the requested state, an equal document is returned, so that a repeated command
+writes nothing. Edits commute with edits of other paths, so after a conflict they can be made again
+on the newer document.
 """
 
 import hashlib
@@ -14,13 +15,13 @@
 from expression import Error, Ok, Result
 
 DEFAULT_CAP_PERCENT_PER_S = 1.0
-_MAX_NAME = 63
+_MAX_NAME_LENGTH = 63
 
 Edit = t.Callable[[Document], Result[Document, Mistake]]
 
 
-class Move(t.NamedTuple):
-    """A move that an operator asks for; `cap` is in percentage points per second."""
+class MoveRequest(t.NamedTuple):
+    """A move requested by an operator; `cap` is in percentage points per second."""
 
     service: str
     origin: str
@@ -30,21 +31,22 @@
 
 
 def format_instant(instant: datetime) -> str:
-    """Return `instant` as the document writes it: ISO 8601 with milliseconds and offset."""
+    """Format `instant` for the document: ISO 8601 with milliseconds and UTC offset."""
     return instant.isoformat(timespec="milliseconds")
 
 
-def without_empty_plans(document: Document) -> Document:
-    """Leave out empty tables of drains and moves, which say the same as none.
+def drop_empty_drains_and_moves(document: Document) -> Document:
+    """Return the document without empty tables of drains and moves.
 
-    An undone drain then leaves the document as it was before, whichever way the file writes it.
+    An empty table and a missing one are equivalent. In this normal form, removing the last drain
+    restores a document equal to the one before the drain was added.
     """
     kept = {k: v for k, v in document.items() if k not in ("drains", "moves") or v}
     return t.cast(Document, kept)
 
 
 def names_of_kind(document: Document, kind: DrainKind) -> frozenset[str]:
-    """Return the names that a drain of `kind` may have."""
+    """Return the names that a drain of `kind` can refer to."""
     if kind == "region":
         return frozenset(document["regions"])
     if kind == "zone":
@@ -64,16 +66,16 @@
     at: datetime | None = None,
     reason: str = "",
 ) -> Result[Document, Mistake]:
-    """Announce a drain that starts `at` an instant, or `now`.
+    """Add a drain that starts at the time `at`, or at `now` if that is None.
 
-    A drain that has already started is left as it is unless `at` is given.
+    A drain that has already started is not changed unless `at` is given.
     """
-    match _known_target(document, kind, name):
+    match _check_target(document, kind, name):
         case Result(tag="error", error=mistake):
             return Error(mistake)
     drains = document.get("drains", {})
     row = drains.get(name)
-    if row is not None and not _differs(row, now, at):
+    if row is not None and not _start_differs(row, now, at):
         return Ok(document)
     added = DrainRow(kind=kind, since=format_instant(at or now))
     if reason:
@@ -82,19 +84,19 @@
 
 
 def remove_drain(document: Document, kind: DrainKind, name: str) -> Result[Document, Mistake]:
-    """Take a drain back; one that is not there is already taken back."""
-    match _known_target(document, kind, name):
+    """Remove a drain; if there is none, return the document unchanged."""
+    match _check_target(document, kind, name):
         case Result(tag="error", error=mistake):
             return Error(mistake)
     drains = document.get("drains", {})
     if name not in drains:
         return Ok(document)
-    return Ok(_with_rows(document, "drains", {k: v for k, v in drains.items() if k != name}))
+    return Ok(_replace_rows(document, "drains", {k: v for k, v in drains.items() if k != name}))
 
 
-def add_move(document: Document, move: Move, now: datetime) -> Result[Document, Mistake]:
-    """Announce a move, or change the percentage of one between the same two zones."""
-    match _known_move(document, move):
+def add_move(document: Document, move: MoveRequest, now: datetime) -> Result[Document, Mistake]:
+    """Add a move, or replace the service's move between the same two zones."""
+    match _check_move(document, move):
         case Result(tag="error", error=mistake):
             return Error(mistake)
     cap = move_cap(document, move)
@@ -114,34 +116,34 @@
     return Ok(t.cast(Document, {**document, "moves": {**moves, key: added}}))
 
 
-def remove_move(document: Document, move: Move) -> Result[Document, Mistake]:
-    """Take a move back; one that is not there is already taken back."""
-    match _known_move(document, move):
+def remove_move(document: Document, move: MoveRequest) -> Result[Document, Mistake]:
+    """Remove a move; if there is none, return the document unchanged."""
+    match _check_move(document, move):
         case Result(tag="error", error=mistake):
             return Error(mistake)
     key = _find_move(document, move)
     if key is None:
         return Ok(document)
     moves = document.get("moves", {})
-    return Ok(_with_rows(document, "moves", {k: v for k, v in moves.items() if k != key}))
+    return Ok(_replace_rows(document, "moves", {k: v for k, v in moves.items() if k != key}))
 
 
-def move_cap(document: Document, move: Move) -> float:
-    """Return the cap in force for `move`: its own, else the service's, else the default."""
+def move_cap(document: Document, move: MoveRequest) -> float:
+    """Return the cap that applies to `move`: its own, else the service's, else the default."""
     if move.cap is not None:
         return move.cap
     service = document["services"][move.service]
     return service.get("shift_cap_percent_per_s", DEFAULT_CAP_PERCENT_PER_S)
 
 
-def _differs(row: DrainRow, now: datetime, at: datetime | None) -> bool:
+def _start_differs(row: DrainRow, now: datetime, at: datetime | None) -> bool:
     since = parse_instant(row["since"])
     if since is None:
         return True
     return since > now if at is None else since != at
 
 
-def _known_target(document: Document, kind: DrainKind, name: str) -> Result[None, Mistake]:
+def _check_target(document: Document, kind: DrainKind, name: str) -> Result[None, Mistake]:
     path = f"drains.{name}"
     if name not in names_of_kind(document, kind):
         return Error(Mistake(path, f"the configuration has no {kind} named {name!r}"))
@@ -152,7 +154,7 @@
     return Ok(None)
 
 
-def _known_move(document: Document, move: Move) -> Result[None, Mistake]:
+def _check_move(document: Document, move: MoveRequest) -> Result[None, Mistake]:
     path = f"moves.{_move_key(move)}"
     service = document["services"].get(move.service)
     if service is None:
@@ -170,7 +172,7 @@
     return Ok(None)
 
 
-def _find_move(document: Document, move: Move) -> str | None:
+def _find_move(document: Document, move: MoveRequest) -> str | None:
     wanted = (move.service, move.origin, move.target)
     for key, row in document.get("moves", {}).items():
         if (row["service"], row["origin"], row["target"]) == wanted:
@@ -178,12 +180,12 @@
     return None
 
 
-def _move_key(move: Move) -> str:
+def _move_key(move: MoveRequest) -> str:
     key = f"{move.service}.{move.origin}.{move.target}"
-    if len(key) <= _MAX_NAME:
+    if len(key) <= _MAX_NAME_LENGTH:
         return key
     return f"{move.service[:40]}.{hashlib.sha256(key.encode()).hexdigest()[:16]}"
 
 
-def _with_rows(document: Document, key: str, rows: t.Mapping[str, t.Any]) -> Document:
-    return without_empty_plans(t.cast(Document, {**document, key: dict(rows)}))
+def _replace_rows(document: Document, key: str, rows: t.Mapping[str, t.Any]) -> Document:
+    return drop_empty_drains_and_moves(t.cast(Document, {**document, key: dict(rows)}))
--- a/packages/operators/src/cardamomloft/operators/fleet.py
+++ b/packages/operators/src/cardamomloft/operators/fleet.py
@@ -1,4 +1,4 @@
-"""Asking the entries and the VM list."""
+"""Reads the status of entries over HTTP, and the VM list."""
 
 import typing as t
 from collections.abc import Mapping
@@ -13,21 +13,23 @@
 from expression import Error, Result
 from twisted.internet.defer import Deferred, DeferredSemaphore, gatherResults
 
-CONCURRENT_REQUESTS = 64
+MAX_CONCURRENT_REQUESTS = 64
 STATUS_TIMEOUT = timedelta(seconds=2)
 MAX_STATUS_BYTES = 4_000_000
 
-STATUS = "/status?limits=no"
-"""The page without its list of limits, which grows with the upstreams and is not needed here."""
+STATUS_PATH = "/status?limits=no"
+"""Status without the list of limits, whose size grows with the number of upstreams."""
 
 
 class HttpFleet:
-    """Entries asked over HTTP by IP number; every call is bounded in time and size.
+    """HTTP client for the status of entries; calls are bounded in time and response size.
 
     Parameters
     ----------
     reactor
-        Opens connections and measures timeouts.
+        The Twisted reactor for connections and timeouts.
+    timeout
+        The time limit of one call.
     """
 
     def __init__(self, reactor: t.Any, timeout: timedelta = STATUS_TIMEOUT) -> None:
@@ -36,11 +38,11 @@
         self._exchanges: dict[str, Exchange] = {}
 
     def status(self, address: str) -> Deferred[Result[object, str]]:
-        """Return the decoded ``/status`` of the entry at `address`, or why there is none."""
+        """Return the decoded ``/status`` of the entry at `address`, or an error text."""
         if address not in self._exchanges:
             exchange = Exchange(self._reactor, address, max_answer_bytes=MAX_STATUS_BYTES)
             self._exchanges[address] = exchange
-        called = self._exchanges[address].call("GET", STATUS, timeout=self._timeout)
+        called = self._exchanges[address].call("GET", STATUS_PATH, timeout=self._timeout)
         return called.addCallback(_decode_status)
 
     def close(self) -> Deferred[t.Any]:
@@ -65,33 +67,39 @@
 
 
 async def poll(session: Session, addresses: Mapping[str, str]) -> tuple[EntryReport, ...]:
-    """Ask every seat for its status, a bounded number at a time."""
-    gate = DeferredSemaphore(CONCURRENT_REQUESTS)
-    asked = [gate.run(_ask, session, seat, address) for seat, address in addresses.items()]
-    return tuple(await gatherResults(asked, consumeErrors=True))
+    """Request the status of every seat, with bounded concurrency."""
+    semaphore = DeferredSemaphore(MAX_CONCURRENT_REQUESTS)
+    requests = [
+        semaphore.run(_request_status, session, seat, address)
+        for seat, address in addresses.items()
+    ]
+    return tuple(await gatherResults(requests, consumeErrors=True))
 
 
 async def poll_addresses(session: Session, addresses: t.Iterable[str]) -> tuple[EntryReport, ...]:
-    """Ask entries whose seats are not known; each is named by its address until it answers."""
+    """Request the status of entries whose seats are unknown.
+
+    An entry that does not answer is reported with its address in place of the seat.
+    """
     reports = await poll(session, {address: address for address in addresses})
     return tuple(r._replace(seat=r.status["seat"]) if r.status else r for r in reports)
 
 
 async def vm_states(session: Session) -> Result[Mapping[str, VmState], str]:
-    """Return the VM list, or why it cannot be had."""
+    """Return the state of each VM by name, or an error text."""
     if session.vms is None:
         return Error("no VM list is named: give --vms or --settings")
     fetched = await session.vms.fetch()
     return fetched.map(lambda rows: {row.name: row.state for row in rows})
 
 
-def _ask(session: Session, seat: str, address: str) -> Deferred[EntryReport]:
+def _request_status(session: Session, seat: str, address: str) -> Deferred[EntryReport]:
     answered = session.fleet.status(address)
     return answered.addCallback(lambda result: read_status(seat, address, result))
 
 
 def read_status(seat: str, address: str, result: Result[object, str]) -> EntryReport:
-    """Judge one answer; one from another seat does not speak for this one."""
+    """Convert a status answer to a report; an answer from a different seat is an error."""
     match result.bind(_check_status):
         case Result(tag="error", error=detail):
             return EntryReport(seat, address, None, detail)
--- a/packages/operators/src/cardamomloft/operators/main.py
+++ b/packages/operators/src/cardamomloft/operators/main.py
@@ -1,4 +1,4 @@
-"""The command line of ``cardamomctl``: options, surroundings, output, exit code."""
+"""The command line of ``cardamomctl``: commands, their options and argument parsing."""
 
 import inspect
 import typing as t
@@ -12,39 +12,42 @@
 from cardamomloft.core.references import parse_instant
 from cardamomloft.operators import applying, mapping, planning, reporting
 from cardamomloft.operators.applying import Intent
-from cardamomloft.operators.editing import Move
+from cardamomloft.operators.editing import MoveRequest
 from cardamomloft.operators.outcomes import ExitCode, Failure
-from cardamomloft.operators.planning import Drain
-from cardamomloft.operators.running import Command, Finished, Options, execute, read_text
+from cardamomloft.operators.planning import DrainRequest
+from cardamomloft.operators.running import Command, CommandResult, Options, execute, read_text
 from cardamomloft.operators.session import Session
 from expression import Error, Result
 
 APPLY_WAIT_S = 30.0
 DRAIN_WAIT_S = 600.0
-MAX_NUMBER = 1_000_000
+MAX_OPTION_VALUE = 1_000_000
 
 
 class Reason(str):
-    """Why a change is made; it is never empty."""
+    """A non-blank reason for a change."""
 
 
 def command(body: Callable[..., Command]) -> Callable[..., t.NoReturn]:
-    """Make a command-line function of `body`: add the common options, run what it returns."""
+    """Decorate `body` as a command-line function.
 
-    def run(*args: t.Any, **given: t.Any) -> t.NoReturn:
-        options = Options(**{name: given.pop(name) for name in Options._fields})
-        execute(options, body(*args, **given))
+    The result has the common options too, and executes the command that `body` returns.
+    """
+
+    def run(*args: t.Any, **kwargs: t.Any) -> t.NoReturn:
+        options = Options(**{name: kwargs.pop(name) for name in Options._fields})
+        execute(options, body(*args, **kwargs))
 
-    own, common = inspect.signature(body), inspect.signature(_common)
+    own, common = inspect.signature(body), inspect.signature(_common_options)
     parameters = [*own.parameters.values(), *common.parameters.values()]
     run.__name__ = body.__name__
-    run.__doc__ = _with_common_doc(inspect.cleandoc(body.__doc__ or ""))
-    run.__annotations__ = {**body.__annotations__, **_common.__annotations__}
+    run.__doc__ = _add_common_options_doc(inspect.cleandoc(body.__doc__ or ""))
+    run.__annotations__ = {**body.__annotations__, **_common_options.__annotations__}
     run.__signature__ = own.replace(parameters=parameters)  # type: ignore[attr-defined]
     return run
 
 
-def _common(
+def _common_options(
     *,
     store: str | None = None,
     vms: str | None = None,
@@ -52,7 +55,7 @@
     settings: Path | None = None,
     json: bool = False,
 ) -> None:
-    """Hold the options that every command has.
+    """Declare the options that all commands share.
 
     Parameters
     ----------
@@ -63,19 +66,19 @@
     entry
         Operators' addresses IP:PORT of entries to ask while the store is away.
     settings
-        A JSON file with store, vms, entries and who; options go before it.
+        A JSON file with store, vms, entries and who; options take precedence over it.
     json
         Print one JSON object in place of text.
     """
 
 
-def _common_doc() -> str:
-    return "\n" + inspect.cleandoc(_common.__doc__ or "").partition("----------\n")[2]
+def _common_options_doc() -> str:
+    return "\n" + inspect.cleandoc(_common_options.__doc__ or "").partition("----------\n")[2]
 
 
-def _with_common_doc(doc: str) -> str:
+def _add_common_options_doc(doc: str) -> str:
     heading = "" if "\nParameters\n" in doc else "\n\nParameters\n----------"
-    return doc + heading + _common_doc()
+    return doc + heading + _common_options_doc()
 
 
 @command
@@ -87,7 +90,7 @@
     file
         The configuration document, JSON.
     """
-    return _with_text(file, applying.check)
+    return _with_file_text(file, applying.check)
 
 
 @command
@@ -101,7 +104,7 @@
     default
         The site of addresses in no block.
     """
-    return _with_text(file, lambda session, text: mapping.publish(session, text, default))
+    return _with_file_text(file, lambda session, text: mapping.publish(session, text, default))
 
 
 @command
@@ -113,7 +116,7 @@
     file
         The configuration document, JSON.
     """
-    return _with_text(file, applying.plan)
+    return _with_file_text(file, applying.plan)
 
 
 @command
@@ -144,9 +147,9 @@
         Seconds to wait for acceptance.
     """
 
-    def run(session: Session) -> Coroutine[t.Any, t.Any, Finished]:
+    def run(session: Session) -> Coroutine[t.Any, t.Any, CommandResult]:
         intent = _intent(session, who, why, change)
-        return _with_text(
+        return _with_file_text(
             file, lambda session, text: applying.apply(session, text, intent, _seconds(wait), base)
         )(session)
 
@@ -186,9 +189,9 @@
     wait
         Seconds to wait for acceptance and for the drain to be done.
     """
-    asked = Drain(kind, name, at, undo)
+    request = DrainRequest(kind, name, at, undo)
     return lambda session: planning.drain(
-        session, asked, _intent(session, who, why, change), _seconds(wait)
+        session, request, _intent(session, who, why, change), _seconds(wait)
     )
 
 
@@ -231,11 +234,11 @@
     wait
         Seconds to wait for acceptance.
     """
-    asked = Move(service, origin, target, percent or 0.0, cap)
+    request = MoveRequest(service, origin, target, percent or 0.0, cap)
     if percent is None and not undo:
-        return _ends_with(Failure(ExitCode.USAGE, "--percent is needed, unless --undo is given"))
+        return _fail_with(Failure(ExitCode.USAGE, "--percent is needed, unless --undo is given"))
     return lambda session: planning.move(
-        session, asked, undo, _intent(session, who, why, change), _seconds(wait)
+        session, request, undo, _intent(session, who, why, change), _seconds(wait)
     )
 
 
@@ -257,7 +260,7 @@
         Check the whole chain of changes.
     """
     if last < 1:
-        return _ends_with(Failure(ExitCode.USAGE, "--last must be at least 1"))
+        return _fail_with(Failure(ExitCode.USAGE, "--last must be at least 1"))
     return lambda session: reporting.audit(session, last, verify)
 
 
@@ -289,7 +292,7 @@
     for text in header or []:
         name, separator, value = text.partition("=")
         if not separator or not name:
-            return _ends_with(Failure(ExitCode.USAGE, f"--header {text!r} is not NAME=VALUE"))
+            return _fail_with(Failure(ExitCode.USAGE, f"--header {text!r} is not NAME=VALUE"))
         headers[name.lower()] = value
     return lambda session: reporting.explain(session, method, path, client, zone, headers)
 
@@ -298,7 +301,7 @@
 
 
 def bind(argv: list[str] | None = None) -> Callable[[], t.Any]:
-    """Parse a command line into the call that runs it; a faulty one ends the process with 2."""
+    """Parse a command line into a callable that runs it; a usage error exits with status 2."""
     return defopt.bind(
         COMMANDS,
         argv=argv,
@@ -331,8 +334,8 @@
 
 def _read_number(text: str) -> float:
     number = float(text)
-    if not 0 <= number <= MAX_NUMBER:
-        raise ValueError(f"needs a number from 0 to {MAX_NUMBER}")
+    if not 0 <= number <= MAX_OPTION_VALUE:
+        raise ValueError(f"needs a number from 0 to {MAX_OPTION_VALUE}")
     return number
 
 
@@ -344,19 +347,19 @@
     return Intent(who or session.who, why, change or uuid.uuid4().hex)
 
 
-def _ends_with(failure: Failure) -> Command:
-    async def run(session: Session) -> Finished:
+def _fail_with(failure: Failure) -> Command:
+    async def run(session: Session) -> CommandResult:
         return Error(failure)
 
     return run
 
 
-def _with_text(
-    file: Path, body: Callable[[Session, str], Coroutine[t.Any, t.Any, Finished]]
+def _with_file_text(
+    file: Path, body: Callable[[Session, str], Coroutine[t.Any, t.Any, CommandResult]]
 ) -> Command:
     match read_text(file):
         case Result(tag="error", error=failure):
-            return _ends_with(failure)
+            return _fail_with(failure)
         case Result(ok=text):
             return lambda session: body(session, text)
     raise AssertionError("a result is neither ok nor error")
--- a/packages/operators/src/cardamomloft/operators/mapping.py
+++ b/packages/operators/src/cardamomloft/operators/mapping.py
@@ -1,4 +1,4 @@
-"""The command ``publish``: a large client-block map, kept in the store as chunks."""
+"""The command ``publish``, which writes a client-block map to the store in chunks."""
 
 from cardamomloft.core.blocks import BlockMap, block_mistakes
 from cardamomloft.core.checking import load_json
@@ -10,10 +10,10 @@
 
 
 async def publish(session: Session, text: str, default: str) -> Result[Outcome, Failure]:
-    """Write the chunks that the store lacks, and show the ``clients`` part that names them.
+    """Write the chunks that the store lacks, and return the ``clients`` table that refers to them.
 
-    A chunk's key is the digest of its bytes, so writing one twice changes nothing, and a change of
-    a few blocks writes the few chunks that hold them.
+    Chunks are content-addressed: the key is the digest of the data. Writes are idempotent, and a
+    change of a few blocks writes only the chunks that contain them.
     """
     match _read_map(text, default):
         case Result(tag="error", error=failure):
@@ -30,34 +30,37 @@
             case Result(ok=new):
                 written += new
     clients = {"default": default, "chunks": [chunk.digest for chunk in chunks]}
-    session.console.say(f"{len(chunks)} chunks, {written} of them new in the store")
+    session.console.info(f"{len(chunks)} chunks, {written} of them new in the store")
     return Ok(Outcome(ExitCode.OK, {"clients": clients, "written": written}))
 
 
 def _read_map(text: str, default: str) -> Result[tuple[Chunk, ...], Failure]:
     match load_json(text):
         case Result(tag="error", error=mistakes):
-            return Error(_refused(tuple(str(mistake) for mistake in mistakes)))
+            return Error(_invalid_map(tuple(str(mistake) for mistake in mistakes)))
         case Result(ok=raw):
             pass
     if not isinstance(raw, dict) or not all(isinstance(site, str) for site in raw.values()):
-        return Error(_refused(("an object from block to site is expected",)))
+        return Error(_invalid_map(("an object from block to site is expected",)))
     faults = tuple(str(mistake) for mistake in block_mistakes((), raw))
     if faults:
-        return Error(_refused(faults))
+        return Error(_invalid_map(faults))
     return Ok(BlockMap.from_blocks(raw, default).pack())
 
 
-def _refused(lines: tuple[str, ...]) -> Failure:
+def _invalid_map(lines: tuple[str, ...]) -> Failure:
     return Failure(ExitCode.REFUSED, "not a client-block map", lines)
 
 
 async def _write(store: Store, chunk: Chunk) -> Result[int, str]:
-    """Create one chunk; return 1 if it was new. A lost answer is settled by reading."""
+    """Create one chunk and return 1 if it was new, else 0.
+
+    After a write without an answer, the chunk is read to find out whether it was written.
+    """
     key = f"map/{chunk.digest}"
     match await store.compare_and_swap(key, chunk.data, 0):
-        case Result(tag="ok", ok=made):
-            return Ok(int(made))
+        case Result(tag="ok", ok=created):
+            return Ok(int(created))
         case Result(error=failure) if not failure.ambiguous:
             return Error(failure.detail)
     match await store.get(key):
--- a/packages/operators/src/cardamomloft/operators/outcomes.py
+++ b/packages/operators/src/cardamomloft/operators/outcomes.py
@@ -1,11 +1,11 @@
-"""What a command ends with: exit codes, failures and results."""
+"""Results of commands: exit codes, failures and outcomes."""
 
 import enum
 import typing as t
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes of the command; scripts may rely on them."""
+    """Exit codes of the command; a stable interface for scripts."""
 
     OK = 0
     REFUSED = 1
@@ -18,7 +18,7 @@
 
 
 class Failure(t.NamedTuple):
-    """Why a command stopped; `lines` explain, `payload` is the same for programs."""
+    """Why a command failed; `lines` give details, `payload` holds them for ``--json``."""
 
     code: ExitCode
     text: str
@@ -27,20 +27,20 @@
 
 
 class Outcome(t.NamedTuple):
-    """How a command ended; `payload` is what ``--json`` prints."""
+    """Result of a command that did not fail; `payload` is what ``--json`` prints."""
 
     code: ExitCode
     payload: t.Mapping[str, t.Any]
 
 
 def unavailable(detail: str) -> Failure:
-    """Return the failure of a store that could not be asked, before anything was written."""
+    """Return the failure for an unavailable store, with nothing written yet."""
     text = f"the configuration store is unavailable: {detail}"
     return Failure(ExitCode.UNAVAILABLE, text)
 
 
-def unwritten(failure: Failure) -> Failure:
-    """Return the failure of a command that was to change the configuration and did not."""
+def with_nothing_written(failure: Failure) -> Failure:
+    """Add to an `UNAVAILABLE` failure that the configuration was not changed."""
     if failure.code is not ExitCode.UNAVAILABLE:
         return failure
     return failure._replace(text=f"{failure.text}; nothing was written")
--- a/packages/operators/src/cardamomloft/operators/planning.py
+++ b/packages/operators/src/cardamomloft/operators/planning.py
@@ -1,4 +1,4 @@
-"""The commands ``drain`` and ``move``: edits of the document that announce planned work."""
+"""The commands ``drain`` and ``move``, which edit the configuration document."""
 
 import typing as t
 from datetime import datetime, timedelta
@@ -10,19 +10,19 @@
 from cardamomloft.operators import applying, editing, waiting, wording
 from cardamomloft.operators.acceptance import Acceptance
 from cardamomloft.operators.applying import Intent
-from cardamomloft.operators.editing import Edit, Move
-from cardamomloft.operators.outcomes import ExitCode, Failure, Outcome, unwritten
-from cardamomloft.operators.recording import Base, Written, read_base
-from cardamomloft.operators.rendering import count, duration
+from cardamomloft.operators.editing import Edit, MoveRequest
+from cardamomloft.operators.outcomes import ExitCode, Failure, Outcome, with_nothing_written
+from cardamomloft.operators.recording import Base, WrittenRecord, read_base
+from cardamomloft.operators.rendering import format_count, format_duration
 from cardamomloft.operators.session import Session
-from cardamomloft.operators.wording import Recording
+from cardamomloft.operators.wording import RecordedChange
 from expression import Error, Ok, Result
 
-EDIT_TRIES = 5
+MAX_EDIT_ATTEMPTS = 5
 
 
-class Drain(t.NamedTuple):
-    """A drain that an operator asks for, or takes back; without `at` it starts now."""
+class DrainRequest(t.NamedTuple):
+    """A request to add a drain, or with `undo` to remove it; without `at` it starts now."""
 
     kind: DrainKind
     name: str
@@ -30,65 +30,73 @@
     undo: bool = False
 
 
-class Edited(t.NamedTuple):
-    """The revision that holds an edit; `fresh` if this command recorded it."""
+class EditResult(t.NamedTuple):
+    """The revision that contains an edit.
 
-    recording: Recording
-    fresh: bool
+    `changed` is false if the document already was in the requested state.
+    """
+
+    recorded: RecordedChange
+    changed: bool
 
 
 async def drain(
-    session: Session, asked: Drain, intent: Intent, wait: timedelta
+    session: Session, request: DrainRequest, intent: Intent, wait: timedelta
 ) -> Result[Outcome, Failure]:
-    """Announce a drain or take it back, and wait until it is accepted and done."""
+    """Add a drain and wait until it is accepted and done, or remove it and wait for acceptance."""
 
     def edit(document: Document) -> Result[Document, t.Any]:
-        if asked.undo:
-            return editing.remove_drain(document, asked.kind, asked.name)
+        if request.undo:
+            return editing.remove_drain(document, request.kind, request.name)
         now = session.clock.utcnow()
         return editing.add_drain(
-            document, asked.kind, asked.name, now=now, at=asked.at, reason=intent.why
+            document, request.kind, request.name, now=now, at=request.at, reason=intent.why
         )
 
     match await edit_document(session, edit, intent):
         case Result(tag="error", error=failure):
-            return Error(unwritten(failure))
-        case Result(ok=edited) if asked.undo:
-            return Ok(await _conclude(session, edited, wait))
+            return Error(with_nothing_written(failure))
+        case Result(ok=edited) if request.undo:
+            return Ok(await _finish_edit(session, edited, wait))
         case Result(ok=edited):
-            return Ok(await _follow_drain(session, asked, edited, wait))
+            return Ok(await _wait_for_drain(session, request, edited, wait))
     raise AssertionError("a result is neither ok nor error")
 
 
 async def move(
-    session: Session, asked: Move, undo: bool, intent: Intent, wait: timedelta
+    session: Session, request: MoveRequest, undo: bool, intent: Intent, wait: timedelta
 ) -> Result[Outcome, Failure]:
-    """Announce a move or take it back, and wait until it is accepted."""
+    """Add or remove a move, and wait until the revision is accepted."""
 
     def edit(document: Document) -> Result[Document, t.Any]:
         if undo:
-            return editing.remove_move(document, asked)
-        return editing.add_move(document, asked, session.clock.utcnow())
+            return editing.remove_move(document, request)
+        return editing.add_move(document, request, session.clock.utcnow())
 
     match await edit_document(session, edit, intent):
         case Result(tag="error", error=failure):
-            return Error(unwritten(failure))
+            return Error(with_nothing_written(failure))
         case Result(ok=edited):
-            outcome = await _conclude(session, edited, wait)
-    if undo or not edited.fresh:
+            outcome = await _finish_edit(session, edited, wait)
+    if undo or not edited.changed:
         return Ok(outcome)
-    cap = editing.move_cap(edited.recording.written.record["document"], asked)
-    takes = timedelta(seconds=asked.percent / cap)
-    session.console.say(
-        f"at {cap:g} percent per second the whole move takes {duration(takes)} at least"
+    cap = editing.move_cap(edited.recorded.written.record["document"], request)
+    min_duration = timedelta(seconds=request.percent / cap)
+    session.console.info(
+        f"at {cap:g} percent per second the whole move takes"
+        f" {format_duration(min_duration)} at least"
+    )
+    return Ok(
+        outcome._replace(payload={**outcome.payload, "takes_s": min_duration.total_seconds()})
     )
-    return Ok(outcome._replace(payload={**outcome.payload, "takes_s": takes.total_seconds()}))
 
 
-async def edit_document(session: Session, edit: Edit, intent: Intent) -> Result[Edited, Failure]:
-    """Make an edit of what is in force; after a conflict make it again on what won."""
+async def edit_document(
+    session: Session, edit: Edit, intent: Intent
+) -> Result[EditResult, Failure]:
+    """Apply an edit to the current document, and retry on the newer one after a conflict."""
     failure: Failure | None = None
-    for _ in range(EDIT_TRIES):
+    for _ in range(MAX_EDIT_ATTEMPTS):
         match await read_base(session):
             case Result(tag="error", error=failure):
                 return Error(failure)
@@ -96,18 +104,20 @@
                 pass
         match await _edit_once(session, base, edit, intent):
             case Result(tag="ok", ok=Conflict(winner)):
-                failure = await applying.conflict(session, base, winner, ())
-                session.console.say(f"revision {winner['number']} was recorded first; trying again")
+                failure = await applying.describe_conflict(session, base, winner, ())
+                session.console.info(
+                    f"revision {winner['number']} was recorded first; trying again"
+                )
             case other:
-                return t.cast(Result[Edited, Failure], other)
+                return t.cast(Result[EditResult, Failure], other)
     if failure is None:
-        raise AssertionError("no try was made")
+        raise AssertionError("MAX_EDIT_ATTEMPTS is below 1")
     return Error(failure)
 
 
 async def _edit_once(
     session: Session, base: Base, edit: Edit, intent: Intent
-) -> Result[Edited | Conflict, Failure]:
+) -> Result[EditResult | Conflict, Failure]:
     if base.record is None or base.document is None:
         return Error(Failure(ExitCode.REFUSED, "no revision is recorded yet: apply a file first"))
     match await applying.read_recent(session, base, repair=True):
@@ -117,62 +127,71 @@
             pass
     known = applying.find_recorded(base, recent, intent.change)
     if known is not None:
-        session.console.say(f"change {intent.change} is recorded already")
-        return Ok(Edited(known, fresh=True))
+        session.console.info(f"change {intent.change} is recorded already")
+        return Ok(EditResult(known, changed=True))
     match edit(base.document):
         case Result(tag="error", error=mistake):
-            return Error(wording.refused("the configuration cannot be edited so", (mistake,)))
+            return Error(
+                wording.mistakes_failure("the configuration cannot be edited so", (mistake,))
+            )
         case Result(ok=document) if document == base.document:
-            session.console.say(f"no change: revision {base.number} holds this already")
-            return Ok(Edited(Recording(Written(base.record, False, True), [], recent), fresh=False))
+            session.console.info(f"no change: revision {base.number} holds this already")
+            return Ok(
+                EditResult(
+                    RecordedChange(WrittenRecord(base.record, False, True), [], recent),
+                    changed=False,
+                )
+            )
         case Result(ok=document):
             pass
     match check_document(document):
         case Result(tag="error", error=mistakes):
-            return Error(wording.refused("the edit makes mistakes", mistakes))
-    _warn_new(session, base.document, document)
+            return Error(wording.mistakes_failure("the edit makes mistakes", mistakes))
+    _warn_about_new(session, base.document, document)
     recorded = await applying.record(session, base, document, intent, recent)
     return recorded.map(
-        lambda done: done if isinstance(done, Conflict) else Edited(done, fresh=True)
+        lambda done: done if isinstance(done, Conflict) else EditResult(done, changed=True)
     )
 
 
-def _warn_new(session: Session, old: Document, new: Document) -> None:
-    """Warn of what the edit brings about; the rest was said when it was applied."""
+def _warn_about_new(session: Session, old: Document, new: Document) -> None:
+    """Show the warnings that the edit adds to those of the old document."""
     before = set(warnings(old))
     found = [mistake for mistake in warnings(new) if mistake not in before]
     session.console.warn(*(f"warning: {mistake}" for mistake in found))
 
 
-async def _conclude(session: Session, edited: Edited, wait: timedelta) -> Outcome:
-    if edited.fresh:
-        return await applying.conclude(session, edited.recording, wait)
-    number = edited.recording.written.record["number"]
+async def _finish_edit(session: Session, edited: EditResult, wait: timedelta) -> Outcome:
+    if edited.changed:
+        return await applying.wait_and_report(session, edited.recorded, wait)
+    number = edited.recorded.written.record["number"]
     return Outcome(ExitCode.OK, {"outcome": "no change", "revision": number})
 
 
-async def _follow_drain(session: Session, asked: Drain, edited: Edited, wait: timedelta) -> Outcome:
-    until = session.clock.monotonic() + wait
-    acceptance, audience = await applying.accept(session, edited.recording, wait)
-    outcome = wording.conclusion(session, edited.recording, acceptance)
-    since = _since(edited.recording, asked)
+async def _wait_for_drain(
+    session: Session, request: DrainRequest, edited: EditResult, wait: timedelta
+) -> Outcome:
+    deadline = session.clock.monotonic() + wait
+    acceptance, required = await applying.wait_for_acceptance(session, edited.recorded, wait)
+    outcome = wording.report_acceptance(session, edited.recorded, acceptance)
+    since = _drain_start(edited.recorded, request)
     if not acceptance.accepted or since is None:
         return outcome
     if since > session.clock.utcnow():
-        session.console.say(f"the drain starts at {editing.format_instant(since)}")
+        session.console.info(f"the drain starts at {editing.format_instant(since)}")
         return outcome._replace(payload={**outcome.payload, "drain": {"state": "planned"}})
-    left = max(until - session.clock.monotonic(), timedelta(0))
-    end = await waiting.wait_drained(session, asked.name, since, acceptance, audience, left)
+    remaining = max(deadline - session.clock.monotonic(), timedelta(0))
+    end = await waiting.wait_drained(session, request.name, since, acceptance, required, remaining)
     return _drain_outcome(session, outcome, acceptance, end)
 
 
-def _since(recording: Recording, asked: Drain) -> datetime | None:
-    row = recording.written.record["document"].get("drains", {}).get(asked.name)
+def _drain_start(recorded: RecordedChange, request: DrainRequest) -> datetime | None:
+    row = recorded.written.record["document"].get("drains", {}).get(request.name)
     return parse_instant(row["since"]) if row is not None else None
 
 
 def _drain_outcome(
-    session: Session, outcome: Outcome, acceptance: Acceptance, end: waiting.DrainEnd
+    session: Session, outcome: Outcome, acceptance: Acceptance, end: waiting.DrainResult
 ) -> Outcome:
     progress = end.progress
     payload = {
@@ -182,14 +201,14 @@
         "actual_s": end.actual.total_seconds(),
         "pending": list(progress.pending),
     }
-    whole = {**outcome.payload, "drain_s": payload["actual_s"], "drain": payload}
+    full_payload = {**outcome.payload, "drain_s": payload["actual_s"], "drain": payload}
     if progress.done:
-        expected = f", expected {duration(end.expected)}" if end.expected is not None else ""
-        session.console.say(f"drained: took {duration(end.actual)}{expected}")
-        return Outcome(ExitCode.OK, whole)
-    running = count(progress.in_flight, "request")
-    session.console.say(
-        f"still draining after {duration(end.actual)}: {running} in flight,"
+        expected = f", expected {format_duration(end.expected)}" if end.expected is not None else ""
+        session.console.info(f"drained: took {format_duration(end.actual)}{expected}")
+        return Outcome(ExitCode.OK, full_payload)
+    running = format_count(progress.in_flight, "request")
+    session.console.info(
+        f"still draining after {format_duration(end.actual)}: {running} in flight,"
         f" not done at {', '.join(progress.pending)}"
     )
-    return Outcome(ExitCode.DRAINING, whole)
+    return Outcome(ExitCode.DRAINING, full_payload)
--- a/packages/operators/src/cardamomloft/operators/recording.py
+++ b/packages/operators/src/cardamomloft/operators/recording.py
@@ -1,4 +1,4 @@
-"""Writing a change: its difference, the swap of the configuration, its audit entry."""
+"""Writes a change to the store: its difference, the configuration record, the audit entry."""
 
 import typing as t
 from datetime import timedelta
@@ -26,29 +26,32 @@
 from expression import Error, Ok, Result
 
 CURRENT_KEY = "config/current"
-RETRY_PAUSE = timedelta(seconds=1)
-READ_TRIES = 4
+RETRY_DELAY = timedelta(seconds=1)
+MAX_READ_ATTEMPTS = 4
 
 
 class Base(t.NamedTuple):
-    """The record that a change starts from, with the store's version of it."""
+    """The record that a change is based on, with its version in the store."""
 
     record: Record | None
     version: int
 
     @property
     def number(self) -> int:
-        """The revision's number, 0 before the first change."""
+        """The number of the revision, 0 before the first change."""
         return self.record["number"] if self.record is not None else 0
 
     @property
     def document(self) -> Document | None:
-        """The document in force, None before the first change."""
+        """The current document, None before the first change."""
         return self.record["document"] if self.record is not None else None
 
 
-class Written(t.NamedTuple):
-    """A recorded change; without `audited` the next change or ``audit`` writes its entry."""
+class WrittenRecord(t.NamedTuple):
+    """A record that was written to the store.
+
+    If `audited` is false, the audit entry is created by the next change or by ``audit``.
+    """
 
     record: Record
     superseded: bool
@@ -56,7 +59,7 @@
 
 
 async def read_base(session: Session) -> Result[Base, Failure]:
-    """Read the record in force."""
+    """Read the current record."""
     if session.store is None:
         text = "no store is named: give --store or --settings"
         return Error(Failure(ExitCode.USAGE, text))
@@ -64,33 +67,33 @@
         case Result(tag="error", error=fault):
             return Error(unavailable(fault.detail))
         case Result(ok=stored):
-            return _decode(stored)
+            return _decode_base(stored)
     raise AssertionError("a result is neither ok nor error")
 
 
 async def write(
     session: Session, base: Base, record: Record, difference: list[trail.PathChange]
-) -> Result[Written | Conflict, Failure]:
-    """Put `record` in the place of `base`, whose audit entry must exist.
+) -> Result[WrittenRecord | Conflict, Failure]:
+    """Replace `base`, whose audit entry must exist, by `record`.
 
     Returns
     -------
     Result
-        The change as recorded, or a conflict with what stands now. Failures say whether nothing
-        was written or whether that is unknown.
+        The written record, or a conflict with the current one. A failure states either that
+        nothing was written, or that the outcome of the write is unknown.
     """
     store = _store(session)
     match changes.encode_record(record).bind(lambda _: _check_size(record, difference)):
         case Result(tag="error", error=text):
             return Error(Failure(ExitCode.REFUSED, f"{text}; nothing was written"))
-    match await trail.keep_difference(store, record, difference):
+    match await trail.store_difference(store, record, difference):
         case Result(tag="error", error=fault):
             return Error(unavailable(fault.detail))
-    return await _settle(session, await _swap(session, Attempt(record, base.version)))
+    return await _finish_write(session, await _run_attempt(session, Attempt(record, base.version)))
 
 
 def _check_size(record: Record, difference: list[trail.PathChange]) -> Result[None, str]:
-    """Refuse a change whose audit entry the store would not take afterwards."""
+    """Reject a change whose audit entry would exceed the store's size limit."""
     entry = changes.audit_entry(record, b"", difference)
     limit = changes.MAX_RECORD_BYTES
     if len(entry) > limit:
@@ -99,59 +102,62 @@
     return Ok(None)
 
 
-async def _settle(
+async def _finish_write(
     session: Session, outcome: changes.Outcome
-) -> Result[Written | Conflict, Failure]:
+) -> Result[WrittenRecord | Conflict, Failure]:
     match outcome:
         case Conflict():
             return Ok(outcome)
         case StoreAway(detail):
             return Error(unavailable(detail))
         case Unsettled(record, detail):
-            return Error(_unknown(record, detail))
+            return Error(_unknown_outcome(record, detail))
         case Recorded(record, True):
-            # A later writer has made sure of this entry before it replaced the record.
-            return Ok(Written(record, superseded=True, audited=True))
+            # A writer ensures that the audit entry exists before it replaces the record.
+            return Ok(WrittenRecord(record, superseded=True, audited=True))
         case Recorded(record):
-            return Ok(await _audit(session, record))
+            return Ok(await _write_audit_entry(session, record))
     raise AssertionError(f"not an outcome: {outcome!r}")
 
 
-async def _audit(session: Session, record: Record) -> Written:
-    """Write the audit entry of what was recorded.
+async def _write_audit_entry(session: Session, record: Record) -> WrittenRecord:
+    """Write the audit entry of the recorded change.
 
-    That may be an earlier attempt under the same change id, so the store is asked for it.
+    The record is read from the store, since it may be from an earlier attempt with the same change
+    id.
     """
     match await read_base(session):
-        case Result(tag="ok", ok=Base(landed)) if landed and landed["change"] == record["change"]:
-            done = await trail.ensure_entry(_store(session), landed)
-            return Written(landed, superseded=False, audited=done.is_ok())
+        case Result(tag="ok", ok=Base(current)) if (
+            current and current["change"] == record["change"]
+        ):
+            done = await trail.ensure_entry(_store(session), current)
+            return WrittenRecord(current, superseded=False, audited=done.is_ok())
         case Result(tag="ok"):
-            return Written(record, superseded=True, audited=True)
-    return Written(record, superseded=False, audited=False)
+            return WrittenRecord(record, superseded=True, audited=True)
+    return WrittenRecord(record, superseded=False, audited=False)
 
 
-async def _swap(session: Session, attempt: Attempt) -> changes.Outcome:
-    """Drive one attempt to its outcome."""
+async def _run_attempt(session: Session, attempt: Attempt) -> changes.Outcome:
+    """Perform the steps of an attempt until it has an outcome."""
     step = attempt.start()
     swaps = 0
     while not isinstance(step, changes.Outcome):
         if isinstance(step, Swap):
             swaps += 1
             if swaps > 1:
-                await session.sleep(RETRY_PAUSE)
-        step = await _perform(session, attempt, step)
+                await session.sleep(RETRY_DELAY)
+        step = await _perform_step(session, attempt, step)
     return step
 
 
-async def _perform(session: Session, attempt: Attempt, step: Step) -> Step:
+async def _perform_step(session: Session, attempt: Attempt, step: Step) -> Step:
     match step:
         case Swap(record, version):
             return await _perform_swap(_store(session), attempt, record, version)
         case ReadCurrent():
             return await _perform_read(session, attempt)
         case ReadAudit(number):
-            match await _read_patiently(session, trail.audit_key(number)):
+            match await _read_with_retries(session, trail.audit_key(number)):
                 case Result(tag="ok", ok=stored):
                     return attempt.on_audit(stored.value if stored is not None else None)
                 case Result(error=detail):
@@ -170,7 +176,7 @@
 
 
 async def _perform_read(session: Session, attempt: Attempt) -> Step:
-    match await _read_patiently(session, CURRENT_KEY):
+    match await _read_with_retries(session, CURRENT_KEY):
         case Result(tag="error", error=detail):
             return attempt.on_read_failed(detail)
         case Result(ok=None):
@@ -184,12 +190,12 @@
     raise AssertionError("a result is neither ok nor error")
 
 
-async def _read_patiently(session: Session, key: str) -> Result[StoredRecord | None, str]:
-    """Read a key after a write whose outcome is not known; give the store time to come back."""
+async def _read_with_retries(session: Session, key: str) -> Result[StoredRecord | None, str]:
+    """Read a key after a write with unknown outcome, and retry while the store is unavailable."""
     detail = ""
-    for attempt in range(READ_TRIES):
+    for attempt in range(MAX_READ_ATTEMPTS):
         if attempt:
-            await session.sleep(RETRY_PAUSE)
+            await session.sleep(RETRY_DELAY)
         match await _store(session).get(key):
             case Result(tag="ok", ok=stored):
                 return Ok(stored)
@@ -198,7 +204,7 @@
     return Error(detail)
 
 
-def _decode(stored: StoredRecord | None) -> Result[Base, Failure]:
+def _decode_base(stored: StoredRecord | None) -> Result[Base, Failure]:
     if stored is None:
         return Ok(Base(None, 0))
     decoded = changes.decode_record(stored.value).bind(_check_record)
@@ -215,7 +221,7 @@
     return Failure(ExitCode.REFUSED, text)
 
 
-def _unknown(record: Record, detail: str) -> Failure:
+def _unknown_outcome(record: Record, detail: str) -> Failure:
     change = record["change"]
     return Failure(
         ExitCode.UNKNOWN,
--- a/packages/operators/src/cardamomloft/operators/rendering.py
+++ b/packages/operators/src/cardamomloft/operators/rendering.py
@@ -1,4 +1,4 @@
-"""Plain text for operators: tables that are readable at 100 columns."""
+"""Text output for operators: tables, line wrapping and formatted values."""
 
 import json
 import textwrap
@@ -7,41 +7,47 @@
 from datetime import timedelta
 
 WIDTH = 100
-_GAP = "  "
-_CONTINUED = "    "
-_MIN_COLUMN = 8
+_COLUMN_GAP = "  "
+_CONTINUATION_INDENT = "    "
+_MIN_COLUMN_WIDTH = 8
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[object]], indent: str = "  ") -> list[str]:
-    """Lay out `rows` under `heads`; cells of the widest columns are cut to fit the width.
+def table(
+    column_names: Sequence[str], rows: Iterable[Sequence[object]], indent: str = "  "
+) -> list[str]:
+    """Format a table; the cells of the widest columns are truncated to fit `WIDTH`.
 
     Returns
     -------
     list of str
-        The lines; empty without rows.
+        The lines, none if there are no rows.
     """
     cells = [[_cell(value) for value in row] for row in rows]
     if not cells:
         return []
-    lines = [list(heads), *cells]
-    natural = [max(len(line[i]) for line in lines) for i in range(len(heads))]
-    widths = _fit(natural, WIDTH - len(indent) - len(_GAP) * (len(heads) - 1))
+    lines = [list(column_names), *cells]
+    natural = [max(len(line[i]) for line in lines) for i in range(len(column_names))]
+    widths = _shrink_widths(
+        natural, WIDTH - len(indent) - len(_COLUMN_GAP) * (len(column_names) - 1)
+    )
     return [_line(line, widths, indent) for line in lines]
 
 
-def _fit(widths: list[int], room: int) -> list[int]:
-    while sum(widths) > room and max(widths) > _MIN_COLUMN:
+def _shrink_widths(widths: list[int], max_total: int) -> list[int]:
+    while sum(widths) > max_total and max(widths) > _MIN_COLUMN_WIDTH:
         widest = widths.index(max(widths))
         widths[widest] -= 1
     return widths
 
 
 def _line(cells: Sequence[str], widths: Sequence[int], indent: str) -> str:
-    fitted = [_cut(cell, width).ljust(width) for cell, width in zip(cells, widths, strict=True)]
-    return (indent + _GAP.join(fitted)).rstrip()
+    fitted = [
+        _truncate(cell, width).ljust(width) for cell, width in zip(cells, widths, strict=True)
+    ]
+    return (indent + _COLUMN_GAP.join(fitted)).rstrip()
 
 
-def _cut(text: str, width: int) -> str:
+def _truncate(text: str, width: int) -> str:
     return text if len(text) <= width else text[: width - 3] + "..."
 
 
@@ -52,40 +58,40 @@
 
 
 def wrap(line: str) -> list[str]:
-    """Break a line that is too long at its blanks; the rest of it is indented.
+    """Wrap a line at `WIDTH` with indented continuation lines.
 
-    Text of several lines is laid out already.
+    Text that contains line breaks is returned unchanged.
     """
     if len(line) <= WIDTH or "\n" in line:
         return [line]
     return textwrap.wrap(
         line,
         WIDTH,
-        subsequent_indent=_CONTINUED,
+        subsequent_indent=_CONTINUATION_INDENT,
         break_on_hyphens=False,
     )
 
 
-def compact(value: object) -> str:
-    """Return JSON in one line, or a dash for what is absent."""
+def compact_json(value: object) -> str:
+    """Return `value` as JSON in one line, or a dash for None."""
     return "-" if value is None else json.dumps(value, sort_keys=True, ensure_ascii=False)
 
 
-def duration(span: timedelta | None) -> str:
-    """Return seconds with one decimal, or a dash."""
+def format_duration(span: timedelta | None) -> str:
+    """Format a duration in seconds with one decimal, or as a dash for None."""
     return "-" if span is None else f"{span.total_seconds():.1f} s"
 
 
-def age(milliseconds: float | None) -> str:
-    """Return the age of a measurement, or a dash if there was none."""
-    return "-" if milliseconds is None else duration(timedelta(milliseconds=milliseconds))
+def format_age(milliseconds: float | None) -> str:
+    """Format an age given in milliseconds, or a dash for None."""
+    return "-" if milliseconds is None else format_duration(timedelta(milliseconds=milliseconds))
 
 
-def count(number: int, noun: str, plural: str | None = None) -> str:
-    """Return a number with its noun."""
+def format_count(number: int, noun: str, plural: str | None = None) -> str:
+    """Return a number followed by the noun in singular or plural."""
     return f"{number} {noun if number == 1 else plural or noun + 's'}"
 
 
 def as_json(payload: Mapping[str, t.Any]) -> str:
-    """Return a command's result as one JSON object."""
+    """Return the payload of a command as one JSON object."""
     return json.dumps(payload, indent=2, sort_keys=True, ensure_ascii=False)
--- a/packages/operators/src/cardamomloft/operators/reporting.py
+++ b/packages/operators/src/cardamomloft/operators/reporting.py
@@ -1,6 +1,6 @@
-"""The commands ``status``, ``audit`` and ``explain``: they show and change nothing.
+"""The commands ``status``, ``audit`` and ``explain``, which do not change the configuration.
 
-Only ``audit`` may write: it creates the entry of the latest change if its writer could not.
+``audit`` creates the audit entry of the latest change if it is missing; nothing else is written.
 """
 
 import typing as t
@@ -17,24 +17,30 @@
 from cardamomloft.operators.acceptance import (
     EntryReport,
     EntryStatus,
-    Standing,
+    SeatVerdict,
     drain_progress,
+    evaluate_acceptance,
     highest_revision,
-    judge,
 )
 from cardamomloft.operators.outcomes import ExitCode, Failure, Outcome, unavailable
 from cardamomloft.operators.recording import Base, read_base
-from cardamomloft.operators.rendering import age, compact, count, duration, table
+from cardamomloft.operators.rendering import (
+    compact_json,
+    format_age,
+    format_count,
+    format_duration,
+    table,
+)
 from cardamomloft.operators.session import Session
 from cardamomloft.operators.trail import AuditEntry
 from cardamomloft.operators.wording import difference_table
 from expression import Error, Ok, Result
 
-ALL_ENTRIES = 1_000_000
+MAX_AUDIT_ENTRIES = 1_000_000
 
 
 class ServiceTotal(t.NamedTuple):
-    """One service over all entries that answered."""
+    """Slots and requests of a service, summed over the entries that answered."""
 
     service: str
     free: int
@@ -43,15 +49,18 @@
     queued: int
 
 
-class Explained(t.NamedTuple):
-    """The verdicts that all entries of `zones` come to."""
+class ZoneExplanation(t.NamedTuple):
+    """The rule verdicts that the entries of `zones` have in common."""
 
     zones: tuple[str, ...]
     verdicts: tuple[RuleVerdict, ...]
 
 
 async def status(session: Session) -> Result[Outcome, Failure]:
-    """Show who has which revision, headroom and drains; the store need not answer."""
+    """Show entries with their revisions, headroom, drains and moves.
+
+    If the store is unavailable, the entries given with ``--entry`` or in the settings are shown.
+    """
     base = Base(None, 0)
     failure: Failure | None = None
     match await read_base(session):
@@ -59,7 +68,7 @@
             session.console.warn(f"{failure.text}; showing what the entries given say")
         case Result(ok=base):
             pass
-    reports = await _ask_entries(session, base)
+    reports = await _poll_entries(session, base)
     if failure is not None and not any(report.status for report in reports):
         return Error(failure)
     states = await fleet.vm_states(session)
@@ -67,15 +76,15 @@
         case Result(tag="error", error=detail):
             session.console.warn(f"the VM list is not available: {detail}")
     number = base.number if base.record is not None else highest_revision(reports) or 0
-    standings = judge(number, reports, states.default_value(None)).standings
+    seat_verdicts = evaluate_acceptance(number, reports, states.default_value(None)).seat_verdicts
     totals = service_totals(reports)
     drains = _drain_rows(base.document, reports)
-    _say_status(session, number, reports, standings, totals, drains, base.document)
+    _report_status(session, number, reports, seat_verdicts, totals, drains, base.document)
     payload = {
         "outcome": "ok",
         "store": "available" if failure is None else failure.text,
         "revision": number,
-        "entries": [_entry_payload(r, s) for r, s in zip(reports, standings, strict=True)],
+        "entries": [_entry_payload(r, s) for r, s in zip(reports, seat_verdicts, strict=True)],
         "services": {total.service: total._asdict() for total in totals},
         "drains": drains,
         "moves": dict(base.document.get("moves", {})) if base.document is not None else {},
@@ -85,21 +94,23 @@
 
 
 async def audit(session: Session, last: int, verify: bool) -> Result[Outcome, Failure]:
-    """Show the latest entries of the trail; with `verify` check the whole chain."""
+    """Show the latest `last` audit entries, and with `verify` check the whole hash chain."""
     match await read_base(session):
         case Result(tag="error", error=failure):
             return Error(failure)
         case Result(ok=base):
             pass
     if base.record is None or session.store is None:
-        session.console.say("no revision is recorded yet")
+        session.console.info("no revision is recorded yet")
         return Ok(Outcome(ExitCode.OK, {"outcome": "ok", "entries": []}))
     match await trail.ensure_entry(session.store, base.record):
         case Result(tag="error", error=fault):
             return Error(unavailable(fault.detail))
         case Result(ok=(_, repaired)) if repaired:
-            session.console.say(f"wrote the missing audit entry of revision {base.number}")
-    read = await trail.read_back_from(session.store, base.number, ALL_ENTRIES if verify else last)
+            session.console.info(f"wrote the missing audit entry of revision {base.number}")
+    read = await trail.read_back_from(
+        session.store, base.number, MAX_AUDIT_ENTRIES if verify else last
+    )
     match read:
         case Result(tag="error", error=fault):
             return Error(unavailable(fault.detail))
@@ -107,7 +118,7 @@
             pass
     entries = list(trail.read_entries(raw_entries)[-last:])
     for entry in entries:
-        session.console.say(*entry_lines(entry))
+        session.console.info(*entry_lines(entry))
     payload: dict[str, t.Any] = {"outcome": "ok", "entries": entries}
     if not verify:
         return Ok(Outcome(ExitCode.OK, payload))
@@ -116,14 +127,14 @@
             text = f"the audit trail is broken: {detail}"
             return Error(Failure(ExitCode.REFUSED, text, (), {**payload, "outcome": "broken"}))
         case Result(ok=number):
-            verified = count(len(raw_entries), "entry", "entries")
-            session.console.say(f"verified: {verified}, unbroken up to revision {number}")
+            verified = format_count(len(raw_entries), "entry", "entries")
+            session.console.info(f"verified: {verified}, unbroken up to revision {number}")
             return Ok(Outcome(ExitCode.OK, {**payload, "verified": len(raw_entries)}))
     raise AssertionError("a result is neither ok nor error")
 
 
 def verify_trail(base: Base, entries: Sequence[bytes]) -> Result[int, str]:
-    """Check the whole chain, and that its end is the change in force."""
+    """Check the hash chain, and that its last entry belongs to the current record."""
     return verify_chain(entries).bind(lambda number: _check_end(base, number, entries))
 
 
@@ -138,7 +149,7 @@
 
 
 def entry_lines(entry: AuditEntry) -> list[str]:
-    """Lay out one entry of the trail."""
+    """Format one audit entry."""
     head = f"revision {entry['number']} by {entry['who']} at {entry['when']}: {entry['why']}"
     if entry["difference"] is None:
         return [head, "  its difference is not known"]
@@ -153,7 +164,7 @@
     zone: str | None,
     headers: Mapping[str, str],
 ) -> Result[Outcome, Failure]:
-    """Show which rule decides about a request, and why not the ones before it."""
+    """Show which rule matches a request, and why the preceding rules do not."""
     match await read_base(session):
         case Result(tag="error", error=failure):
             return Error(failure)
@@ -168,23 +179,23 @@
     if zone is not None and zone not in regions:
         return Error(Failure(ExitCode.REFUSED, f"the configuration has no zone named {zone!r}"))
     zones = [zone] if zone is not None else list(regions)
-    return _explain_at(session, base, method, path, address, zones, headers)
+    return _explain_request(session, base, method, path, address, zones, headers)
 
 
 def explain_at_zones(
     document: Document, req: Request, zones: Iterable[str]
-) -> tuple[Explained, ...]:
-    """Explain a request at entries of each zone, with zones of equal verdicts together."""
+) -> tuple[ZoneExplanation, ...]:
+    """Explain a request for entries of each zone; zones with equal verdicts are grouped."""
     rules = RuleSet(document)
     regions = regions_of_zones(document)
     grouped: dict[tuple[RuleVerdict, ...], list[str]] = {}
     for zone in zones:
         grouped.setdefault(tuple(rules.explain(req, zone, regions[zone])), []).append(zone)
-    return tuple(Explained(tuple(zones), verdicts) for verdicts, zones in grouped.items())
+    return tuple(ZoneExplanation(tuple(zones), verdicts) for verdicts, zones in grouped.items())
 
 
 def service_totals(reports: Iterable[EntryReport]) -> list[ServiceTotal]:
-    """Sum up each service over the entries that answered; an entry counts its share alone."""
+    """Sum each service over the entries that answered; each reports only its own share."""
     sums: dict[str, list[int]] = {}
     for report in reports:
         for name, row in (report.status["services"] if report.status else {}).items():
@@ -193,7 +204,7 @@
     return [ServiceTotal(name, *sums[name]) for name in sorted(sums)]
 
 
-def _explain_at(
+def _explain_request(
     session: Session,
     base: Base,
     method: str,
@@ -212,9 +223,9 @@
         case Result(ok=req):
             pass
     explained = explain_at_zones(document, req, zones)
-    session.console.say(f"revision {base.number}", _request_line(req, now))
+    session.console.info(f"revision {base.number}", _request_line(req, now))
     for group in explained:
-        session.console.say(*_explained_lines(document["rules"], group))
+        session.console.info(*_explained_lines(document["rules"], group))
     payload = {
         "outcome": "ok",
         "revision": base.number,
@@ -230,7 +241,7 @@
 
 def _request_line(req: Request, now: timedelta) -> str:
     kind = "idempotent" if req.idempotent else "not idempotent"
-    deadline = duration(req.deadline - now)
+    deadline = format_duration(req.deadline - now)
     priority = req.priority.name.lower()
     return (
         f"{req.method} {req.path}: service {req.service}, {kind}, priority {priority},"
@@ -238,7 +249,7 @@
     )
 
 
-def _explained_lines(rules: Sequence[RuleRow], group: Explained) -> list[str]:
+def _explained_lines(rules: Sequence[RuleRow], group: ZoneExplanation) -> list[str]:
     rows = [(v.rule, "yes" if v.matched else "no", v.why) for v in group.verdicts]
     lines = [
         f"at entries of {', '.join(group.zones)}:",
@@ -247,10 +258,10 @@
     if not group.verdicts or not group.verdicts[-1].matched:
         return [*lines, "  no rule matches: refused"]
     then = next(rule["then"] for rule in rules if rule["name"] == group.verdicts[-1].rule)
-    return [*lines, f"  then: {compact(then)}"]
+    return [*lines, f"  then: {compact_json(then)}"]
 
 
-async def _ask_entries(session: Session, base: Base) -> tuple[EntryReport, ...]:
+async def _poll_entries(session: Session, base: Base) -> tuple[EntryReport, ...]:
     if base.document is not None:
         return await fleet.poll(session, fleet.roster(base.document))
     return await fleet.poll_addresses(session, session.known_entries)
@@ -259,7 +270,7 @@
 def _drain_rows(
     document: Document | None, reports: Sequence[EntryReport]
 ) -> list[dict[str, t.Any]]:
-    """Return every drain that the document announces or an entry reports."""
+    """Return a row for every drain in the document or in an entry's status."""
     announced = dict(document.get("drains", {})) if document is not None else {}
     kinds = {name: row["kind"] for name, row in announced.items()}
     answered = [report for report in reports if report.status is not None]
@@ -283,32 +294,43 @@
     return rows
 
 
-def _say_status(
+def _report_status(
     session: Session,
     number: int,
     reports: Sequence[EntryReport],
-    standings: Sequence[Standing],
+    seat_verdicts: Sequence[SeatVerdict],
     totals: Sequence[ServiceTotal],
     drains: Sequence[Mapping[str, t.Any]],
     document: Document | None,
 ) -> None:
-    say = session.console.say
+    info = session.console.info
     answered = sum(report.status is not None for report in reports)
-    say(f"revision {number}; {answered} of {count(len(reports), 'entry', 'entries')} answered")
-    heads = ("entry", "zone", "state", "revision", "settled", "VM list", "store", "note")
-    say(*table(heads, [_entry_row(r, s) for r, s in zip(reports, standings, strict=True)]))
+    info(
+        f"revision {number};"
+        f" {answered} of {format_count(len(reports), 'entry', 'entries')} answered"
+    )
+    column_names = ("entry", "zone", "state", "revision", "settled", "VM list", "store", "note")
+    info(
+        *table(
+            column_names, [_entry_row(r, s) for r, s in zip(reports, seat_verdicts, strict=True)]
+        )
+    )
     if totals:
-        say("headroom:")
+        info("headroom:")
         rows = [(s.service, f"{s.free}/{s.total}", s.in_flight, s.queued) for s in totals]
-        say(*table(("service", "slots free/total", "in flight", "queued"), rows))
+        info(*table(("service", "slots free/total", "in flight", "queued"), rows))
     if drains:
-        say("drains:")
-        say(*table(("name", "kind", "since", "in flight", "expected end", "done"), _cells(drains)))
+        info("drains:")
+        info(
+            *table(
+                ("name", "kind", "since", "in flight", "expected end", "done"), _drain_cells(drains)
+            )
+        )
     moves = document.get("moves", {}) if document is not None else {}
     if moves:
-        say("moves:")
-        heads = ("service", "from", "to", "percent", "percent per s", "since")
-        say(*table(heads, [_move_cells(row) for row in moves.values()]))
+        info("moves:")
+        column_names = ("service", "from", "to", "percent", "percent per s", "since")
+        info(*table(column_names, [_move_cells(row) for row in moves.values()]))
 
 
 def _move_cells(row: Mapping[str, t.Any]) -> tuple[object, ...]:
@@ -316,51 +338,51 @@
     return tuple(f"{row[key]:g}" if "percent" in key else row[key] for key in keys)
 
 
-def _cells(drains: Iterable[Mapping[str, t.Any]]) -> list[tuple[object, ...]]:
+def _drain_cells(drains: Iterable[Mapping[str, t.Any]]) -> list[tuple[object, ...]]:
     return [
         (
             row["name"],
             row["kind"],
             row["since"],
             row["in_flight"],
-            _in_seconds(row["expected_end_s"]),
+            _format_expected_end(row["expected_end_s"]),
             f"{row['done_at']}/{row['of']}",
         )
         for row in drains
     ]
 
 
-def _in_seconds(seconds: float | None) -> str:
-    return "-" if seconds is None else f"in {duration(timedelta(seconds=seconds))}"
+def _format_expected_end(seconds: float | None) -> str:
+    return "-" if seconds is None else f"in {format_duration(timedelta(seconds=seconds))}"
 
 
-def _entry_row(report: EntryReport, standing: Standing) -> tuple[object, ...]:
+def _entry_row(report: EntryReport, seat_verdict: SeatVerdict) -> tuple[object, ...]:
     answer = report.status
     if answer is None:
-        return (report.seat, "-", "-", "-", "-", "-", "-", standing.detail)
+        return (report.seat, "-", "-", "-", "-", "-", "-", seat_verdict.detail)
     return (
         report.seat,
         answer["zone"],
-        _state(answer),
+        _displayed_state(answer),
         answer["revision"],
         answer["settled"],
-        age(answer.get("vms_age_ms")),
-        age(answer.get("store_age_ms")),
-        str(standing.verdict),
+        format_age(answer.get("vms_age_ms")),
+        format_age(answer.get("store_age_ms")),
+        str(seat_verdict.verdict),
     )
 
 
-def _state(answer: EntryStatus) -> str:
-    """Return the state in its life, unless it should take requests and cannot."""
+def _displayed_state(answer: EntryStatus) -> str:
+    """Return the lifecycle state, or "not ready" for an entry that fails its readiness check."""
     cannot = answer["state"] == "ready" and not answer["ready"]
     return "not ready" if cannot else answer["state"]
 
 
-def _entry_payload(report: EntryReport, standing: Standing) -> dict[str, t.Any]:
+def _entry_payload(report: EntryReport, seat_verdict: SeatVerdict) -> dict[str, t.Any]:
     return {
         "entry": report.seat,
         "address": report.address,
-        "verdict": str(standing.verdict),
-        "detail": standing.detail,
+        "verdict": str(seat_verdict.verdict),
+        "detail": seat_verdict.detail,
         "status": report.status,
     }
--- a/packages/operators/src/cardamomloft/operators/running.py
+++ b/packages/operators/src/cardamomloft/operators/running.py
@@ -1,4 +1,4 @@
-"""Running one command: settings, surroundings, the loop, output and exit code."""
+"""Runs one command: settings, session, event loop, output and exit code."""
 
 import getpass
 import os
@@ -19,14 +19,15 @@
 from expression import Error, Ok, Result
 from twisted.internet import defer, task
 
-INTERRUPTED = 130
+INTERRUPTED_EXIT_CODE = 130
+"""128 plus the number of SIGINT, as shells report it."""
 
-Finished = Result[Outcome, Failure]
-Command = Callable[[Session], Coroutine[t.Any, t.Any, Finished]]
+CommandResult = Result[Outcome, Failure]
+Command = Callable[[Session], Coroutine[t.Any, t.Any, CommandResult]]
 
 
 class Options(t.NamedTuple):
-    """Options that every command has."""
+    """Options that all commands share."""
 
     store: str | None
     vms: str | None
@@ -36,22 +37,22 @@
 
 
 class Streams:
-    """Output to the terminal, or one JSON object at the end; problems go to standard error."""
+    """Console output: text, or one JSON object at the end; warnings go to standard error."""
 
-    def __init__(self, as_object: bool) -> None:
-        self._as_object = as_object
+    def __init__(self, json_output: bool) -> None:
+        self._json_output = json_output
 
-    def say(self, *lines: str) -> None:
-        """Show progress and results; silent when the result goes to a program."""
-        if not self._as_object:
+    def info(self, *lines: str) -> None:
+        """Print progress and results; does nothing if the output is JSON."""
+        if not self._json_output:
             _print(lines, sys.stdout)
 
     def warn(self, *lines: str) -> None:
-        """Show what needs attention."""
+        """Print warnings and errors to standard error."""
         _print(lines, sys.stderr)
 
-    def finish(self, finished: Finished) -> ExitCode:
-        """Print the end of a command and return its exit code."""
+    def finish(self, finished: CommandResult) -> ExitCode:
+        """Print the result of a command and return its exit code."""
         match finished:
             case Result(tag="error", error=failure):
                 self.warn(f"cardamomctl: {failure.text}", *failure.lines)
@@ -61,13 +62,13 @@
                 }
             case Result(ok=Outcome(code, payload)):
                 pass
-        if self._as_object:
+        if self._json_output:
             _print([as_json({**payload, "exit": int(code)})], sys.stdout)
         return code
 
 
 def _print(lines: Iterable[str], stream: t.TextIO) -> None:
-    # Who reads the output may leave early; the command goes on, as it may have begun to write.
+    # If the reader of a pipe exits early, the command continues: it may be writing to the store.
     try:
         for line in lines:
             print(*wrap(line), sep="\n", file=stream, flush=True)
@@ -76,7 +77,7 @@
 
 
 def read_text(path: Path) -> Result[str, Failure]:
-    """Read a file that an operator names."""
+    """Read a file given on the command line."""
     try:
         return Ok(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as exc:
@@ -94,7 +95,7 @@
 
 
 def _run_loop(settings: Settings, streams: Streams, command: Command) -> int:
-    finished: list[Finished] = []
+    finished: list[CommandResult] = []
 
     async def run(reactor: t.Any) -> None:
         finished.append(await command(_session(reactor, settings, streams)))
@@ -108,7 +109,7 @@
         if exc.code:
             return t.cast(int, exc.code)
     streams.warn("cardamomctl: interrupted; what was recorded stays recorded")
-    return INTERRUPTED
+    return INTERRUPTED_EXIT_CODE
 
 
 def _session(reactor: t.Any, settings: Settings, streams: Streams) -> Session:
@@ -138,7 +139,9 @@
         "vms": options.vms,
         "entries": options.entry or None,
     }
-    stated = t.cast(Settings, {key: value for key, value in given.items() if value is not None})
+    from_options = t.cast(
+        Settings, {key: value for key, value in given.items() if value is not None}
+    )
     if options.settings is None:
-        return load_settings(None, stated)
-    return read_text(options.settings).bind(lambda text: load_settings(text, stated))
+        return load_settings(None, from_options)
+    return read_text(options.settings).bind(lambda text: load_settings(text, from_options))
--- a/packages/operators/src/cardamomloft/operators/session.py
+++ b/packages/operators/src/cardamomloft/operators/session.py
@@ -1,4 +1,4 @@
-"""What a command needs from outside: store, VM list, entries, time and output."""
+"""Dependencies of a command: store, VM list, entries, clock and console."""
 
 import typing as t
 from datetime import timedelta
@@ -11,30 +11,30 @@
 
 
 class Fleet(t.Protocol):
-    """The entries' pages for operators."""
+    """Client for the status of entries."""
 
     def status(self, address: str) -> Deferred[Result[object, str]]:
-        """Return the decoded ``/status`` of the entry at `address`, or why there is none."""
+        """Return the decoded ``/status`` of the entry at `address`, or an error text."""
         ...
 
 
 class Console(t.Protocol):
-    """Where a command reports to people."""
+    """Output of a command for people."""
 
-    def say(self, *lines: str) -> None:
-        """Show progress and results; silent when the result goes to a program."""
+    def info(self, *lines: str) -> None:
+        """Show progress and results; does nothing if the output is JSON."""
         ...
 
     def warn(self, *lines: str) -> None:
-        """Show what needs attention."""
+        """Show warnings and errors."""
         ...
 
 
 class Session(t.NamedTuple):
-    """The surroundings of one command.
+    """The dependencies of one command.
 
-    `known_entries` are operators' addresses to ask when the store cannot name the roster. `who` is
-    the operator's name for the audit trail.
+    `known_entries` are operators' addresses of entries to use when the store is unavailable. `who`
+    is the operator's name for the audit trail.
     """
 
     store: Store | None
--- a/packages/operators/src/cardamomloft/operators/settings.py
+++ b/packages/operators/src/cardamomloft/operators/settings.py
@@ -1,4 +1,4 @@
-"""The optional settings file of the command, and how options stand above it."""
+"""The optional settings file of the command, and its combination with options."""
 
 import typing as t
 from typing import NotRequired
@@ -6,7 +6,7 @@
 from cardamomloft.core.checking import check_typed, load_json
 from cardamomloft.core.document import Address
 from cardamomloft.operators.outcomes import Failure
-from cardamomloft.operators.wording import refused
+from cardamomloft.operators.wording import mistakes_failure
 from expression import Ok, Result
 from pydantic import ConfigDict, Field, with_config
 from typing_extensions import TypedDict
@@ -16,10 +16,10 @@
 
 @with_config(ConfigDict(extra="forbid", strict=True))
 class Settings(TypedDict):
-    """Where the platform and the entries are; every key may be left out.
+    """Addresses of the platform and the entries; all keys are optional.
 
-    `entries` are operators' addresses of entries to ask while the store is away. `who` is the name
-    that the audit trail shows.
+    `entries` are operators' addresses of entries to use when the store is unavailable. `who` is the
+    author that is recorded in the audit trail.
     """
 
     store: NotRequired[Url]
@@ -29,13 +29,15 @@
 
 
 def load_settings(text: str | None, options: Settings) -> Result[Settings, Failure]:
-    """Check a settings file's text and the options, which go before it."""
+    """Validate the text of a settings file and the options, which take precedence over it."""
     raw = load_json(text) if text is not None else Ok({})
     checked = raw.bind(lambda value: check_typed(Settings, value))
     merged = checked.bind(lambda value: check_typed(Settings, {**value, **options}))
-    return merged.map_error(lambda mistakes: refused("the settings have mistakes", mistakes))
+    return merged.map_error(
+        lambda mistakes: mistakes_failure("the settings have mistakes", mistakes)
+    )
 
 
 def address_of(url: str) -> str:
-    """Return the ``ip:port`` of a checked URL."""
+    """Return the ``ip:port`` of a validated URL."""
     return url.removeprefix("http://").rstrip("/")
--- a/packages/operators/src/cardamomloft/operators/trail.py
+++ b/packages/operators/src/cardamomloft/operators/trail.py
@@ -1,9 +1,8 @@
-"""The audit trail: one entry per change, chained by hashes, repaired by whoever comes next.
+"""The audit trail: a hash chain with one entry per change.
 
-Three keys take part in a change. The difference is written beside the change id first, then the
-configuration is swapped, then the audit entry is created. Its content follows from the first two,
-so a writer that dies in between loses nothing: the next writer, or reading the trail, creates the
-same bytes.
+A change writes three keys: first the difference, under the change id, then the configuration record
+by compare-and-swap, then the audit entry. The entry is derived from the other two, so if the writer
+crashes before creating it, the next change or the command ``audit`` creates the same bytes.
 """
 
 import hashlib
@@ -21,13 +20,14 @@
 
 _strict = with_config(ConfigDict(strict=True))
 
-MAX_GAP = 1000
-_TRIES = 3
+MAX_MISSING_NUMBERS = 1000
+"""Consecutive unused numbers after which the start of the trail is assumed."""
+_MAX_CREATE_ATTEMPTS = 3
 
 
 @_strict
 class PathChange(TypedDict):
-    """One path of the document with its former and its present value."""
+    """A changed path of the document, with its old and new value; None means absent."""
 
     path: str
     old: t.Any
@@ -36,7 +36,7 @@
 
 @_strict
 class AuditEntry(TypedDict):
-    """One entry of the trail; `difference` is None where it could not be known."""
+    """One entry of the audit trail; `difference` is None if it was not found in the store."""
 
     number: int
     change: str
@@ -49,51 +49,52 @@
 
 
 def audit_key(number: int) -> str:
-    """Return the key of the audit entry `number`."""
+    """Return the store key of the audit entry of revision `number`."""
     return f"audit/{number}"
 
 
 def difference_key(record: Record) -> str:
-    """Return the key of the difference that `record` makes.
+    """Return the store key of the difference that `record` makes.
 
-    A change whose outcome was lost may be tried again under its id, on a newer base or with
-    another instant in it. Each of these has its own difference, and only one can be recorded.
+    A change with unknown outcome may be retried under the same id, on a newer base or with a
+    different timestamp in the document. The key includes the revision and a digest of the document
+    to keep the differences of these attempts apart; only one of the attempts can be recorded.
     """
     digest = hashlib.sha256(canonical(record["document"])).hexdigest()[:16]
     return f"difference/{record['number']}/{record['change']}/{digest}"
 
 
 def read_entry(raw: bytes) -> AuditEntry | None:
-    """Read a stored entry; None if it is not one.
+    """Decode a stored entry; None if it is malformed.
 
-    Whether it belongs where it stands is for :func:`cardamomloft.core.changes.verify_chain`.
+    The chain is not checked here, but by :func:`cardamomloft.core.changes.verify_chain`.
     """
     checked = load_typed(AuditEntry, raw)
     return checked.default_value(None)
 
 
 def read_entries(raw_entries: Iterable[bytes]) -> tuple[AuditEntry, ...]:
-    """Read stored entries, and leave out what is not one."""
+    """Decode stored entries, and skip malformed ones."""
     return tuple(entry for raw in raw_entries if (entry := read_entry(raw)) is not None)
 
 
-async def keep_difference(
+async def store_difference(
     store: Store, record: Record, difference: list[PathChange]
 ) -> Result[None, StoreFailure]:
-    """Write a difference where the audit entry of `record` can be made from it later."""
+    """Store the difference from which the audit entry of `record` is built."""
     created = await _create(store, difference_key(record), canonical(difference))
     return created.map(lambda _: None)
 
 
 async def ensure_entry(store: Store, record: Record) -> Result[tuple[bytes, bool], StoreFailure]:
-    """Return the audit entry of the record in force, and whether it had to be created."""
+    """Return the audit entry of the current record, and whether it had to be created."""
     key = audit_key(record["number"])
     match await store.get(key):
         case Result(tag="error", error=fault):
             return Error(fault)
         case Result(ok=stored) if stored is not None:
             return Ok((stored.value, False))
-    match await _derive(store, record):
+    match await _build_entry(store, record):
         case Result(tag="error", error=fault):
             return Error(fault)
         case Result(ok=entry):
@@ -107,12 +108,12 @@
 ) -> Result[tuple[bytes, ...], StoreFailure]:
     """Read up to `count` entries that end with `number`, oldest first.
 
-    Numbers that were never used are passed over: after a restored backup of the store, changes
-    continue above what the entries hold.
+    Unused numbers are skipped. They occur after the store was restored from a backup: numbering
+    then continues above the highest revision that an entry has.
     """
     found: list[bytes] = []
     missing = 0
-    while number > 0 and len(found) < count and missing <= MAX_GAP:
+    while number > 0 and len(found) < count and missing <= MAX_MISSING_NUMBERS:
         match await store.get(audit_key(number)):
             case Result(tag="error", error=fault):
                 return Error(fault)
@@ -123,7 +124,7 @@
     return Ok(tuple(reversed(found)))
 
 
-async def _derive(store: Store, record: Record) -> Result[bytes, StoreFailure]:
+async def _build_entry(store: Store, record: Record) -> Result[bytes, StoreFailure]:
     previous: bytes | None = None
     if record["parent"] is not None:
         match await read_back_from(store, record["number"] - 1, 1):
@@ -131,8 +132,10 @@
                 return Error(fault)
             case Result(ok=entries):
                 previous = entries[-1] if entries else None
-    kept = await store.get(difference_key(record))
-    return kept.map(lambda stored: audit_entry(record, previous, _read_difference(stored)))
+    stored_difference = await store.get(difference_key(record))
+    return stored_difference.map(
+        lambda stored: audit_entry(record, previous, _read_difference(stored))
+    )
 
 
 def _read_difference(stored: StoredRecord | None) -> object:
@@ -140,21 +143,21 @@
 
 
 async def _create(store: Store, key: str, value: bytes) -> Result[bytes, StoreFailure]:
-    """Create a key, and return what it holds then; repeating it is harmless."""
+    """Create a key unless it exists, and return its value; the operation is idempotent."""
     result: Result[bytes, StoreFailure] = Ok(value)
-    for _ in range(_TRIES):
+    for _ in range(_MAX_CREATE_ATTEMPTS):
         match await store.compare_and_swap(key, value, 0):
             case Result(tag="ok", ok=True):
                 return Ok(value)
             case Result(tag="error", error=fault):
                 result = Error(fault)
             case _:
-                result = await _read_present(store, key, value)
+                result = await _read_existing(store, key, value)
         if result.is_ok():
             return result
     return result
 
 
-async def _read_present(store: Store, key: str, value: bytes) -> Result[bytes, StoreFailure]:
+async def _read_existing(store: Store, key: str, value: bytes) -> Result[bytes, StoreFailure]:
     stored = await store.get(key)
     return stored.map(lambda record: record.value if record is not None else value)
--- a/packages/operators/src/cardamomloft/operators/waiting.py
+++ b/packages/operators/src/cardamomloft/operators/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting until a revision is accepted, and until a drain is done."""
+"""Polls entries until a revision is accepted, or until a drain is done."""
 
 import typing as t
 from collections.abc import Mapping
@@ -13,42 +13,45 @@
     Verdict,
     VmState,
     drain_progress,
-    judge,
+    evaluate_acceptance,
 )
-from cardamomloft.operators.rendering import count, duration
+from cardamomloft.operators.rendering import format_count, format_duration
 from cardamomloft.operators.session import Session
 from cardamomloft.operators.trail import AuditEntry, PathChange
 
-POLL_EVERY = timedelta(milliseconds=500)
-SAY_EVERY = timedelta(seconds=5)
+POLL_INTERVAL = timedelta(milliseconds=500)
+PROGRESS_INTERVAL = timedelta(seconds=5)
 
 
-class Audience(t.NamedTuple):
-    """The seats that must have a revision, by operators' address; `removed` are off its roster."""
+class RequiredSeats(t.NamedTuple):
+    """The operators' addresses of the seats that must have a revision, by seat.
+
+    `removed` are those seats that are no longer on the roster of the revision.
+    """
 
     addresses: Mapping[str, str]
     removed: frozenset[str] = frozenset()
 
 
-class DrainEnd(t.NamedTuple):
-    """The end of waiting for a drain; times count from its start."""
+class DrainResult(t.NamedTuple):
+    """Result of waiting for a drain; both times are relative to the start of the drain."""
 
     progress: DrainProgress
     expected: timedelta | None
     actual: timedelta
 
 
-async def find_audience(
+async def find_required_seats(
     session: Session,
     record: Record,
     difference: t.Iterable[PathChange],
     recorded: t.Iterable[AuditEntry],
-) -> Audience:
-    """Return who must have the revision of `record`.
+) -> RequiredSeats:
+    """Return the seats that must have the revision of `record`.
 
-    That is the roster, and the seats that this change takes off it. Seats that earlier changes
-    took off may never have learnt of it: they count as long as the VM list still has them, or
-    cannot be read.
+    These are the seats of the roster and those that this change removes from it. Seats removed by
+    earlier changes may not have received that change, so they are included while the VM list shows
+    them as running, or if it cannot be read.
     """
     addresses = fleet.roster(record["document"])
     removed = conflicts.removed_entries(difference)
@@ -59,44 +62,47 @@
         states = (await fleet.vm_states(session)).default_value(None)
         removed = {s: a for s, a in earlier.items() if _may_run(s, states)} | removed
     removed = {seat: address for seat, address in removed.items() if seat not in addresses}
-    return Audience({**removed, **addresses}, frozenset(removed))
+    return RequiredSeats({**removed, **addresses}, frozenset(removed))
 
 
 async def wait_accepted(
-    session: Session, number: int, audience: Audience, wait: timedelta
+    session: Session, number: int, required: RequiredSeats, wait: timedelta
 ) -> Acceptance:
-    """Ask the entries until revision `number` is accepted, or `wait` is over.
+    """Poll the entries until revision `number` is accepted, or `wait` has elapsed.
 
-    The first round collects a report of the revision from every entry; those that gave one are not
-    asked again meanwhile. The second asks all of them once more, since one may have been replaced
-    by a process with an older revision. It is begun even if the time is over.
+    The first round polls each entry until it reports the revision. The second round polls all
+    entries once more, since one may have been replaced meanwhile by a process with an older
+    revision. The second round is also run if `wait` has elapsed by then.
     """
-    until = session.clock.monotonic() + wait
+    deadline = session.clock.monotonic() + wait
     first: dict[str, EntryReport] = {}
-    said: set[str] = set()
+    last_reported: set[str] = set()
     while True:
-        reports = await _ask_rest(session, audience, first)
-        states = await _states(session, reports)
-        standings = judge(number, reports.values(), states, audience.removed)
-        if standings.accepted:
-            standings, reports = await _confirm(session, number, audience, reports)
-        if standings.accepted or session.clock.monotonic() >= until:
-            return standings
-        first = {seat: report for seat, report in reports.items() if _has(report, number)}
-        lacking = {standing.seat for standing in standings.of(Verdict.LACKING)}
-        if lacking != said:
-            session.console.say(f"waiting for {_names(lacking)}")
-            said = lacking
-        await session.sleep(POLL_EVERY)
+        reports = await _poll_missing(session, required, first)
+        states = await _vm_states_if_needed(session, reports)
+        acceptance = evaluate_acceptance(number, reports.values(), states, required.removed)
+        if acceptance.accepted:
+            acceptance, reports = await _confirm(session, number, required, reports)
+        if acceptance.accepted or session.clock.monotonic() >= deadline:
+            return acceptance
+        first = {seat: report for seat, report in reports.items() if _has_revision(report, number)}
+        lacking = {seat_verdict.seat for seat_verdict in acceptance.with_verdict(Verdict.LACKING)}
+        if lacking != last_reported:
+            session.console.info(f"waiting for {_format_seats(lacking)}")
+            last_reported = lacking
+        await session.sleep(POLL_INTERVAL)
 
 
 async def _confirm(
-    session: Session, number: int, audience: Audience, first: Mapping[str, EntryReport]
+    session: Session, number: int, required: RequiredSeats, first: Mapping[str, EntryReport]
 ) -> tuple[Acceptance, dict[str, EntryReport]]:
-    """Ask all entries once more, after the first round has ended."""
-    second = await _ask_rest(session, audience, {})
-    states = await _states(session, second)
-    return judge(number, second.values(), states, audience.removed, before=first), second
+    """Poll all entries again, and evaluate acceptance from both rounds."""
+    second = await _poll_missing(session, required, {})
+    states = await _vm_states_if_needed(session, second)
+    return (
+        evaluate_acceptance(number, second.values(), states, required.removed, first_round=first),
+        second,
+    )
 
 
 async def wait_drained(
@@ -104,58 +110,58 @@
     name: str,
     since: datetime,
     acceptance: Acceptance,
-    audience: Audience,
+    required: RequiredSeats,
     wait: timedelta,
-) -> DrainEnd:
-    """Ask the entries that have the drain in force until all report it done, or `wait` is over."""
-    until = session.clock.monotonic() + wait
-    seats = {standing.seat for standing in acceptance.of(Verdict.IN_FORCE)}
-    asked = {seat: audience.addresses[seat] for seat in seats}
+) -> DrainResult:
+    """Poll the entries where the drain is in force until it is done, or `wait` has elapsed."""
+    deadline = session.clock.monotonic() + wait
+    seats = {seat_verdict.seat for seat_verdict in acceptance.with_verdict(Verdict.IN_FORCE)}
+    addresses = {seat: required.addresses[seat] for seat in seats}
     expected: timedelta | None = None
-    next_word = session.clock.monotonic()
+    next_report_at = session.clock.monotonic()
     while True:
-        reports = {report.seat: report for report in await fleet.poll(session, asked)}
-        out = await _known_out(session, reports)
-        asked = {seat: address for seat, address in asked.items() if seat not in out}
+        reports = {report.seat: report for report in await fleet.poll(session, addresses)}
+        out = await _seats_out(session, reports)
+        addresses = {seat: address for seat, address in addresses.items() if seat not in out}
         progress = drain_progress(name, [r for seat, r in reports.items() if seat not in out])
         elapsed = session.clock.utcnow() - since
         if expected is None and progress.expected_end is not None:
             expected = elapsed + progress.expected_end
-            session.console.say(f"expected drain time {duration(expected)}")
-        if progress.done or session.clock.monotonic() >= until:
-            return DrainEnd(progress, expected, elapsed)
-        if session.clock.monotonic() >= next_word:
-            session.console.say(_drain_word(progress))
-            next_word = session.clock.monotonic() + SAY_EVERY
-        await session.sleep(POLL_EVERY)
+            session.console.info(f"expected drain time {format_duration(expected)}")
+        if progress.done or session.clock.monotonic() >= deadline:
+            return DrainResult(progress, expected, elapsed)
+        if session.clock.monotonic() >= next_report_at:
+            session.console.info(_drain_progress_text(progress))
+            next_report_at = session.clock.monotonic() + PROGRESS_INTERVAL
+        await session.sleep(POLL_INTERVAL)
 
 
-def _drain_word(progress: DrainProgress) -> str:
-    running = count(progress.in_flight, "request")
-    return f"draining: {running} in flight, {_names(progress.pending)} not done"
+def _drain_progress_text(progress: DrainProgress) -> str:
+    running = format_count(progress.in_flight, "request")
+    return f"draining: {running} in flight, {_format_seats(progress.pending)} not done"
 
 
-async def _ask_rest(
-    session: Session, audience: Audience, known: Mapping[str, EntryReport]
+async def _poll_missing(
+    session: Session, required: RequiredSeats, known: Mapping[str, EntryReport]
 ) -> dict[str, EntryReport]:
-    """Ask those of whom no report is known."""
-    rest = {seat: a for seat, a in audience.addresses.items() if seat not in known}
+    """Poll the seats that have no report in `known`, and return the reports of all seats."""
+    rest = {seat: a for seat, a in required.addresses.items() if seat not in known}
     answered = {report.seat: report for report in await fleet.poll(session, rest)}
-    return {seat: known.get(seat) or answered[seat] for seat in audience.addresses}
+    return {seat: known.get(seat) or answered[seat] for seat in required.addresses}
 
 
-async def _states(
+async def _vm_states_if_needed(
     session: Session, reports: Mapping[str, EntryReport]
 ) -> Mapping[str, VmState] | None:
-    """Read the VM list, if any entry is silent."""
+    """Read the VM list if any entry did not answer; None if it cannot be read."""
     if all(report.status is not None for report in reports.values()):
         return {}
     states = await fleet.vm_states(session)
     return states.default_value(None)
 
 
-async def _known_out(session: Session, reports: Mapping[str, EntryReport]) -> set[str]:
-    states = await _states(session, reports) or {}
+async def _seats_out(session: Session, reports: Mapping[str, EntryReport]) -> set[str]:
+    states = await _vm_states_if_needed(session, reports) or {}
     return {s for s, r in reports.items() if r.status is None and states.get(s) == "gone"}
 
 
@@ -163,11 +169,11 @@
     return states is None or states.get(seat) in ("live", "leaving")
 
 
-def _has(report: EntryReport, number: int) -> bool:
+def _has_revision(report: EntryReport, number: int) -> bool:
     return report.status is not None and report.status["revision"] >= number
 
 
-def _names(seats: t.Iterable[str], shown: int = 4) -> str:
+def _format_seats(seats: t.Iterable[str], shown: int = 4) -> str:
     ordered = sorted(seats)
     rest = len(ordered) - shown
     return ", ".join(ordered[:shown]) + (f" and {rest} more" if rest > 0 else "")
--- a/packages/operators/src/cardamomloft/operators/wording.py
+++ b/packages/operators/src/cardamomloft/operators/wording.py
@@ -1,4 +1,4 @@
-"""What the commands that change the configuration say, to people and to programs."""
+"""Messages and JSON payloads of the commands that change the configuration."""
 
 import typing as t
 
@@ -7,76 +7,79 @@
 from cardamomloft.core.document import Document, Mistake
 from cardamomloft.operators import conflicts
 from cardamomloft.operators.acceptance import Acceptance, Verdict
-from cardamomloft.operators.conflicts import Overlap, Touch
+from cardamomloft.operators.conflicts import Overlap, OverlapKind
 from cardamomloft.operators.outcomes import ExitCode, Failure, Outcome
-from cardamomloft.operators.recording import Base, Written
-from cardamomloft.operators.rendering import compact, count, table
+from cardamomloft.operators.recording import Base, WrittenRecord
+from cardamomloft.operators.rendering import compact_json, format_count, table
 from cardamomloft.operators.session import Session
 from cardamomloft.operators.trail import AuditEntry, PathChange
 
 
-class Recording(t.NamedTuple):
-    """A change as recorded, what it differs in, and the recent trail below it."""
+class RecordedChange(t.NamedTuple):
+    """A change that is in the store, its difference, and the audit entries before it."""
 
-    written: Written
+    written: WrittenRecord
     difference: list[PathChange]
     recent: tuple[AuditEntry, ...]
 
 
-def conclusion(session: Session, recording: Recording, acceptance: Acceptance) -> Outcome:
-    """Report who has a recorded revision in force."""
-    payload = acceptance_payload(recording, acceptance)
-    in_force = acceptance.of(Verdict.IN_FORCE)
-    lacking = acceptance.of(Verdict.LACKING)
+def report_acceptance(
+    session: Session, recorded: RecordedChange, acceptance: Acceptance
+) -> Outcome:
+    """Report at which entries a recorded revision is in force."""
+    payload = acceptance_payload(recorded, acceptance)
+    in_force = acceptance.with_verdict(Verdict.IN_FORCE)
+    lacking = acceptance.with_verdict(Verdict.LACKING)
     number = acceptance.number
     if not lacking:
-        out = acceptance.of(Verdict.OUT)
+        out = acceptance.with_verdict(Verdict.OUT)
         known = f"; known to be out: {', '.join(s.seat for s in out)}" if out else ""
-        entries = count(len(in_force), "entry", "entries")
-        session.console.say(f"accepted: revision {number} is in force at {entries}{known}")
+        entries = format_count(len(in_force), "entry", "entries")
+        session.console.info(f"accepted: revision {number} is in force at {entries}{known}")
         return Outcome(ExitCode.OK, payload)
-    entries = count(len(lacking), "entry", "entries")
-    session.console.say(f"recorded, not accepted: revision {number} is not in force at {entries}")
+    entries = format_count(len(lacking), "entry", "entries")
+    session.console.info(f"recorded, not accepted: revision {number} is not in force at {entries}")
     rows = [(s.seat, s.revision, s.detail) for s in lacking]
-    session.console.say(*table(("entry", "revision", "detail"), rows))
-    session.console.say(
-        f"it spreads by itself; to wait on: --change {recording.written.record['change']}"
+    session.console.info(*table(("entry", "revision", "detail"), rows))
+    session.console.info(
+        "entries will still receive it; to keep waiting, repeat the command with"
+        f" --change {recorded.written.record['change']}"
     )
     return Outcome(ExitCode.RECORDED, payload)
 
 
-def acceptance_payload(recording: Recording, acceptance: Acceptance) -> dict[str, t.Any]:
-    """Return the result of a change for programs."""
-    written = recording.written
+def acceptance_payload(recorded: RecordedChange, acceptance: Acceptance) -> dict[str, t.Any]:
+    """Return the JSON payload of a recorded change."""
+    written = recorded.written
     return {
         "outcome": "accepted" if acceptance.accepted else "recorded",
         "revision": acceptance.number,
         "change": written.record["change"],
         "audited": written.audited,
-        "difference": recording.difference,
-        "in_force": [s.seat for s in acceptance.of(Verdict.IN_FORCE)],
-        "out": [s.seat for s in acceptance.of(Verdict.OUT)],
+        "difference": recorded.difference,
+        "in_force": [s.seat for s in acceptance.with_verdict(Verdict.IN_FORCE)],
+        "out": [s.seat for s in acceptance.with_verdict(Verdict.OUT)],
         "lacking": [
             {"entry": s.seat, "revision": s.revision, "detail": s.detail}
-            for s in acceptance.of(Verdict.LACKING)
+            for s in acceptance.with_verdict(Verdict.LACKING)
         ],
     }
 
 
-def no_change(session: Session, base: Base) -> Outcome:
-    """Report that the store holds what was asked for."""
-    session.console.say(f"no change: revision {base.number} holds this already")
+def report_no_change(session: Session, base: Base) -> Outcome:
+    """Report that the current document already equals the requested one."""
+    session.console.info(f"no change: revision {base.number} holds this already")
     return Outcome(ExitCode.OK, {"outcome": "no change", "revision": base.number})
 
 
 def conflict_failure(
     current: Base, theirs: t.Sequence[AuditEntry], mine: t.Sequence[Change]
 ) -> Failure:
-    """Return the failure of a change that others have overtaken."""
+    """Return the failure of a change that conflicts with the recorded changes `theirs`."""
     found = conflicts.overlaps(theirs, mine)
     lines = [line for entry in theirs for line in _entry_lines(entry, found)]
     if theirs:
-        lines.append(_how_they_meet(found))
+        lines.append(_overlap_summary(found))
     lines.append(f"take this into the file, then apply it with --base {current.number}")
     text = f"conflict: revision {current.number} was recorded first; nothing of this was written"
     payload = {
@@ -88,8 +91,8 @@
     return Failure(ExitCode.CONFLICT, text, tuple(lines), payload)
 
 
-def _how_they_meet(found: t.Sequence[Overlap]) -> str:
-    if any(overlap.touch is Touch.EDITS for overlap in found):
+def _overlap_summary(found: t.Sequence[Overlap]) -> str:
+    if any(overlap.touch is OverlapKind.EDITS for overlap in found):
         return "this file edits the same paths"
     if found:
         return "this file still has the former values"
@@ -97,36 +100,37 @@
 
 
 def difference_table(rows: t.Iterable[PathChange]) -> list[str]:
-    """Lay out a difference."""
-    cells = [(row["path"], compact(row["old"]), compact(row["new"])) for row in rows]
+    """Format a difference as a table."""
+    cells = [(row["path"], compact_json(row["old"]), compact_json(row["new"])) for row in rows]
     return table(("path", "old", "new"), cells)
 
 
-def say_base(session: Session, base: Base) -> None:
-    """Say what the latest revision is."""
+def report_base(session: Session, base: Base) -> None:
+    """Print the latest revision."""
     if base.record is None:
-        session.console.say("no revision is recorded yet")
+        session.console.info("no revision is recorded yet")
         return
-    made = base.record
-    session.console.say(
-        f"revision {base.number} is the latest, by {made['who']} at {made['when']}: {made['why']}"
+    record = base.record
+    session.console.info(
+        f"revision {base.number} is the latest,"
+        f" by {record['who']} at {record['when']}: {record['why']}"
     )
 
 
-def say_difference(session: Session, changes: t.Sequence[Change]) -> None:
-    """Say what a change differs in."""
+def report_difference(session: Session, changes: t.Sequence[Change]) -> None:
+    """Print the difference that a change makes."""
     if not changes:
-        session.console.say("no difference")
+        session.console.info("no difference")
         return
-    session.console.say(f"difference ({count(len(changes), 'path')}):")
-    session.console.say(*difference_table(conflicts.as_rows(changes)))
+    session.console.info(f"difference ({format_count(len(changes), 'path')}):")
+    session.console.info(*difference_table(conflicts.as_rows(changes)))
 
 
-def say_recorded(session: Session, written: Written) -> None:
-    """Say that a change is in the store."""
-    made = written.record
+def report_recorded(session: Session, written: WrittenRecord) -> None:
+    """Print that a change was recorded, and warn if its audit entry is missing."""
+    record = written.record
     after = "; a later revision has replaced it" if written.superseded else ""
-    session.console.say(f"recorded: revision {made['number']}, change {made['change']}{after}")
+    session.console.info(f"recorded: revision {record['number']}, change {record['change']}{after}")
     if not written.audited:
         session.console.warn(
             "the audit entry could not be written yet; the next change or audit writes it"
@@ -134,15 +138,15 @@
 
 
 def warn_document(session: Session, document: Document) -> list[dict[str, str]]:
-    """Warn of what a document says that can hardly be meant, and return it for programs."""
+    """Print the warnings about a valid document, and return them for the JSON payload."""
     found = warnings(document)
     session.console.warn(*(f"warning: {mistake}" for mistake in found))
     return [mistake._asdict() for mistake in found]
 
 
 def warn_overlaps(session: Session, found: t.Iterable[Overlap]) -> None:
-    """Warn of recent changes that a file takes back."""
-    for overlap in conflicts.undone(found):
+    """Print a warning for each recent change that a file undoes."""
+    for overlap in conflicts.filter_undoing(found):
         session.console.warn(
             f"warning: {overlap.path}: {overlap.touch} revision {overlap.number}"
             f" by {overlap.who} at {overlap.when}: {overlap.why}"
@@ -150,30 +154,33 @@
 
 
 def overlap_rows(found: t.Iterable[Overlap]) -> list[dict[str, t.Any]]:
-    """Return overlaps for programs."""
+    """Return overlaps for the JSON payload."""
     return [{**overlap._asdict(), "touch": str(overlap.touch)} for overlap in found]
 
 
 def _entry_lines(entry: AuditEntry, found: t.Iterable[Overlap]) -> list[str]:
-    touches = {
-        overlap.path: overlap.touch for overlap in found if overlap.number == entry["number"]
-    }
+    kinds = {overlap.path: overlap.touch for overlap in found if overlap.number == entry["number"]}
     head = f"revision {entry['number']} by {entry['who']} at {entry['when']}: {entry['why']}"
     if entry["difference"] is None:
         return [head, "  its difference is not known"]
     rows = [
-        (row["path"], compact(row["old"]), compact(row["new"]), _yours(touches.get(row["path"])))
+        (
+            row["path"],
+            compact_json(row["old"]),
+            compact_json(row["new"]),
+            _overlap_cell(kinds.get(row["path"])),
+        )
         for row in entry["difference"]
     ]
     return [head, *table(("path", "old", "new", "this file"), rows)]
 
 
-def _yours(touch: Touch | None) -> str | None:
-    return str(touch) if touch is not None else None
+def _overlap_cell(kind: OverlapKind | None) -> str | None:
+    return str(kind) if kind is not None else None
 
 
-def refused(text: str, mistakes: t.Sequence[Mistake]) -> Failure:
-    """Return the failure of a document with mistakes."""
+def mistakes_failure(text: str, mistakes: t.Sequence[Mistake]) -> Failure:
+    """Return the failure of an invalid document or settings file."""
     payload = {"outcome": "refused", "mistakes": [m._asdict() for m in mistakes]}
     lines = tuple(f"  {mistake}" for mistake in mistakes)
     return Failure(ExitCode.REFUSED, f"{text} ({len(mistakes)})", lines, payload)
--- a/packages/operators/tests/test_operator_decisions.py
+++ b/packages/operators/tests/test_operator_decisions.py
@@ -5,9 +5,14 @@
 import pytest
 from cardamomloft.core.difference import difference
 from cardamomloft.operators import conflicts, editing
-from cardamomloft.operators.acceptance import EntryReport, Verdict, drain_progress, judge
-from cardamomloft.operators.conflicts import Touch
-from cardamomloft.operators.editing import Move
+from cardamomloft.operators.acceptance import (
+    EntryReport,
+    Verdict,
+    drain_progress,
+    evaluate_acceptance,
+)
+from cardamomloft.operators.conflicts import OverlapKind
+from cardamomloft.operators.editing import MoveRequest
 from cardamomloft.operators.fleet import read_status
 from cardamomloft.operators.rendering import WIDTH, table
 from cardamomloft.operators.settings import load_settings
@@ -76,8 +81,8 @@
     ],
 )
 def test_only_an_answer_or_a_gone_vm_settles_a_seat(reported, vms, removed, verdict):
-    judged = judge(8, [reported], vms, frozenset({"e1"} if removed else ()))
-    assert [standing.verdict for standing in judged.standings] == [verdict]
+    judged = evaluate_acceptance(8, [reported], vms, frozenset({"e1"} if removed else ()))
+    assert [seat_verdict.verdict for seat_verdict in judged.seat_verdicts] == [verdict]
     assert judged.accepted == (verdict is not Verdict.LACKING)
 
 
@@ -135,16 +140,16 @@
 
 
 def test_a_move_is_found_by_what_it_moves_whatever_its_name():
-    asked = Move("menus", "north-a", "south-a", 30)
+    request = MoveRequest("menus", "north-a", "south-a", 30)
     document = make_document()
-    moved = editing.add_move(document, asked, NOW).ok
+    moved = editing.add_move(document, request, NOW).ok
     assert moved["moves"]["menus.north-a.south-a"]["cap_percent_per_s"] == 2
-    assert editing.add_move(moved, asked, LATER).ok is moved
+    assert editing.add_move(moved, request, LATER).ok is moved
     renamed = {**document, "moves": {"trial": moved["moves"]["menus.north-a.south-a"]}}
-    changed = editing.add_move(renamed, asked._replace(percent=50), LATER).ok
+    changed = editing.add_move(renamed, request._replace(percent=50), LATER).ok
     assert list(changed["moves"]) == ["trial"] and changed["moves"]["trial"]["percent"] == 50
-    assert editing.remove_move(changed, asked).ok == document
-    assert editing.remove_move(document, asked).ok is document
+    assert editing.remove_move(changed, request).ok == document
+    assert editing.remove_move(document, request).ok is document
 
 
 BAD_MOVES = [{"service": "x"}, {"origin": "north"}, {"target": "x"}, {"target": "north-a"}]
@@ -152,21 +157,24 @@
 
 @pytest.mark.parametrize("change", [*BAD_MOVES, {"cap": 2.5}])
 def test_a_move_that_cannot_be_is_refused(change):
-    asked = Move("menus", "north-a", "south-a", 30, 1)._replace(**change)
-    assert editing.add_move(make_document(), asked, NOW).is_error()
+    request = MoveRequest("menus", "north-a", "south-a", 30, 1)._replace(**change)
+    assert editing.add_move(make_document(), request, NOW).is_error()
 
 
 def test_a_move_has_the_cap_asked_for_the_services_or_the_default():
     document = make_document()
-    asked = Move("menus", "north-a", "south-a", 30)
-    assert editing.move_cap(document, asked._replace(cap=0.5)) == 0.5
-    assert editing.move_cap(document, asked) == 2
-    assert editing.move_cap(document, asked._replace(service="media")) == 1
+    request = MoveRequest("menus", "north-a", "south-a", 30)
+    assert editing.move_cap(document, request._replace(cap=0.5)) == 0.5
+    assert editing.move_cap(document, request) == 2
+    assert editing.move_cap(document, request._replace(service="media")) == 1
 
 
 def test_a_long_move_name_stays_a_valid_name():
     names = ["s" * 60, "a" * 60, "b" * 60]
-    keys = [editing._move_key(Move(*names, 1)), editing._move_key(Move(*reversed(names), 1))]
+    keys = [
+        editing._move_key(MoveRequest(*names, 1)),
+        editing._move_key(MoveRequest(*reversed(names), 1)),
+    ]
     assert len(set(keys)) == 2 and all(len(key) <= 63 for key in keys)
 
 
@@ -199,8 +207,8 @@
 @pytest.mark.parametrize(
     ("theirs", "current", "mine", "touches"),
     [
-        (("menus.deadline", 500, 600), {"deadline": 600}, {"deadline": 500}, [Touch.UNDOES]),
-        (("menus.deadline", 500, 600), {"deadline": 600}, {"deadline": 700}, [Touch.EDITS]),
+        (("menus.deadline", 500, 600), {"deadline": 600}, {"deadline": 500}, [OverlapKind.UNDOES]),
+        (("menus.deadline", 500, 600), {"deadline": 600}, {"deadline": 700}, [OverlapKind.EDITS]),
         (("menus.deadline", 500, 600), {"deadline": 600}, {"deadline": 600}, []),
         (("menus.spill", 10, None), {"deadline": 500}, {"deadline": 500, "spill": 10}, ["undoes"]),
         (("menus.spill", None, 10), {"deadline": 1, "spill": 10}, {"deadline": 1}, ["undoes"]),
@@ -217,7 +225,9 @@
     both = {"drains": {"a": row, "b": row}}
     first, second = entry(7, ("drains", None, {"a": row})), entry(8, ("drains.b", None, row))
     for mine in ({}, {"drains": {"b": row}}, {"drains": {"a": row}}):
-        found = conflicts.undone(conflicts.overlaps([first, second], difference(both, mine)))
+        found = conflicts.filter_undoing(
+            conflicts.overlaps([first, second], difference(both, mine))
+        )
         lost = [n for n, name in ((7, "a"), (8, "b")) if name not in mine.get("drains", {})]
         assert [overlap.number for overlap in found] == lost
 
@@ -225,7 +235,7 @@
 def test_removing_part_of_what_the_first_file_brought_is_no_undoing():
     first = entry(1, ("services", None, {"menus": {"spill": 10, "deadline": 5}}))
     changes = difference({"services": {"menus": {"spill": 10, "deadline": 5}}}, {"services": {}})
-    assert [o.touch for o in conflicts.overlaps([first], changes)] == [Touch.EDITS]
+    assert [o.touch for o in conflicts.overlaps([first], changes)] == [OverlapKind.EDITS]
 
 
 def test_removed_seats_are_found_with_dots_in_their_names():
--- a/packages/operators/tests/test_operator_writes.py
+++ b/packages/operators/tests/test_operator_writes.py
@@ -99,7 +99,7 @@
 
 def test_an_unknown_outcome_says_so_and_is_found_by_its_change_id(started, ctl):
     def go_down():
-        started.store.faults += [("get", "", "down")] * recording.READ_TRIES
+        started.store.faults += [("get", "", "down")] * recording.MAX_READ_ATTEMPTS
         return "late"
 
     started.store.faults = [("swap", CURRENT, go_down)]
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("first_lands", [True, False])
 def test_a_repeated_attempt_is_audited_as_the_one_that_landed(started, ctl, first_lands):
     def lose_answer():
-        started.store.faults += [("get", "", "down")] * recording.READ_TRIES
+        started.store.faults += [("get", "", "down")] * recording.MAX_READ_ATTEMPTS
         held.append(started.store.values[CURRENT])
         return "late"
 
