--- a/packages/operators/tests/conftest.py
+++ b/packages/operators/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A deployment in memory, and the command of its operators."""
+"""Fixtures: an in-memory deployment, and a function that runs a command line on it."""
 
 import pytest
 from cardamomloft.operators.outcomes import ExitCode
@@ -7,11 +7,11 @@
 
 @pytest.fixture
 def world(tmp_path):
-    found = World(tmp_path)
-    found.file("first.json", make_document())
-    found.file("longer.json", make_document(menus={"deadline_ms": 900}))
-    found.file("spill.json", make_document(menus={"spill_percent": 10}))
-    return found
+    deployment = World(tmp_path)
+    deployment.file("first.json", make_document())
+    deployment.file("longer.json", make_document(menus={"deadline_ms": 900}))
+    deployment.file("spill.json", make_document(menus={"spill_percent": 10}))
+    return deployment
 
 
 @pytest.fixture
--- a/packages/operators/tests/test_operator_commands.py
+++ b/packages/operators/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Whole sessions of the command, and what it refuses."""
+"""Transcripts of whole sessions, and input that the command refuses."""
 
 import json
 
@@ -46,7 +46,7 @@
     )
 
 
-def test_session_of_entries_that_cannot_be_asked(started, ctl, snapshot):
+def test_session_with_unreachable_entries(started, ctl, snapshot):
     started.silent = {"e2", "e3"}
     started.stuck = {"e1": 1}
     started.vms = {"e1": "live", "e2": "gone", "e3": "live"}
@@ -56,7 +56,7 @@
     assert snapshot == first + transcript(ctl, "apply longer.json --why w --change c2")
 
 
-def test_session_with_the_store_away(started, ctl, snapshot):
+def test_session_with_store_unavailable(started, ctl, snapshot):
     down = [("get", "", "down")] * 2
     started.store.faults = down * 3
     assert snapshot == transcript(
@@ -121,7 +121,7 @@
     assert ctl("audit")[0] is ExitCode.OK and world.store.writes == []
 
 
-def test_a_record_that_cannot_be_read_is_left_alone(started, ctl):
+def test_an_unreadable_record_is_not_overwritten(started, ctl):
     started.store.put(CURRENT, b'{"number": 2}')
     started.store.writes.clear()
     assert ctl("apply longer.json --why w")[0] is ExitCode.REFUSED
@@ -129,7 +129,7 @@
     assert started.store.writes == []
 
 
-def test_what_the_store_cannot_hold_is_refused(started, ctl):
+def test_a_change_above_the_store_size_limit_is_refused(started, ctl):
     blocks = {f"10.{n >> 8}.{n & 255}.0/24": "north" for n in range(50_000)}
     started.file("large.json", make_document(clients={"default": "north", "blocks": blocks}))
     for letter in "ab":
@@ -143,7 +143,7 @@
     assert started.store.writes == []
 
 
-def test_a_block_map_is_published_once_by_chunks_that_a_change_leaves_alone(world, ctl):
+def test_publishing_a_block_map_writes_only_new_chunks(world, ctl):
     blocks = {f"10.{a}.{b}.0/24": f"site-{b % 5}" for a in range(40) for b in range(250)}
     world.file("blocks.json", blocks)
     code, printed = ctl("publish blocks.json --default north --json")
@@ -157,7 +157,7 @@
     )
 
 
-def test_publishing_a_bad_map_or_without_a_store_writes_nothing_wrong(world, ctl):
+def test_publishing_handles_invalid_maps_and_store_failures(world, ctl):
     world.file("blocks.json", {"10.0.0.0/33": "a"})
     code, printed = ctl("publish blocks.json --default north")
     assert code is ExitCode.REFUSED and "10.0.0.0/33" in printed
--- a/packages/operators/tests/test_operator_decisions.py
+++ b/packages/operators/tests/test_operator_decisions.py
@@ -1,4 +1,4 @@
-"""The pure decisions of the operators' command."""
+"""Functions of the operators' command without input or output."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -80,13 +80,13 @@
         (report("e1", 7), {}, True, Verdict.LACKING),
     ],
 )
-def test_only_an_answer_or_a_gone_vm_settles_a_seat(reported, vms, removed, verdict):
+def test_acceptance_needs_a_status_or_a_gone_vm(reported, vms, removed, verdict):
     judged = evaluate_acceptance(8, [reported], vms, frozenset({"e1"} if removed else ()))
     assert [seat_verdict.verdict for seat_verdict in judged.seat_verdicts] == [verdict]
     assert judged.accepted == (verdict is not Verdict.LACKING)
 
 
-def test_a_status_speaks_only_for_its_own_seat_and_only_when_readable():
+def test_a_status_from_another_seat_or_malformed_is_rejected():
     raw = make_status("e1", 8)
     assert read_status("e1", "127.0.0.1:1", Ok(raw)).status["revision"] == 8
     assert read_status("127.0.0.1:1", "127.0.0.1:1", Ok(raw)).status is not None
@@ -97,7 +97,7 @@
     assert read_status("e1", "127.0.0.1:1", Ok({**raw, "new_key": 1})).status is not None
 
 
-def test_a_drain_is_done_when_every_entry_says_so():
+def test_a_drain_is_done_only_when_done_at_every_entry():
     busy = report("e1", 8, [drain_row(3, 900.0, False)])
     slow = report("e2", 8, [drain_row(1, 4000.0, False)])
     done = report("e3", 8, [drain_row(0, None, True)])
@@ -108,7 +108,7 @@
     assert drain_progress("north-a", [done, report("e5", 8)]).pending == ("e5",)
 
 
-def test_a_drain_is_added_once_and_its_start_follows_the_latest_word():
+def test_adding_a_drain_is_idempotent_and_can_change_a_future_start():
     document = make_document()
     planned = editing.add_drain(document, "zone", "north-a", now=NOW, at=LATER).ok
     assert planned["drains"]["north-a"]["since"] == "2026-01-01T14:00:00.000+00:00"
@@ -125,7 +125,7 @@
     ("kind", "name"),
     [("zone", "north"), ("region", "north-a"), ("upstream", "e1"), ("entry", "m-1"), ("zone", "x")],
 )
-def test_only_what_exists_can_be_drained_or_undrained(kind, name):
+def test_draining_an_unknown_name_is_refused(kind, name):
     document = make_document()
     for result in (
         editing.add_drain(document, kind, name, now=NOW),
@@ -134,12 +134,12 @@
         assert result.error.text == f"the configuration has no {kind} named {name!r}"
 
 
-def test_a_name_shared_by_two_kinds_is_not_mixed_up():
+def test_removing_a_drain_of_another_kind_is_refused():
     document = make_document(drains={"north": {"kind": "entry", "since": "2026-01-01T00:00Z"}})
     assert editing.remove_drain(document, "region", "north").is_error()
 
 
-def test_a_move_is_found_by_what_it_moves_whatever_its_name():
+def test_a_move_is_found_by_service_and_zones_not_by_key():
     request = MoveRequest("menus", "north-a", "south-a", 30)
     document = make_document()
     moved = editing.add_move(document, request, NOW).ok
@@ -156,12 +156,12 @@
 
 
 @pytest.mark.parametrize("change", [*BAD_MOVES, {"cap": 2.5}])
-def test_a_move_that_cannot_be_is_refused(change):
+def test_an_invalid_move_is_refused(change):
     request = MoveRequest("menus", "north-a", "south-a", 30, 1)._replace(**change)
     assert editing.add_move(make_document(), request, NOW).is_error()
 
 
-def test_a_move_has_the_cap_asked_for_the_services_or_the_default():
+def test_a_move_uses_its_own_cap_then_the_service_cap_then_the_default():
     document = make_document()
     request = MoveRequest("menus", "north-a", "south-a", 30)
     assert editing.move_cap(document, request._replace(cap=0.5)) == 0.5
@@ -169,7 +169,7 @@
     assert editing.move_cap(document, request._replace(service="media")) == 1
 
 
-def test_a_long_move_name_stays_a_valid_name():
+def test_a_long_move_key_is_shortened_and_unique():
     names = ["s" * 60, "a" * 60, "b" * 60]
     keys = [
         editing._move_key(MoveRequest(*names, 1)),
@@ -184,7 +184,7 @@
 @settings(derandomize=True, database=None, deadline=None)
 @given(st.lists(st.tuples(targets, st.booleans()), max_size=6), st.data())
 def test_edits_of_different_names_commute(steps, data):
-    def play(order):
+    def apply_steps(order):
         document = make_document()
         for (kind, name), undo in order:
             if undo:
@@ -195,7 +195,7 @@
 
     last = dict(steps)
     shuffled = data.draw(st.permutations(list(last.items())))
-    assert play(steps) == play(shuffled)
+    assert apply_steps(steps) == apply_steps(shuffled)
 
 
 def entry(number, *changes):
@@ -205,7 +205,7 @@
 
 
 @pytest.mark.parametrize(
-    ("theirs", "current", "mine", "touches"),
+    ("theirs", "current", "mine", "kinds"),
     [
         (("menus.deadline", 500, 600), {"deadline": 600}, {"deadline": 500}, [OverlapKind.UNDOES]),
         (("menus.deadline", 500, 600), {"deadline": 600}, {"deadline": 700}, [OverlapKind.EDITS]),
@@ -214,10 +214,10 @@
         (("menus.spill", None, 10), {"deadline": 1, "spill": 10}, {"deadline": 1}, ["undoes"]),
     ],
 )
-def test_a_stale_file_is_told_from_a_newer_edit(theirs, current, mine, touches):
+def test_a_stale_file_is_distinguished_from_a_newer_edit(theirs, current, mine, kinds):
     changes = difference({"menus": current}, {"menus": mine})
     found = conflicts.overlaps([entry(7, theirs)], changes)
-    assert [overlap.touch for overlap in found] == touches
+    assert [overlap.touch for overlap in found] == kinds
 
 
 def test_a_file_without_a_recorded_drain_undoes_it():
@@ -232,13 +232,13 @@
         assert [overlap.number for overlap in found] == lost
 
 
-def test_removing_part_of_what_the_first_file_brought_is_no_undoing():
+def test_removing_part_of_an_added_table_does_not_undo_it():
     first = entry(1, ("services", None, {"menus": {"spill": 10, "deadline": 5}}))
     changes = difference({"services": {"menus": {"spill": 10, "deadline": 5}}}, {"services": {}})
     assert [o.touch for o in conflicts.overlaps([first], changes)] == [OverlapKind.EDITS]
 
 
-def test_removed_seats_are_found_with_dots_in_their_names():
+def test_removed_seats_may_have_dots_in_their_names():
     row = {"operators": "127.0.0.1:5"}
     rows = conflicts.as_rows(difference({"entries": {"e.1": row, "e2": row}}, {"entries": {}}))
     assert conflicts.removed_entries(rows) == {"e.1": "127.0.0.1:5", "e2": "127.0.0.1:5"}
@@ -246,12 +246,12 @@
 
 @settings(derandomize=True, database=None, deadline=None)
 @given(st.lists(st.tuples(*[st.text("abc ", max_size=150)] * 4), min_size=1, max_size=4))
-def test_tables_keep_to_the_width(rows):
+def test_tables_fit_the_width(rows):
     lines = table(("one", "two", "three", "four"), rows)
     assert len(lines) == len(rows) + 1 and all(len(line) <= WIDTH for line in lines)
 
 
-def test_settings_are_strict_and_options_go_before_them():
+def test_settings_are_strict_and_options_take_precedence():
     text = '{"store": "http://127.0.0.1:1", "who": "ann"}'
     merged = load_settings(text, {"store": "http://127.0.0.1:2"}).ok
     assert merged == {"store": "http://127.0.0.1:2", "who": "ann"}
--- a/packages/operators/tests/test_operator_fleet.py
+++ b/packages/operators/tests/test_operator_fleet.py
@@ -1,4 +1,4 @@
-"""Entries asked over real connections."""
+"""Status requests to entries over real connections."""
 
 import json
 
@@ -10,7 +10,7 @@
 from twisted.web.server import Site
 
 
-class Pages:
+class StatusPage:
     app = Klein()
 
     def __init__(self, code, body):
@@ -29,7 +29,9 @@
         self.addCleanup(self.fleet.close)
 
     def serve(self, code, body):
-        port = reactor.listenTCP(0, Site(Pages(code, body).app.resource()), interface="127.0.0.1")
+        port = reactor.listenTCP(
+            0, Site(StatusPage(code, body).app.resource()), interface="127.0.0.1"
+        )
         self.addCleanup(port.stopListening)
         return f"127.0.0.1:{port.getHost().port}", port
 
--- a/packages/operators/tests/test_operator_pages.py
+++ b/packages/operators/tests/test_operator_pages.py
@@ -1,4 +1,4 @@
-"""The commands on the pages exist as they are written there."""
+"""Commands shown in the documentation parse, and every command and exit code is documented."""
 
 import re
 import shlex
--- a/packages/operators/tests/test_operator_waiting.py
+++ b/packages/operators/tests/test_operator_waiting.py
@@ -1,4 +1,4 @@
-"""Until when a command waits for the entries: those removed, replaced, silent or draining."""
+"""Waiting for entries that are removed, replaced, unreachable or draining."""
 
 from datetime import timedelta
 
@@ -9,7 +9,7 @@
 from twisted.internet.defer import succeed
 
 
-def test_a_removed_entry_counts_until_it_knows_or_is_gone(started, ctl):
+def test_a_removed_entry_is_waited_for_until_it_has_the_revision_or_is_gone(started, ctl):
     smaller = make_document()
     del smaller["entries"]["e3"]
     started.file("smaller.json", smaller)
@@ -25,15 +25,15 @@
     assert (code, payload["out"]) == (ExitCode.OK, ["e3"])
 
 
-def test_entries_that_have_the_revision_are_not_asked_again(started, ctl):
+def test_entries_that_have_the_revision_are_not_polled_again(started, ctl):
     started.stuck = {"e2": 1}
     started.asked.clear()
     assert ctl("apply longer.json --why w --wait 2")[0] is ExitCode.RECORDED
     assert started.asked.count("e2") > 3 and started.asked.count("e1") == 2
 
 
-def test_an_entry_replaced_by_an_older_one_undoes_what_its_predecessor_said(started, ctl):
-    """The counter-example to one round: a new e1 takes revision 1 from e2, which then gets 2."""
+def test_an_entry_replaced_by_one_with_an_older_revision_is_detected(started, ctl):
+    """One polling round would accept revision 2, although the new e1 copied revision 1 from e2."""
 
     def replace():
         started.stuck = {"e1": 1}
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(("wait", "code"), [(0, ExitCode.RECORDED), (5, ExitCode.OK)])
-def test_an_entry_replaced_between_the_rounds_is_asked_once_more(started, ctl, wait, code):
+def test_an_entry_replaced_between_the_rounds_is_polled_again(started, ctl, wait, code):
     started.asked.clear()
     started.on_asked[("e3", 3)] = lambda: started.lives.update(e3=2)
     ended, payload = as_json(ctl, f"apply longer.json --why w --change a2 --wait {wait}")
@@ -60,7 +60,7 @@
     assert [row["detail"] for row in payload["lacking"]] == lacking
 
 
-def test_without_the_vm_list_a_seat_removed_earlier_still_counts(started, ctl):
+def test_without_the_vm_list_a_seat_removed_earlier_is_still_waited_for(started, ctl):
     smaller = make_document()
     del smaller["entries"]["e3"]
     started.file("smaller.json", smaller)
@@ -84,7 +84,7 @@
     assert started.current["document"]["drains"]["e2"]["kind"] == "entry"
 
 
-def test_a_drain_that_does_not_end_in_time_has_its_own_code(started, ctl):
+def test_a_drain_that_does_not_end_in_time_has_its_own_exit_code(started, ctl):
     started.drains = {"e1": drain_rows((2, 60_000)), "e2": drain_rows((0, None))}
     started.drains["e3"] = drain_rows((0, None))
     code, payload = as_json(ctl, "drain zone north-a --why w --wait 20")
@@ -98,16 +98,16 @@
     assert started.store.writes == []
 
 
-def test_an_entry_that_goes_while_draining_does_not_hold_the_drain_up(started, ctl):
+def test_an_entry_gone_during_a_drain_does_not_block_it(started, ctl):
     started.drains = {seat: drain_rows((0, None)) for seat in ("e1", "e2")}
     started.drains["e3"] = drain_rows((5, 900))
     started.vms = {"e3": "live"}
-    started.sleep = leave_after(started, "e3", 4)
+    started.sleep = remove_vm_after(started, "e3", 4)
     code, payload = as_json(ctl, "drain zone north-a --why w --wait 20")
     assert code is ExitCode.OK and payload["drain"]["actual_s"] < 5
 
 
-def leave_after(world, seat, sleeps):
+def remove_vm_after(world, seat, sleeps):
     def sleep(span):
         nonlocal sleeps
         sleeps -= 1
@@ -120,7 +120,7 @@
     return sleep
 
 
-def test_waiting_ends_when_the_time_is_over(started, ctl):
+def test_waiting_ends_after_the_given_time(started, ctl):
     started.stuck = {"e1": 1}
     before = started.clock.monotonic()
     assert ctl("apply longer.json --why w --wait 7")[0] is ExitCode.RECORDED
--- a/packages/operators/tests/test_operator_writes.py
+++ b/packages/operators/tests/test_operator_writes.py
@@ -1,4 +1,4 @@
-"""Writes of the command under races, lost answers and faults of the store."""
+"""Writes to the store under races, lost answers and store failures."""
 
 import json
 from datetime import timedelta
@@ -10,7 +10,7 @@
 from cardamomloft_standins.operating import CURRENT, as_json, drain_rows, make_document, trail
 
 
-def test_the_loser_of_a_race_sees_the_winner_and_loses_nothing(started, ctl):
+def test_a_lost_race_is_a_conflict_that_shows_the_winning_change(started, ctl):
     def overtake():
         ctl("apply spill.json --why faster --who bob --change b2")
 
@@ -25,7 +25,7 @@
     assert code is ExitCode.CONFLICT and payload["overlaps"][0]["touch"] == "undoes"
 
 
-def test_a_race_on_the_same_path_says_so(started, ctl):
+def test_a_race_on_the_same_path_is_reported_as_such(started, ctl):
     started.file("other.json", make_document(menus={"deadline_ms": 700}))
     started.store.faults = [("swap", CURRENT, lambda: ctl("apply other.json --why x --change b2"))]
     code, payload = as_json(ctl, "apply longer.json --why w --change a2")
@@ -33,7 +33,7 @@
     assert [o["touch"] for o in payload["overlaps"]] == ["edits the same path"]
 
 
-def test_announcements_commute_with_a_change_that_came_first(started, ctl):
+def test_a_drain_is_retried_on_a_change_recorded_first(started, ctl):
     started.drains = {seat: drain_rows((0, None)) for seat in ("e1", "e2", "e3")}
     overtake = ("swap", CURRENT, lambda: ctl("apply longer.json --why x --who bob --change b2"))
     started.store.faults = [overtake]
@@ -44,16 +44,16 @@
     assert verify_chain(trail(started)).ok == 3
 
 
-def test_announcements_give_up_after_some_lost_races(started, ctl):
-    waits = iter(range(900, 1000))
+def test_a_drain_gives_up_after_repeated_lost_races(started, ctl):
+    deadlines = iter(range(900, 1000))
 
     def overtake():
         held = json.loads(started.store.values[CURRENT].value)
-        held["document"]["services"]["menus"]["deadline_ms"] = next(waits)
+        held["document"]["services"]["menus"]["deadline_ms"] = next(deadlines)
         held |= {
             "number": held["number"] + 1,
             "parent": held["change"],
-            "change": f"b{next(waits)}",
+            "change": f"b{next(deadlines)}",
         }
         started.store.put(CURRENT, json.dumps(held).encode())
 
@@ -62,7 +62,7 @@
     assert "drains" not in started.current["document"]
 
 
-def test_an_undone_announcement_leaves_the_file_in_force(started, ctl):
+def test_undoing_a_drain_restores_an_equal_document(started, ctl):
     started.file("plans.json", make_document(drains={}, moves={}))
     for line in ("drain zone north-a --at 2026-02-01T00:00Z", "drain zone north-a --undo"):
         assert ctl(f"{line} --why w")[0] is ExitCode.OK
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("effect", ["lost", "late"])
-def test_a_write_without_an_answer_is_settled(started, ctl, effect):
+def test_a_write_without_an_answer_is_recorded_once(started, ctl, effect):
     started.store.faults = [("swap", CURRENT, effect)]
     code, payload = as_json(ctl, "apply longer.json --why w --change a2")
     assert (code, payload["revision"], payload["change"]) == (ExitCode.OK, 2, "a2")
@@ -97,7 +97,7 @@
     assert [json.loads(raw)["change"] for raw in trail(started)] == ["c1", "a2", "b3", "b4"]
 
 
-def test_an_unknown_outcome_says_so_and_is_found_by_its_change_id(started, ctl):
+def test_an_unknown_outcome_is_resolved_by_its_change_id(started, ctl):
     def go_down():
         started.store.faults += [("get", "", "down")] * recording.MAX_READ_ATTEMPTS
         return "late"
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("first_lands", [True, False])
-def test_a_repeated_attempt_is_audited_as_the_one_that_landed(started, ctl, first_lands):
+def test_a_retried_change_is_audited_as_the_attempt_that_was_recorded(started, ctl, first_lands):
     def lose_answer():
         started.store.faults += [("get", "", "down")] * recording.MAX_READ_ATTEMPTS
         held.append(started.store.values[CURRENT])
@@ -137,7 +137,7 @@
     assert ctl("audit --verify")[0] is ExitCode.OK
 
 
-def test_a_change_id_is_not_taken_for_another_file(started, ctl):
+def test_a_change_id_reused_with_another_file_is_refused(started, ctl):
     assert ctl("apply longer.json --why w --change a2")[0] is ExitCode.OK
     assert ctl("apply spill.json --why w --change a2")[0] is ExitCode.REFUSED
     assert started.current["number"] == 2
@@ -159,26 +159,28 @@
     assert (CURRENT in started.store.writes) == (code is ExitCode.OK)
 
 
-def test_a_store_that_is_down_before_the_swap_leaves_the_configuration(started, ctl):
+def test_a_store_that_is_down_before_the_swap_leaves_the_configuration_unchanged(started, ctl):
     started.store.faults = [("swap", "difference/", "down")] * 3
     code, payload = as_json(ctl, "apply longer.json --why w --change a2")
     assert code is ExitCode.UNAVAILABLE and "nothing was written" in payload["error"]
     assert started.store.writes == []
 
 
-@pytest.mark.parametrize("mender", ["drain zone north-a --why x --at 2026-02-01T00:00Z", "audit"])
-def test_an_audit_entry_that_its_writer_lost_is_written_by_the_next(started, ctl, mender):
+@pytest.mark.parametrize(
+    "repairing_line", ["drain zone north-a --why x --at 2026-02-01T00:00Z", "audit"]
+)
+def test_a_missing_audit_entry_is_written_by_the_next_command(started, ctl, repairing_line):
     started.store.faults = [("swap", "audit/2", "down")] * 3
     code, payload = as_json(ctl, "apply longer.json --why w --change a2")
     assert (code, payload["audited"]) == (ExitCode.OK, False) and len(trail(started)) == 1
-    assert ctl(mender)[0] is ExitCode.OK
+    assert ctl(repairing_line)[0] is ExitCode.OK
     entry = json.loads(trail(started)[1])
     assert (entry["change"], entry["why"]) == ("a2", "w")
     assert entry["difference"] == [{"path": "services.menus.deadline_ms", "old": 800, "new": 900}]
     assert ctl("audit --verify")[0] is ExitCode.OK
 
 
-def test_a_changed_audit_entry_is_noticed(started, ctl):
+def test_a_forged_audit_entry_is_detected(started, ctl):
     ctl("apply longer.json --why w --change a2")
     ctl("drain zone north-a --why x --at 2026-02-01T00:00Z")
     for number in (1, 3):
@@ -191,7 +193,7 @@
     assert ctl("audit --verify")[0] is ExitCode.OK
 
 
-def test_a_restored_store_goes_on_above_what_entries_hold(started, ctl):
+def test_a_restored_store_continues_above_the_entries_revisions(started, ctl):
     started.stuck = {"e2": 9}
     code, payload = as_json(ctl, "apply longer.json --why w --change a2 --wait 0")
     assert (code, payload["revision"]) == (ExitCode.RECORDED, 10)
