--- a/packages/operators/src/cardamomloft/operators/running.py
+++ b/packages/operators/src/cardamomloft/operators/running.py
@@ -86,33 +86,33 @@
 
 def execute(options: Options, command: Command) -> t.NoReturn:
     """Run one command and end the process with its exit code."""
-    streams = Streams(options.json)
+    console = Streams(options.json)
     match _settings(options):
         case Result(tag="error", error=failure):
-            sys.exit(streams.finish(Error(failure)))
+            sys.exit(console.finish(Error(failure)))
         case Result(ok=settings):
-            sys.exit(_run_loop(settings, streams, command))
+            sys.exit(_run_loop(settings, console, command))
 
 
-def _run_loop(settings: Settings, streams: Streams, command: Command) -> int:
+def _run_loop(settings: Settings, console: Streams, command: Command) -> int:
     finished: list[CommandResult] = []
 
     async def run(reactor: t.Any) -> None:
-        finished.append(await command(_session(reactor, settings, streams)))
+        finished.append(await command(_session(reactor, settings, console)))
 
     install_event_loop()
     try:
         task.react(lambda reactor: defer.ensureDeferred(run(reactor)))
     except SystemExit as exc:
         if finished:
-            return streams.finish(finished[0])
+            return console.finish(finished[0])
         if exc.code:
             return t.cast(int, exc.code)
-    streams.warn("cardamomctl: interrupted; what was recorded stays recorded")
+    console.warn("cardamomctl: interrupted; what was recorded stays recorded")
     return INTERRUPTED_EXIT_CODE
 
 
-def _session(reactor: t.Any, settings: Settings, streams: Streams) -> Session:
+def _session(reactor: t.Any, settings: Settings, console: Streams) -> Session:
     store, vms = settings.get("store"), settings.get("vms")
     return Session(
         store=HttpStore(reactor, address_of(store)) if store is not None else None,
@@ -120,7 +120,7 @@
         fleet=HttpFleet(reactor),
         clock=SystemClock(),
         sleep=lambda span: task.deferLater(reactor, span.total_seconds()),
-        console=streams,
+        console=console,
         who=settings.get("who") or _login_name(),
         known_entries=tuple(settings.get("entries", ())),
     )
