--- a/packages/operators/src/cardamomloft/operators/running.py
+++ b/packages/operators/src/cardamomloft/operators/running.py
@@ -36,7 +36,7 @@
     json: bool
 
 
-class Streams:
+class ConsoleOutput:
     """Console output: text, or one JSON object at the end; warnings go to standard error."""
 
     def __init__(self, json_output: bool) -> None:
@@ -86,7 +86,7 @@
 
 def execute(options: Options, command: Command) -> t.NoReturn:
     """Run one command and end the process with its exit code."""
-    console = Streams(options.json)
+    console = ConsoleOutput(options.json)
     match _settings(options):
         case Result(tag="error", error=failure):
             sys.exit(console.finish(Error(failure)))
@@ -94,7 +94,7 @@
             sys.exit(_run_loop(settings, console, command))
 
 
-def _run_loop(settings: Settings, console: Streams, command: Command) -> int:
+def _run_loop(settings: Settings, console: ConsoleOutput, command: Command) -> int:
     finished: list[CommandResult] = []
 
     async def run(reactor: t.Any) -> None:
@@ -112,7 +112,7 @@
     return INTERRUPTED_EXIT_CODE
 
 
-def _session(reactor: t.Any, settings: Settings, console: Streams) -> Session:
+def _session(reactor: t.Any, settings: Settings, console: ConsoleOutput) -> Session:
     store, vms = settings.get("store"), settings.get("vms")
     return Session(
         store=HttpStore(reactor, address_of(store)) if store is not None else None,
