--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -1,6 +1,7 @@
-"""Requests with an operation id: settle who runs them, run them once, keep the answer.
+"""Runs each request with an operation id at most once and keeps its answer for duplicates.
 
-The ledger decides; this module carries its decisions out with the sockets and the store.
+The decisions are made by the ledger and the claims; this module makes the store and network calls
+that they need.
 """
 
 import typing as t
@@ -36,7 +37,11 @@
     fingerprint,
     parse_operation,
 )
-from cardamomloft.entry.forwarding import OPERATION_ANSWER, OPERATION_BODY, Forwarder
+from cardamomloft.entry.forwarding import (
+    MAX_OPERATION_ANSWER_BYTES,
+    MAX_OPERATION_BODY_BYTES,
+    Forwarder,
+)
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.store.keyvalue import Store
 from cardamomloft.upstreams.client import UpstreamClient, UpstreamRequest
@@ -45,27 +50,48 @@
 from twisted.python.failure import Failure
 
 PASSED_ON_HEADER = "x-forwarded-by"
-LEASE_PAUSE = timedelta(seconds=1)
+LEASE_RETRY_INTERVAL = timedelta(seconds=1)
 CLIENT_HEADER = "x-client"
 NOT_KEPT_HEADER = ("Cardamomloft-Answer", "not-kept")
 
-FindEntry = Callable[[str], str | None]
+FindAddress = Callable[[str], str | None]
 IsCurrent = Callable[[Incarnation], bool]
 
 
 class Executor:
-    """Runs the operations that name this process, and passes others on to theirs.
+    """Runs the operations assigned to this process and forwards others to their executor.
 
     Parameters
     ----------
     me
         This process.
+    clock
+        Source of time.
+    ids
+        Checks the operation ids that this entry issued.
+    ledger
+        Outcomes of the operations begun here.
+    claims
+        Claims on caller-supplied ids, or None if such ids are disabled.
+    store
+        Holds the claims.
+    forwarder
+        Sends requests to upstreams.
+    client
+        Sends requests to other entries.
+    metrics
+        Receives the counters.
     address_of
-        Gives the callers' address of a seat, or None.
+        Returns the address at which a seat serves callers, or None if it is not known.
     is_current
-        Tells whether a process is the one that last spoke for its seat.
+        Returns whether a process is the latest one known for its seat.
     on_fault
-        Told of exceptions in runs that nobody waits for.
+        Called with exceptions of runs; these continue after their caller has disconnected.
+
+    Attributes
+    ----------
+    running
+        Number of operations in flight here.
     """
 
     def __init__(
@@ -79,7 +105,7 @@
         forwarder: Forwarder,
         client: UpstreamClient,
         metrics: Metrics,
-        address_of: FindEntry,
+        address_of: FindAddress,
         is_current: IsCurrent,
         on_fault: Callable[[Failure], None],
     ) -> None:
@@ -95,107 +121,115 @@
         self._address_of = address_of
         self._is_current = is_current
         self._on_fault = on_fault
-        self._lease_asked: Deferred[None] | None = None
-        self._lease_due = clock.monotonic()
+        self._lease_creation: Deferred[None] | None = None
+        self._next_lease_creation_at = clock.monotonic()
         self.running = 0
 
     async def handle(
         self, req: Request, head: RequestHead, body: RequestBody, gone: "Deferred[None]"
     ) -> Answer:
-        """Answer a request that is not idempotent and has an operation id."""
+        """Answer a request that is not idempotent and has an operation id.
+
+        `gone` fires when the caller disconnects.
+        """
         match parse_operation(req.operation or ""):
             case Result(tag="error", error=refusal):
-                return self._words(refusal)
+                return self._to_counted_answer(refusal)
             case Result(ok=operation):
                 pass
-        match await body.collect(OPERATION_BODY):
+        match await body.collect(MAX_OPERATION_BODY_BYTES):
             case Result(tag="error", error=detail):
                 reason = RefusalReason.TOO_LARGE
                 if body.failure is not None:
                     reason = RefusalReason.BAD_REQUEST
-                return self._words(Refusal(reason, detail))
-            case Result(ok=whole):
-                req = req._replace(size=len(whole))
+                return self._to_counted_answer(Refusal(reason, detail))
+            case Result(ok=content):
+                req = req._replace(size=len(content))
         if isinstance(operation, SystemId):
-            return await self._handle_system(operation, req, head, whole, gone)
-        return await self._handle_own(operation, req, head, whole, gone)
+            return await self._handle_system(operation, req, head, content, gone)
+        return await self._handle_caller_supplied(operation, req, head, content, gone)
 
     async def _handle_system(
         self,
         operation: SystemId,
         req: Request,
         head: RequestHead,
-        whole: bytes,
+        content: bytes,
         gone: "Deferred[None]",
     ) -> Answer:
         if operation.seat != self._me.seat:
-            return await self._pass_on(operation.executor, req, head, whole)
+            return await self._forward_to_executor(operation.executor, req, head, content)
         match self._ids.check(operation):
             case Result(tag="error", error=outcome):
-                return self._words(outcome)
+                return self._to_counted_answer(outcome)
             case Result(ok=expires):
-                return await self._once(operation.text, req, head, whole, expires, gone)
+                return await self._run_once(operation.text, req, head, content, expires, gone)
 
-    async def _handle_own(
+    async def _handle_caller_supplied(
         self,
         operation: OwnId,
         req: Request,
         head: RequestHead,
-        whole: bytes,
+        content: bytes,
         gone: "Deferred[None]",
     ) -> Answer:
-        mark = fingerprint(req, whole)
-        match self._ledger.look(operation.text, mark):
+        request_fingerprint = fingerprint(req, content)
+        match self._ledger.look(operation.text, request_fingerprint):
             case Result(tag="error", error=refusal):
-                return self._words(refusal)
+                return self._to_counted_answer(refusal)
             case Result(ok=None):
                 pass
-            case Result(ok=standing):
-                return await self._stand(standing, gone)
-        match await self._claim(operation, mark):
+            case Result(ok=known):
+                return await self._answer_duplicate(known, gone)
+        match await self._claim(operation, request_fingerprint):
             case Claimed(expires):
-                return await self._once(operation.text, req, head, whole, expires, gone)
+                return await self._run_once(operation.text, req, head, content, expires, gone)
             case HeldBy(holder):
-                return await self._pass_on(holder, req, head, whole)
+                return await self._forward_to_executor(holder, req, head, content)
             case outcome:
-                return self._words(outcome)
+                return self._to_counted_answer(outcome)
 
-    async def _claim(self, operation: OwnId, mark: str) -> Claimed | HeldBy | Refusal | Unknown:
+    async def _claim(
+        self, operation: OwnId, request_fingerprint: str
+    ) -> Claimed | HeldBy | Refusal | Unknown:
         if self._claims is None:
-            return Refusal(RefusalReason.CLAIM_BUDGET, "ids of callers' own making are turned off")
-        await self._have_lease(self._claims)
-        match self._claims.start(operation, mark):
+            return Refusal(
+                RefusalReason.CLAIM_BUDGET,
+                "caller-supplied operation ids are disabled by claims_per_s = 0",
+            )
+        await self._ensure_lease(self._claims)
+        match self._claims.start(operation, request_fingerprint):
             case Result(tag="error", error=outcome):
                 return outcome
             case Result(ok=attempt):
-                return await self._settle(attempt)
+                return await self._resolve_claim(attempt)
 
-    async def _have_lease(self, claims: Claims) -> None:
-        """Create the store lease for claims if a new one is due; whoever comes meanwhile waits."""
+    async def _ensure_lease(self, claims: Claims) -> None:
+        """Create the store lease for claims if one is due; concurrent requests share the call."""
         if claims.want_lease() is None:
             return
-        if self._lease_asked is None:
+        if self._lease_creation is None:
             now = self._clock.monotonic()
-            if now < self._lease_due:
+            if now < self._next_lease_creation_at:
                 return
-            self._lease_due = now + LEASE_PAUSE
-            asked = ensureDeferred(self._create_lease(claims))
-            if asked.called:
+            self._next_lease_creation_at = now + LEASE_RETRY_INTERVAL
+            creation = ensureDeferred(self._create_lease(claims))
+            if creation.called:
                 return
-            self._lease_asked = asked
-            asked.addBoth(self._lease_answered)
+            self._lease_creation = creation
+            creation.addBoth(self._lease_creation_ended)
         done: Deferred[None] = Deferred()
-        self._lease_asked.addBoth(_pass_through, done)
+        self._lease_creation.addBoth(_pass_through, done)
         await done
 
     async def _check_lease(self, lease: str) -> None:
-        """Find out whether a write failed because the store has lost the lease."""
+        """Drop the lease if the store no longer knows it, which makes every write fail."""
         match await self._store.renew(lease):
             case Result(tag="ok", ok=False):
                 self._claims.drop_lease(lease)
 
-    def _lease_answered(self, result: t.Any) -> t.Any:
-        self._lease_asked = None
+    def _lease_creation_ended(self, result: t.Any) -> t.Any:
+        self._lease_creation = None
         return result
 
     async def _create_lease(self, claims: Claims) -> None:
@@ -206,7 +240,7 @@
             case Result(tag="ok", ok=lease):
                 claims.on_lease(request, lease)
 
-    async def _settle(self, attempt: Attempt) -> Claimed | HeldBy | Refusal | Unknown:
+    async def _resolve_claim(self, attempt: Attempt) -> Claimed | HeldBy | Refusal | Unknown:
         step = attempt.step
         while True:
             match step:
@@ -215,49 +249,51 @@
                     self._metrics.count("claims.written")
                     if result.is_error():
                         await self._check_lease(lease)
-                    step = _after(attempt, result.map(attempt.created))
+                    step = _next_step(attempt, result.map(attempt.created))
                 case ReadClaim(key):
                     result = await self._store.get(key)
-                    step = _after(
+                    step = _next_step(
                         attempt,
                         result.map(lambda record: attempt.read(record and record.value)),
                     )
                 case _:
                     return step
 
-    async def _once(
+    async def _run_once(
         self,
         operation: str,
         req: Request,
         head: RequestHead,
-        whole: bytes,
+        content: bytes,
         expires: timedelta,
         gone: "Deferred[None]",
     ) -> Answer:
-        match self._ledger.begin(operation, fingerprint(req, whole), expires):
+        match self._ledger.begin(operation, fingerprint(req, content), expires):
             case Result(tag="error", error=outcome):
-                return self._words(outcome)
+                return self._to_counted_answer(outcome)
             case Result(ok=Run()):
-                told = self._join(operation, gone)
-                # The run goes on when the caller leaves: its answer waits for the repeat.
-                run = ensureDeferred(self._run(operation, req, head, whole))
+                result = self._join(operation, gone)
+                # The run continues after the caller disconnects: a duplicate gets its answer.
+                run = ensureDeferred(self._run(operation, req, head, content))
                 run.addErrback(self._on_fault)
-                return self._words(await told)
-            case Result(ok=standing):
-                return await self._stand(standing, gone)
+                return self._to_counted_answer(await result)
+            case Result(ok=known):
+                return await self._answer_duplicate(known, gone)
 
-    async def _run(self, operation: str, req: Request, head: RequestHead, whole: bytes) -> None:
+    async def _run(self, operation: str, req: Request, head: RequestHead, content: bytes) -> None:
         self.running += 1
         try:
-            outcome = await self._forwarder.collect(req, head, whole)
+            outcome = await self._forwarder.collect(req, head, content)
         except Exception:
-            self._settle_run(operation, Unknown("the entry failed while it ran the request"))
+            self._record_outcome(
+                operation, Unknown("internal error of the entry while it ran the request")
+            )
             raise
         finally:
             self.running -= 1
-        self._settle_run(operation, outcome)
+        self._record_outcome(operation, outcome)
 
-    def _settle_run(self, operation: str, outcome: Outcome) -> None:
+    def _record_outcome(self, operation: str, outcome: Outcome) -> None:
         match outcome:
             case KeptAnswer() | AnswerNotKept():
                 self._ledger.finish(operation, outcome)
@@ -266,30 +302,32 @@
             case Refusal():
                 self._ledger.not_run(operation, outcome)
 
-    async def _stand(self, standing: Join | Answered | Settled, gone: "Deferred[None]") -> Answer:
+    async def _answer_duplicate(
+        self, known: Join | Answered | Settled, gone: "Deferred[None]"
+    ) -> Answer:
         self._metrics.count("repeats")
-        match standing:
+        match known:
             case Join(operation):
-                return self._words(await self._join(operation, gone))
+                return self._to_counted_answer(await self._join(operation, gone))
             case Answered(answer):
-                return self._words(answer)
+                return self._to_counted_answer(answer)
             case Settled(outcome):
-                return self._words(outcome)
+                return self._to_counted_answer(outcome)
 
     def _join(self, operation: str, gone: "Deferred[None]") -> "Deferred[Outcome]":
-        told: Deferred[Outcome] = Deferred()
-        leave = self._ledger.join(operation, told.callback)
+        result: Deferred[Outcome] = Deferred()
+        stop_waiting = self._ledger.join(operation, result.callback)
 
-        def left(_: None) -> None:
-            leave()
-            if not told.called:
+        def on_disconnect(_: None) -> None:
+            stop_waiting()
+            if not result.called:
                 self._metrics.count("caller-left")
-                told.callback(Unknown("the caller has left"))
+                result.callback(Unknown("the caller has disconnected"))
 
-        gone.addCallback(left)
-        return told
+        gone.addCallback(on_disconnect)
+        return result
 
-    def _words(self, outcome: Outcome) -> Answer:
+    def _to_counted_answer(self, outcome: Outcome) -> Answer:
         match outcome:
             case KeptAnswer(status, headers, content):
                 self._metrics.count("complete")
@@ -303,21 +341,27 @@
                 self._metrics.count("unknown")
         return to_answer(outcome)
 
-    async def _pass_on(
-        self, executor: Incarnation, req: Request, head: RequestHead, whole: bytes
+    async def _forward_to_executor(
+        self, executor: Incarnation, req: Request, head: RequestHead, content: bytes
     ) -> Answer:
-        """Send the request to the only process that may run it, and relay its answer."""
+        """Relay the request to the only process that may run it, and its answer back.
+
+        The outcome is unknown if that process has been replaced or can't be reached, or if the
+        request has been forwarded once already.
+        """
         address = self._address_of(executor.seat)
-        passed_before = any(name == PASSED_ON_HEADER for name, _ in head.headers)
-        if address is None or passed_before or not self._is_current(executor):
-            return self._words(Unknown(f"the executor {executor.seat} is not reachable"))
+        already_forwarded = any(name == PASSED_ON_HEADER for name, _ in head.headers)
+        if address is None or already_forwarded or not self._is_current(executor):
+            return self._to_counted_answer(
+                Unknown(f"the executor {executor.seat} is not reachable")
+            )
         self._metrics.count("passed-on")
         endpoint = Endpoint(f"entry/{executor.seat}", "", "", "", address, 1, 1)
-        left_ms = (req.deadline - self._clock.monotonic()) // timedelta(milliseconds=1)
-        kept = tuple(h for h in head.headers if h[0] not in ("host", "content-length"))
-        if not any(name == CLIENT_HEADER for name, _ in kept):
-            kept = (*kept, (CLIENT_HEADER, head.client))
-        headers = (*kept, (PASSED_ON_HEADER, self._me.seat))
+        remaining_ms = (req.deadline - self._clock.monotonic()) // timedelta(milliseconds=1)
+        forwarded = tuple(h for h in head.headers if h[0] not in ("host", "content-length"))
+        if not any(name == CLIENT_HEADER for name, _ in forwarded):
+            forwarded = (*forwarded, (CLIENT_HEADER, head.client))
+        headers = (*forwarded, (PASSED_ON_HEADER, self._me.seat))
         request_id = f"{self._me.seat}-{self._me.number}-passed"
         sent = await self._client.send(
             UpstreamRequest(
@@ -325,17 +369,17 @@
                 head.method,
                 req.path,
                 headers,
-                whole,
-                timedelta(milliseconds=max(1, left_ms)),
+                content,
+                timedelta(milliseconds=max(1, remaining_ms)),
                 request_id,
             )
         )
         match sent:
             case Result(tag="ok", ok=answer):
-                match await answer.body.collect(OPERATION_ANSWER):
+                match await answer.body.collect(MAX_OPERATION_ANSWER_BYTES):
                     case Result(tag="ok", ok=content):
                         return Answer(answer.status, end_to_end(answer.headers), content)
-        return self._words(Unknown(f"no answer from the executor {executor.seat}"))
+        return self._to_counted_answer(Unknown(f"no answer from the executor {executor.seat}"))
 
 
 def _pass_through(result: t.Any, done: "Deferred[None]") -> t.Any:
@@ -343,9 +387,9 @@
     return result
 
 
-def _after(attempt: Attempt, step: Result[t.Any, t.Any]) -> t.Any:
+def _next_step(attempt: Attempt, step: Result[t.Any, t.Any]) -> t.Any:
     match step:
-        case Result(tag="ok", ok=following):
-            return following
+        case Result(tag="ok", ok=next_step):
+            return next_step
         case Result(error=failure):
             return attempt.failed(failure.ambiguous)
--- a/packages/entry/src/cardamomloft/entry/forwarding.py
+++ b/packages/entry/src/cardamomloft/entry/forwarding.py
@@ -1,7 +1,7 @@
-"""From a caller's request to its answer: classification, operation ids, dispatch, retries.
+"""Forwards callers' requests to upstreams: classification, dispatch, streaming and retries.
 
-Every path ends in exactly one answer. A refusal is given only where the request provably has not
-run; after the first byte may have left, a request that is not idempotent is never sent again.
+Every request gets exactly one answer. It is refused only if it provably has not run. A request that
+is not idempotent is never resent once its first byte may have been sent.
 """
 
 import ipaddress
@@ -39,64 +39,69 @@
 from twisted.internet.interfaces import IConsumer
 from twisted.web.iweb import IBodyProducer
 
-REPEATABLE_BODY = 64 * 1024
-OPERATION_BODY = 1024 * 1024
-OPERATION_ANSWER = 8 * 1024 * 1024
-CANCEL_TRIES = 3
-STOP_MARGIN = timedelta(milliseconds=500)
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+MAX_OPERATION_BODY_BYTES = 1024 * 1024
+MAX_OPERATION_ANSWER_BYTES = 8 * 1024 * 1024
+CANCEL_ATTEMPTS = 3
+DEADLINE_MARGIN = timedelta(milliseconds=500)
 
 _ZERO = timedelta(0)
-_OWN_TO_ATTEMPT = frozenset({REQUEST_ID_HEADER, "content-length"})
+_NOT_RETURNED = frozenset({REQUEST_ID_HEADER, "content-length"})
 _NOT_FORWARDED = frozenset({"host", "content-length", "x-client", "x-forwarded-by"})
 
 
 class Payload(t.NamedTuple):
-    """A request's body: whole in memory, or a stream that can be sent once."""
+    """A request's body: buffered in memory, or a stream that can be read only once."""
 
-    whole: bytes | None
+    buffered: bytes | None
     stream: RequestBody | None
 
     @property
-    def repeatable(self) -> bool:
-        """Whether the body could be sent again."""
-        return self.whole is not None or (self.stream is not None and self.stream.untouched)
+    def resendable(self) -> bool:
+        """Whether the body can be sent again."""
+        return self.buffered is not None or (self.stream is not None and self.stream.untouched)
 
 
 class Caller:
-    """Whether the caller still waits; a request of one that has left is not tried again."""
+    """Connection state of a caller; a request is not retried after its caller disconnected."""
 
     def __init__(self) -> None:
-        self.left = False
+        self.disconnected = False
 
 
-class Outcome(t.NamedTuple):
-    """How an exchange with the upstreams ended, before it is put into words for the caller."""
+class Exchange(t.NamedTuple):
+    """An upstream's answer whose body has not been read, and the dispatch that it belongs to."""
 
     answer: UpstreamAnswer
     dispatch: Dispatch
 
 
 class Forwarder:
-    """Carries requests of one entry.
+    """Forwards the requests of one entry.
 
     Parameters
     ----------
     reactor
-        For timers.
+        Runs the timers.
     clock
         Source of time.
     router
-        The decisions.
+        Chooses endpoints, queues and refuses requests.
     client
-        Sends to upstreams.
+        Sends requests to upstreams.
     metrics
-        Where counts and latencies go.
+        Receives counters and latencies.
     pacer
-        Holds streams to the shares of links' rates.
+        Limits streams to this entry's shares of the links' rates.
     name
         Prefix of request ids; unique to this process.
     on_queued
-        Called soon after a request had to be queued.
+        Called in the next turn of the event loop after a request was queued.
+
+    Attributes
+    ----------
+    pending_cancellations
+        Number of dispatches whose slot is held until the upstream has stopped the request.
     """
 
     def __init__(
@@ -120,22 +125,22 @@
         self._name = name
         self._queued: dict[int, Deferred[Result[Dispatch, Refusal]]] = {}
         self._numbers = itertools.count(1)
-        self._queue_call = False
-        self.lingering = 0
+        self._pump_scheduled = False
+        self.pending_cancellations = 0
 
     def classify(self, head: RequestHead) -> Result[Request, Refusal]:
-        """Return the request behind a head, or why it is refused."""
+        """Parse a request head; return the request, or why it is refused."""
         if self._router.classifier is None:
             return Error(Refusal(RefusalReason.NOT_READY, "no configuration yet"))
         headers = dict(head.headers)
         path = f"{head.path}?{head.query}" if head.query else head.path
-        client = _client_number(headers.get("x-client", head.client))
+        client = _ipv4_number(headers.get("x-client", head.client))
         return self._router.classifier.classify(
             head.method, path, headers, client, self._clock.monotonic(), self._router.zone
         )
 
     def pump(self) -> None:
-        """Hand out the dispatches and refusals that queued requests wait for."""
+        """Resume the queued requests that have a dispatch or a refusal now."""
         for item in self._router.pump():
             waiting = self._queued.pop(item.ticket.number, None)
             if isinstance(item, Dropped):
@@ -149,33 +154,36 @@
     async def stream(
         self, req: Request, head: RequestHead, body: RequestBody, gone: "Deferred[None]"
     ) -> Answer:
-        """Answer a request that has no operation id, streaming the bodies both ways."""
+        """Answer a request that runs without the ledger, streaming the bodies both ways.
+
+        `gone` fires when the caller disconnects; the attempt in progress is then cancelled.
+        """
         payload = await self._payload(body)
         if isinstance(payload, Refusal):
             return to_answer(payload)
         caller = Caller()
         attempt = ensureDeferred(self._run(req, head, payload, caller))
 
-        def left(_: None) -> None:
-            caller.left = True
+        def on_disconnect(_: None) -> None:
+            caller.disconnected = True
             attempt.cancel()
 
-        gone.addCallback(left)
+        gone.addCallback(on_disconnect)
         try:
             outcome = await attempt
         except CancelledError:
             outcome = SendFailure(False, "cancelled")
-        if caller.left:
+        if caller.disconnected:
             self._metrics.count("caller-left")
-            if isinstance(outcome, Outcome):
-                _HeldSource(self, outcome.answer, outcome.dispatch).abort()
-            return failed("the caller has left")
-        return self._in_words(req, outcome, body)
+            if isinstance(outcome, Exchange):
+                _AnswerSource(self, outcome.answer, outcome.dispatch).abort()
+            return failed("the caller has disconnected")
+        return self._to_counted_answer(req, outcome, body)
 
-    def _in_words(
+    def _to_counted_answer(
         self,
         req: Request,
-        outcome: Outcome | Refusal | Unknown | SendFailure,
+        outcome: Exchange | Refusal | Unknown | SendFailure,
         body: RequestBody,
     ) -> Answer:
         match outcome:
@@ -190,74 +198,74 @@
                 if body.failure is not None and outcome.not_run:
                     return to_answer(Refusal(RefusalReason.BAD_REQUEST, body.failure))
                 return failed(body.failure or outcome.detail)
-            case Outcome(answer, dispatch):
+            case Exchange(answer, dispatch):
                 self._metrics.count("complete")
-                source = _HeldSource(self, answer, dispatch)
+                source = _AnswerSource(self, answer, dispatch)
                 return complete(answer.status, _headers_for_caller(answer), source)
 
     async def collect(
-        self, req: Request, head: RequestHead, whole: bytes
+        self, req: Request, head: RequestHead, body: bytes
     ) -> KeptAnswer | AnswerNotKept | Refusal | Unknown:
-        """Run a request with an operation id and return its whole answer.
+        """Run a request with an operation id and return its complete answer.
 
-        The caller's leaving does not stop it: the answer is kept for the repeat.
+        It continues after the caller disconnected: the answer is kept for duplicates.
         """
-        outcome = await self._run(req, head, Payload(whole, None), Caller())
+        outcome = await self._run(req, head, Payload(body, None), Caller())
         match outcome:
             case SendFailure():
                 return Unknown(outcome.detail)
-            case Outcome(answer, dispatch):
+            case Exchange(answer, dispatch):
                 pass
             case _:
                 return outcome
-        collected = await answer.body.collect(OPERATION_ANSWER)
+        collected = await answer.body.collect(MAX_OPERATION_ANSWER_BYTES)
         match collected:
             case Result(tag="ok", ok=content):
-                self._done(dispatch, answer)
+                self._record_completion(dispatch, answer)
                 return KeptAnswer(answer.status, _headers_for_caller(answer), content)
             case Result(error=detail):
-                self._give_up(dispatch)
-                return Unknown(f"the answer was cut short: {detail}")
+                self._cancel(dispatch)
+                return Unknown(f"the upstream's answer is incomplete: {detail}")
 
     async def _payload(self, body: RequestBody) -> Payload | Refusal:
-        """Hold small bodies whole so that they can be repeated; leave the others to stream."""
+        """Buffer small bodies, so that they can be resent; stream the others."""
         if body.length == 0:
             return Payload(b"", None)
-        if not isinstance(body.length, int) or body.length > REPEATABLE_BODY:
+        if not isinstance(body.length, int) or body.length > MAX_BUFFERED_BODY_BYTES:
             return Payload(None, body)
-        match await body.collect(REPEATABLE_BODY):
-            case Result(tag="ok", ok=whole):
-                return Payload(whole, None)
+        match await body.collect(MAX_BUFFERED_BODY_BYTES):
+            case Result(tag="ok", ok=content):
+                return Payload(content, None)
             case Result(error=detail):
                 return Refusal(RefusalReason.BAD_REQUEST, detail)
 
     async def _run(
         self, req: Request, head: RequestHead, payload: Payload, caller: "Caller"
-    ) -> Outcome | Refusal | Unknown | SendFailure:
-        """Dispatch and send until there is an answer, or nothing more may be tried."""
+    ) -> Exchange | Refusal | Unknown | SendFailure:
+        """Dispatch and send until there is an answer or no further retry is allowed."""
         decision = self._router.submit(req)
         while True:
-            match await self._dispatched(decision):
+            match await self._wait_for_dispatch(decision):
                 case Result(tag="error", error=refusal):
                     return refusal
                 case Result(ok=dispatch):
                     result = await self._send(dispatch, head, payload)
             match result:
-                case Outcome():
+                case Exchange():
                     return result
                 case SendFailure(not_run, detail):
                     refusal = Refusal(RefusalReason.UNREACHABLE, detail, timedelta(seconds=1))
                 case Refusal():
                     not_run, refusal = True, result
             decision = Error(refusal)
-            if payload.repeatable and not caller.left:
+            if payload.resendable and not caller.disconnected:
                 decision = self._router.retry(dispatch, not_run=not_run, refusal=refusal)
             if decision.is_ok():
                 self._metrics.count("retries")
             elif not not_run:
                 return result if req.idempotent else Unknown(refusal.detail)
 
-    async def _dispatched(
+    async def _wait_for_dispatch(
         self, decision: Result[Dispatch | Waiting, Refusal]
     ) -> Result[Dispatch, Refusal]:
         match decision:
@@ -266,16 +274,17 @@
                     lambda _: self._leave_queue(ticket.number)
                 )
                 self._queued[ticket.number] = waiting
-                # An arrival may have displaced another, which is told now, and loans may help.
-                if not self._queue_call:
-                    self._queue_call = True
+                # Queueing may have displaced another request, which is refused here, and the limits
+                # may be able to borrow a slot.
+                if not self._pump_scheduled:
+                    self._pump_scheduled = True
                     self._reactor.callLater(0, self._after_queueing)
                 return await waiting
             case _:
                 return t.cast("Result[Dispatch, Refusal]", decision)
 
     def _after_queueing(self) -> None:
-        self._queue_call = False
+        self._pump_scheduled = False
         self._on_queued()
         self.pump()
 
@@ -285,7 +294,7 @@
 
     async def _send(
         self, dispatch: Dispatch, head: RequestHead, payload: Payload
-    ) -> Outcome | Refusal | SendFailure:
+    ) -> Exchange | Refusal | SendFailure:
         req = dispatch.ticket.req
         sent = self._client.send(
             UpstreamRequest(
@@ -302,7 +311,7 @@
         try:
             result = await sent
         except CancelledError:
-            self._give_up(dispatch)
+            self._cancel(dispatch)
             raise
         match result:
             case Result(tag="ok", ok=answer) if answer.not_run:
@@ -312,28 +321,28 @@
                 self._metrics.count("shed")
                 return Refusal(RefusalReason.SHED, "the upstream refused", timedelta(seconds=1))
             case Result(tag="ok", ok=answer):
-                return Outcome(answer, dispatch)
+                return Exchange(answer, dispatch)
             case Result(error=failure):
                 if failure.not_run:
                     self._finish(dispatch, ok=False, latency=self._elapsed(dispatch))
                 else:
-                    self._give_up(dispatch)
+                    self._cancel(dispatch)
                 return failure
 
     def _body_for(self, dispatch: Dispatch, payload: Payload) -> IBodyProducer | bytes:
         if payload.stream is None:
-            return payload.whole or b""
+            return payload.buffered or b""
         link = self._router.link_to(dispatch.endpoint)
         if link is None:
             return payload.stream
         return PacedBody(self._reactor, self.pacer, link, payload.stream)
 
-    def paced(self, dispatch: Dispatch, consumer: IConsumer) -> PacedConsumer | None:
-        """Return a consumer that holds the answer to the link's rate, if the link has one."""
+    def paced_consumer(self, dispatch: Dispatch, consumer: IConsumer) -> PacedConsumer | None:
+        """Return a consumer that paces the answer, or None if the link has no rate limit."""
         link = self._router.link_to(dispatch.endpoint)
         return None if link is None else PacedConsumer(self._reactor, self.pacer, link, consumer)
 
-    def _done(self, dispatch: Dispatch, answer: UpstreamAnswer) -> None:
+    def _record_completion(self, dispatch: Dispatch, answer: UpstreamAnswer) -> None:
         elapsed = self._elapsed(dispatch)
         self._metrics.observe(dispatch.ticket.req.service, elapsed)
         self._finish(dispatch, ok=answer.status < 500, latency=elapsed)
@@ -342,22 +351,22 @@
         self._router.finish(dispatch, ok=ok, latency=latency)
         self.pump()
 
-    def _give_up(self, dispatch: Dispatch) -> None:
-        """Keep the holds until the upstream confirms that the request runs no more."""
-        self.lingering += 1
-        ensureDeferred(self._confirm_stop(dispatch)).addBoth(self._lingered)
+    def _cancel(self, dispatch: Dispatch) -> None:
+        """Cancel the request; its slot stays in use until the upstream has confirmed the end."""
+        self.pending_cancellations += 1
+        ensureDeferred(self._confirm_cancellation(dispatch)).addBoth(self._cancellation_ended)
 
-    def _lingered(self, _: object) -> None:
-        self.lingering -= 1
+    def _cancellation_ended(self, _: object) -> None:
+        self.pending_cancellations -= 1
 
-    async def _confirm_stop(self, dispatch: Dispatch) -> None:
-        for _ in range(CANCEL_TRIES):
+    async def _confirm_cancellation(self, dispatch: Dispatch) -> None:
+        for _ in range(CANCEL_ATTEMPTS):
             if await self._client.cancel(dispatch.endpoint, self._request_id(dispatch)):
                 break
         else:
-            # The upstream ends at the deadline that it was given.
-            left = dispatch.ticket.req.deadline + STOP_MARGIN - self._clock.monotonic()
-            await self._sleep(max(_ZERO, left))
+            # Without a confirmation the upstream stops at the deadline that it was given.
+            remaining = dispatch.ticket.req.deadline + DEADLINE_MARGIN - self._clock.monotonic()
+            await self._sleep(max(_ZERO, remaining))
         self._finish(dispatch, ok=False, latency=self._elapsed(dispatch))
 
     def _sleep(self, duration: timedelta) -> "Deferred[None]":
@@ -372,25 +381,25 @@
         return f"{self._name}-{dispatch.ticket.number}"
 
 
-class _HeldSource:
-    """An upstream's body with the holds that end with it."""
+class _AnswerSource:
+    """The body of an upstream's answer; its end releases the dispatch's slot."""
 
     def __init__(self, forwarder: Forwarder, answer: UpstreamAnswer, dispatch: Dispatch) -> None:
         self._forwarder = forwarder
         self._answer = answer
         self._dispatch = dispatch
-        self._over = False
+        self._ended = False
 
     def deliver(self, consumer: IConsumer) -> "Deferred[Delivery]":
-        """Write the body to `consumer`; release what the exchange held when it is over."""
-        paced = self._forwarder.paced(self._dispatch, consumer)
-        if paced is None:
+        """Write the body to `consumer`, and end the dispatch when that is done."""
+        pacing = self._forwarder.paced_consumer(self._dispatch, consumer)
+        if pacing is None:
             return self._answer.body.deliver(consumer).addCallback(self._delivered)
-        delivered = self._answer.body.deliver(paced)
-        return delivered.addCallback(self._delivered).addCallback(_flush, paced)
+        delivered = self._answer.body.deliver(pacing)
+        return delivered.addCallback(self._delivered).addCallback(_flush_delivery, pacing)
 
     def abort(self) -> None:
-        """Stop the exchange; a body without bytes to come is simply over."""
+        """Stop reading; only an answer that has an empty body counts as completed."""
         self._answer.body.abort()
         self._end(self._answer.length == 0)
 
@@ -398,38 +407,38 @@
         self._end(delivery.complete)
         return Delivery(*delivery)
 
-    def _end(self, whole: bool) -> None:
-        if self._over:
+    def _end(self, completed: bool) -> None:
+        if self._ended:
             return
-        self._over = True
-        if whole:
-            self._forwarder._done(self._dispatch, self._answer)
+        self._ended = True
+        if completed:
+            self._forwarder._record_completion(self._dispatch, self._answer)
         else:
-            self._forwarder._give_up(self._dispatch)
+            self._forwarder._cancel(self._dispatch)
 
 
-def _flush(delivery: Delivery, paced: PacedConsumer) -> "Deferred[Delivery]":
-    """Pass the delivery on when its last piece has been sent, or drop the rest of a short one."""
+def _flush_delivery(delivery: Delivery, pacing: PacedConsumer) -> "Deferred[Delivery]":
+    """Return the delivery when its last piece is written; discard the rest of an incomplete one."""
     if not delivery.complete:
-        paced.drop()
+        pacing.drop()
 
-    def checked(_: None) -> Delivery:
-        if paced.dropped and delivery.complete:
+    def after_flush(_: None) -> Delivery:
+        if pacing.dropped and delivery.complete:
             return delivery._replace(complete=False, detail="the consumer stopped")
         return delivery
 
-    return paced.flushed().addCallback(checked)
+    return pacing.flushed().addCallback(after_flush)
 
 
 def _headers_for_caller(answer: UpstreamAnswer) -> tuple[tuple[str, str], ...]:
-    # The request id names one attempt between this entry and the upstream only.
-    headers = tuple(h for h in end_to_end(answer.headers) if h[0] not in _OWN_TO_ATTEMPT)
+    # The request id identifies one attempt; callers must not see it.
+    headers = tuple(h for h in end_to_end(answer.headers) if h[0] not in _NOT_RETURNED)
     if answer.length is None:
         return headers
     return (*headers, ("content-length", str(answer.length)))
 
 
-def _client_number(text: str) -> int | None:
+def _ipv4_number(text: str) -> int | None:
     try:
         return int(ipaddress.IPv4Address(text))
     except ValueError:
--- a/packages/entry/src/cardamomloft/entry/gossip.py
+++ b/packages/entry/src/cardamomloft/entry/gossip.py
@@ -1,4 +1,4 @@
-"""Sending to peers by seat, and telling them what this entry has in force."""
+"""Sends messages to peers by seat, and this entry's digest to some of them."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -10,21 +10,27 @@
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.shares import Shares
 
-INTERVAL = timedelta(seconds=1)
+DIGEST_INTERVAL = timedelta(seconds=1)
 TARGETS = 6
-ASKED_HOLDERS = 4
+MAX_HOLDER_REQUESTS = 4
 
 
 Send = Callable[[str, Message, Incarnation | None], object]
 
 
 class Gossip:
-    """Talks to peers by the addresses of the roster.
+    """Sends messages to the addresses of the roster.
 
     Parameters
     ----------
     send
-        Queues a message for an address; a process may be named that alone may take it.
+        Queues a message for an address, optionally for one process only.
+    rng
+        Chooses the peers to send to.
+    membership
+        Chooses the peers that get a digest.
+    shares
+        Names the peers that share limits with this entry.
     describe
         Builds this entry's digest.
     """
@@ -45,32 +51,32 @@
         self._addresses: dict[str, str] = {}
 
     def configure(self, document: Document) -> None:
-        """Take the addresses of a roster."""
+        """Use the addresses of the roster in `document`."""
         self._addresses = {seat: row["peers"] for seat, row in document["entries"].items()}
 
     def send(self, outgoing: Iterable[Outgoing], to: Incarnation | None = None) -> None:
-        """Send each message; answers are for the very process `to`, not for its successor."""
+        """Send each message; those for the seat of `to` reach that process only, no successor."""
         for seat, message in outgoing:
-            # Seeds are addresses: at the start nobody's seat is known.
+            # Seed peers are given by address, since no roster is known at the start.
             address = seat if ":" in seat else self._addresses.get(seat)
             if address is not None:
-                named = to if to is not None and to.seat == seat else None
-                self._send(address, message, named)
+                process = to if to is not None and to.seat == seat else None
+                self._send(address, message, process)
 
-    def spread(self) -> None:
-        """Send the digest to a few peers, and ask holders whose agreement is missing for theirs."""
+    def send_digests(self) -> None:
+        """Send the digest to a few peers, and request those of holders that have not agreed yet."""
         digest = self._describe()
         self._membership.set_self(digest)
         targets = self._membership.gossip_targets(self._rng, TARGETS)
         self.send(Outgoing(seat, digest) for seat in targets)
-        # Their digests may come by chance only.
-        lacking = sorted(self._shares.awaited)
-        asked = self._rng.sample(lacking, min(ASKED_HOLDERS, len(lacking)))
-        question = DocumentRequest(digest.revision)
-        self.send(Outgoing(seat, question) for seat in asked)
+        # Random gossip may not reach these holders soon.
+        missing = sorted(self._shares.awaited)
+        chosen = self._rng.sample(missing, min(MAX_HOLDER_REQUESTS, len(missing)))
+        request = DocumentRequest(digest.revision)
+        self.send(Outgoing(seat, request) for seat in chosen)
 
     def announce(self) -> None:
-        """Tell those that wait for our word, and a few others, what has changed here."""
+        """Send the digest at once to a few peers and to all that share limits with this entry."""
         digest = self._describe()
         self._membership.set_self(digest)
         targets = set(self._membership.gossip_targets(self._rng, TARGETS))
--- a/packages/entry/src/cardamomloft/entry/loads.py
+++ b/packages/entry/src/cardamomloft/entry/loads.py
@@ -1,4 +1,4 @@
-"""Asking upstreams for their load, one after the other."""
+"""Polls upstreams for load reports, one at a time."""
 
 from collections.abc import Callable, Sequence
 
@@ -13,12 +13,16 @@
 
 
 class LoadPoller:
-    """Polls the endpoints that this entry may use now, so that hints are about those.
+    """Polls in turn the endpoints at which this entry has a free slot.
 
     Parameters
     ----------
+    client
+        Sends the poll.
+    clock
+        Source of time.
     usable
-        Tells whether this entry has a free slot at an endpoint.
+        Returns whether this entry has a free slot at an endpoint.
     """
 
     def __init__(
@@ -27,22 +31,22 @@
         self._client = client
         self._clock = clock
         self._usable = usable
-        self._turn = 0
+        self._next_index = 0
 
     def poll(self, endpoints: Sequence[Endpoint], steering: Steering) -> "Deferred[None] | None":
-        """Ask the endpoint whose turn it is, and give steering its report."""
+        """Poll the next usable endpoint and pass its report, or the lack of one, to `steering`."""
         usable = [endpoint for endpoint in endpoints if self._usable(endpoint)]
         if not usable:
             return None
-        self._turn = (self._turn + 1) % len(usable)
-        endpoint = usable[self._turn]
-        asked = self._clock.monotonic()
+        self._next_index = (self._next_index + 1) % len(usable)
+        endpoint = usable[self._next_index]
+        requested_at = self._clock.monotonic()
 
-        def take(result: Result[UpstreamLoad, str]) -> None:
+        def on_result(result: Result[UpstreamLoad, str]) -> None:
             match result:
                 case Result(tag="ok", ok=load):
-                    steering.on_report(endpoint.name, LoadReport(*load, asked))
+                    steering.on_report(endpoint.name, LoadReport(*load, requested_at))
                 case _:
                     steering.on_report_lost(endpoint.name)
 
-        return self._client.poll(endpoint).addCallback(take)
+        return self._client.poll(endpoint).addCallback(on_result)
--- a/packages/entry/src/cardamomloft/entry/lookups.py
+++ b/packages/entry/src/cardamomloft/entry/lookups.py
@@ -1,4 +1,4 @@
-"""The answers to callers' look-ups: which entries to use, and how to begin operation ids."""
+"""Answers callers' look-ups: which entries to use, and the prefix for operation ids."""
 
 import socket
 from datetime import timedelta
@@ -10,10 +10,10 @@
 from cardamomloft.core.router import Router
 
 ENTRIES = 3
-"""Entries in one answer, so that a caller has others when one is lost."""
+"""Entries in one answer; the others are the caller's fallback if one fails."""
 
-VALID = timedelta(seconds=2)
-"""How long an answer may be kept; an entry that stops goes on serving longer than that."""
+LOOKUP_VALIDITY = timedelta(seconds=2)
+"""How long callers may cache an answer; a stopping entry serves longer than that."""
 
 
 class Lookups:
@@ -24,9 +24,9 @@
     me
         This process.
     membership
-        Which entries are there.
+        Chooses the entries.
     ids
-        This entry's prefixes of operation ids.
+        Creates this entry's prefixes of operation ids.
     """
 
     def __init__(self, me: Incarnation, membership: Membership, ids: OperationIds) -> None:
@@ -35,10 +35,10 @@
         self._ids = ids
 
     def answer(self, client: str, router: Router, revision: int) -> LookupAnswer:
-        """Name the entries that `client` should use, and the prefix for its operation ids."""
+        """Return the entries for the IPv4 address `client`, and a prefix for operation ids."""
         site = router.classifier.site_of(int.from_bytes(socket.inet_aton(client)))
         seats = self._membership.entries_for(site, ENTRIES)
-        executor, prefix, left = self._executor_among(seats)
+        executor, prefix, remaining = self._choose_executor(seats)
         rows = router.document["entries"]
         entries = [LookupEntry(name=seat, address=rows[seat]["callers"]) for seat in seats]
         return LookupAnswer(
@@ -46,11 +46,11 @@
             entries=entries,
             executor=executor,
             operation_prefix=prefix,
-            valid_ms=min(VALID, left) // timedelta(milliseconds=1),
+            valid_ms=min(LOOKUP_VALIDITY, remaining) // timedelta(milliseconds=1),
             revision=revision,
         )
 
-    def _executor_among(self, seats: list[str]) -> tuple[str, str, timedelta]:
+    def _choose_executor(self, seats: list[str]) -> tuple[str, str, timedelta]:
         for seat in seats:
             if seat == self._me.seat:
                 break
--- a/packages/entry/src/cardamomloft/entry/main.py
+++ b/packages/entry/src/cardamomloft/entry/main.py
@@ -1,4 +1,4 @@
-"""The command `cardamomloft`: one entry process."""
+"""The `cardamomloft` command, which runs one entry process."""
 
 import json
 import pathlib
@@ -14,18 +14,18 @@
 
 EXIT_SETTINGS = 2
 EXIT_ADDRESS = 3
-EXIT_BROKEN = 70
+EXIT_INTERNAL_ERROR = 70
 
 
 def entry(*, settings: pathlib.Path, check: bool = False) -> int:
-    """Run one entry.
+    """Run one entry, or check its settings.
 
     Parameters
     ----------
     settings
-        JSON file with this entry's settings.
+        Path of the JSON settings file.
     check
-        Only check the settings, then exit.
+        Check the settings and exit without starting the entry.
     """
     match _load(settings):
         case Result(tag="error", error=mistakes):
@@ -49,19 +49,19 @@
 
 
 def _run(cfg: EntrySettings) -> int:
-    # Imported here so that --check needs neither reactor nor sockets; the loop goes first, since
-    # the others import it.
+    # Imported here so that --check installs no reactor. The event loop is installed before the
+    # modules that import the reactor.
     from cardamomloft.runtime.eventloop import install_event_loop
 
     install_event_loop()
     from cardamomloft.entry.node import EntryNode
-    from cardamomloft.entry.outside import connect
+    from cardamomloft.entry.outside import make_adapters
     from cardamomloft.peers.node import BindError
     from cardamomloft.runtime.logs import start_logs
     from twisted.internet import error, reactor
 
     start_logs()
-    node = EntryNode(reactor, cfg, SystemClock(), random.Random(), connect(reactor, cfg))
+    node = EntryNode(reactor, cfg, SystemClock(), random.Random(), make_adapters(reactor, cfg))
     try:
         node.start()
     except (BindError, error.CannotListenError) as exc:
@@ -73,19 +73,19 @@
 
     signal.signal(signal.SIGTERM, on_signal)
     signal.signal(signal.SIGINT, on_signal)
-    outcome: list[int] = []
+    exit_codes: list[int] = []
 
     def on_stopped(_: object, code: int) -> None:
-        outcome.append(code)
+        exit_codes.append(code)
         reactor.stop()
 
-    node.stopped.addCallbacks(on_stopped, on_stopped, (0,), {}, (EXIT_BROKEN,), {})
+    node.stopped.addCallbacks(on_stopped, on_stopped, (0,), {}, (EXIT_INTERNAL_ERROR,), {})
     reactor.run(installSignalHandlers=False)
-    return outcome[0] if outcome else 0
+    return exit_codes[0] if exit_codes else 0
 
 
 def main() -> None:
-    """Run the command line."""
+    """Parse the command line, run the command and exit with its status."""
     sys.exit(defopt.run(entry))
 
 
--- a/packages/entry/src/cardamomloft/entry/mapfetching.py
+++ b/packages/entry/src/cardamomloft/entry/mapfetching.py
@@ -1,4 +1,4 @@
-"""Asking for the missing chunks of the client-block map, of the store or of peers."""
+"""Fetches the missing chunks of the client-block map from the store or from peers."""
 
 import typing as t
 from collections.abc import Callable
@@ -12,46 +12,46 @@
     from cardamomloft.entry.node import EntryNode
 
 CHUNKS = timedelta(milliseconds=100)
-"""How often missing chunks are asked for."""
+"""Interval between requests for missing chunks."""
 
 
 class MapFetcher:
-    """Fetches for one entry.
+    """Fetches the map chunks of one entry.
 
     Parameters
     ----------
     node
-        The entry.
+        The entry, whose map loader, gossip and store are used.
     on_fault
-        Told of exceptions.
+        Called with exceptions of store reads.
     """
 
     def __init__(self, node: "EntryNode", on_fault: Callable[[Failure], None]) -> None:
         self._node = node
         self._on_fault = on_fault
-        self._complete = 0
+        self._complete_revision = 0
 
     def complete_revision(self) -> int:
-        """Return the highest revision in force here with all of its client-block map."""
+        """Return the highest revision that has been in force with a complete client-block map."""
         if not self._node.maps.missing:
-            self._complete = self._node.in_force
-        return self._complete
+            self._complete_revision = self._node.in_force
+        return self._complete_revision
 
-    def fetch(self) -> None:
-        """Ask for some of what is missing."""
+    def request_missing(self) -> None:
+        """Request a few of the missing chunks."""
         node = self._node
         if node.router is None or not node.maps.missing:
             return
-        peers = node.near_seats()
-        watching = node.steward.stewardship.watches_configuration
-        asked = node.maps.next_requests(peers, from_store=watching or not peers)
-        node.gossip.send(asked, None)
+        peers = node.region_peers()
+        reads_store = node.steward.stewardship.watches_configuration
+        requests = node.maps.next_requests(peers, from_store=reads_store or not peers)
+        node.gossip.send(requests, None)
 
-    def read(self, digest: str) -> None:
-        """Begin to read one chunk from the store."""
-        ensureDeferred(self._read(digest)).addErrback(self._on_fault)
+    def read_chunk(self, digest: str) -> None:
+        """Start reading one chunk from the store."""
+        ensureDeferred(self._read_chunk(digest)).addErrback(self._on_fault)
 
-    async def _read(self, digest: str) -> None:
+    async def _read_chunk(self, digest: str) -> None:
         match await self._node.store.get(f"map/{digest}"):
             case Result(tag="ok", ok=record) if record is not None:
                 self._node.maps.take(digest, record.value)
--- a/packages/entry/src/cardamomloft/entry/maps.py
+++ b/packages/entry/src/cardamomloft/entry/maps.py
@@ -1,9 +1,9 @@
-"""Fetching the client-block map, chunk by chunk, and serving its chunks to peers.
+"""Loads the client-block map in chunks and serves its chunks to peers.
 
-The document names the map's chunks by digest. Stewards and standbys read missing ones from the
-store, all others from peers of their region, so a change of a few blocks costs each entry the
-chunks it touches and the store a few reads per region. Until a chunk has come, its blocks lead to
-the default site, which costs a caller latency and nothing else.
+The document names the map's chunks by digest. Stewards and standbys read missing chunks from the
+store, other entries request them from peers in their region. A change of a few blocks thus costs
+each entry only the chunks concerned, and the store a few reads per region. Until a chunk arrives,
+its blocks map to the default site, which costs callers latency only.
 """
 
 import random
@@ -17,24 +17,25 @@
 from expression import Result
 
 ASKED_AT_ONCE = 2
+"""Chunks requested at each call of :meth:`MapLoader.next_requests`."""
 
 
 class MapLoader:
-    """The map of one entry, and what is missing of the one that is wanted.
+    """The client-block map of one entry while its chunks are being loaded.
 
     Parameters
     ----------
     rng
-        Chooses whom to ask.
+        Chooses the chunks and the peers for requests.
     read
-        Begins to read one chunk from the store; its bytes come to :meth:`take`.
+        Starts reading one chunk from the store; the result is passed to :meth:`take`.
     on_map
-        Told of each new map, complete or not.
+        Called with each new map, complete or not.
 
     Attributes
     ----------
     map
-        The map as far as it is loaded.
+        The map built from the chunks loaded so far.
     """
 
     def __init__(
@@ -48,61 +49,63 @@
         self._read = read
         self._on_map = on_map
         self._wanted: tuple[str, ...] = ()
-        self._kept: dict[str, bytes] = {}
+        self._chunks: dict[str, bytes] = {}
 
     @property
     def missing(self) -> tuple[str, ...]:
-        """The digests of the chunks that have not come yet."""
+        """The digests of the chunks that have not been loaded."""
         return self.map.missing(self._wanted)
 
     def configure(self, clients: ClientsRow) -> BlockMap:
-        """Want the map of a new document; return what there is of it at once."""
+        """Start loading the map of a new document; return the part that is already here."""
         self._wanted = tuple(clients.get("chunks", ()))
-        self._kept = {digest: self._kept[digest] for digest in self._wanted if digest in self._kept}
+        self._chunks = {
+            digest: self._chunks[digest] for digest in self._wanted if digest in self._chunks
+        }
         if not self._wanted:
             self.map = BlockMap.from_blocks(clients.get("blocks", {}), clients["default"])
         else:
-            self.map = self._with(self._present(), clients["default"])
+            self.map = self._with_chunks(self._present(), clients["default"])
         return self.map
 
     def next_requests(self, peers: Sequence[str], *, from_store: bool) -> list[Outgoing]:
-        """Ask for a few missing chunks; call it a few times a second.
+        """Request a few missing chunks; to be called several times a second.
 
-        Nobody is waited for: a chunk that does not come is asked for again, of others.
+        No reply is awaited: a chunk that does not arrive is requested again, from random peers.
         """
         missing = self.missing
         if not missing:
             return []
-        chosen = self._rng.sample(missing, min(ASKED_AT_ONCE, len(missing)))
+        digests = self._rng.sample(missing, min(ASKED_AT_ONCE, len(missing)))
         if from_store:
-            for digest in chosen:
+            for digest in digests:
                 self._read(digest)
             return []
         if not peers:
             return []
-        return [Outgoing(self._rng.choice(peers), ChunkRequest(digest)) for digest in chosen]
+        return [Outgoing(self._rng.choice(peers), ChunkRequest(digest)) for digest in digests]
 
     def on_request(self, seat: str, req: ChunkRequest) -> list[Outgoing]:
-        """Answer a peer, if the chunk is here."""
-        chunk = self._kept.get(req.digest)
+        """Return the reply to a peer's request, or nothing if the chunk is not here."""
+        chunk = self._chunks.get(req.digest)
         return [] if chunk is None else [Outgoing(seat, ChunkReply(req.digest, chunk))]
 
     def take(self, digest: str, chunk: bytes) -> None:
-        """Take a chunk from the store or a peer; one that is not wanted or forged is dropped."""
+        """Add a chunk from the store or a peer, unless it is not missing or fails its digest."""
         if digest not in self.missing or digest_of(chunk) != digest:
             return
-        self._kept[digest] = chunk
-        self.map = self._with([*self._present(), digest], self.map.default)
+        self._chunks[digest] = chunk
+        self.map = self._with_chunks([*self._present(), digest], self.map.default)
         self._on_map(self.map)
 
     def _present(self) -> list[str]:
         missing = set(self.missing)
         return [digest for digest in self._wanted if digest not in missing]
 
-    def _with(self, digests: Collection[str], default: str) -> BlockMap:
-        match self.map.with_chunks(list(digests), self._kept, default=default):
-            case Result(tag="ok", ok=made):
-                return made
+    def _with_chunks(self, digests: Collection[str], default: str) -> BlockMap:
+        match self.map.with_chunks(list(digests), self._chunks, default=default):
+            case Result(tag="ok", ok=blocks):
+                return blocks
             case Result(error=mistake):
                 log("map-refused", detail=str(mistake))
                 return self.map
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -1,6 +1,7 @@
-"""The entry: assembles the decisions and the edges, and owns their life.
+"""The entry process: creates its components, connects them, and starts and stops them.
 
-Data flows one way: callers to decisions to upstreams. Platform and peers only feed state.
+Requests flow from callers through the decisions to upstreams. The platform and peers only update
+state.
 """
 
 import random
@@ -30,23 +31,23 @@
 from cardamomloft.core.stewardship import STANDBYS, Stewardship
 from cardamomloft.entry.executor import Executor
 from cardamomloft.entry.forwarding import Forwarder
-from cardamomloft.entry.gossip import INTERVAL, Gossip
+from cardamomloft.entry.gossip import DIGEST_INTERVAL, Gossip
 from cardamomloft.entry.loads import LoadPoller
-from cardamomloft.entry.lookups import VALID, Lookups
+from cardamomloft.entry.lookups import LOOKUP_VALIDITY, Lookups
 from cardamomloft.entry.mapfetching import CHUNKS, MapFetcher
 from cardamomloft.entry.maps import MapLoader
-from cardamomloft.entry.outside import Outside
+from cardamomloft.entry.outside import Adapters
 from cardamomloft.entry.receiving import receive
 from cardamomloft.entry.seat import SeatRecord
 from cardamomloft.entry.settings import DEFAULTS, EntrySettings
 from cardamomloft.entry.status import StatusPage
 from cardamomloft.entry.steward import CONFIGURATION_KEY, StewardRunner, offer_record
-from cardamomloft.entry.stopping import close, cut_off
+from cardamomloft.entry.stopping import close, force_stop
 from cardamomloft.entry.vms import VmWatch
 from cardamomloft.peers.curve import CurveKeys
 from cardamomloft.peers.node import PeerNode
 from cardamomloft.runtime.control import ControlApp
-from cardamomloft.runtime.lifecycle import LifeActions, make_life_cycle
+from cardamomloft.runtime.lifecycle import LifecycleActions, make_life_cycle
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.runtime.timers import Timers
@@ -54,13 +55,16 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 from twisted.python.failure import Failure
 
-TICK = timedelta(milliseconds=50)
-COME_BACK = timedelta(seconds=1)
-LINGER = VALID + timedelta(milliseconds=500)
-SEAT_RETRY = timedelta(seconds=2)
-FIRST_READ = timedelta(milliseconds=1500)
-USELESS = timedelta(seconds=10)
+TICK_INTERVAL = timedelta(milliseconds=50)
+RETRY_AFTER = timedelta(seconds=1)
+LEAVING_TIME = LOOKUP_VALIDITY + timedelta(milliseconds=500)
+"""How long a leaving entry takes requests: until callers' cached look-ups have expired."""
+SEAT_RETRY_INTERVAL = timedelta(seconds=2)
+INITIAL_READ_INTERVAL = timedelta(milliseconds=1500)
+NO_CAPACITY_TIMEOUT = timedelta(seconds=10)
+"""How long an entry without shares of its own and without peers still counts as ready."""
 CLAIMS_PER_S = 300
+"""Claims written per second by the whole deployment, divided evenly among its entries."""
 
 
 class EntryNode:
@@ -71,11 +75,20 @@
     reactor
         The event loop.
     cfg
-        Checked settings.
+        Settings that have been checked.
     clock, rng
-        Sources of time and chance.
+        Sources of time and of random numbers.
     outside
-        The adapters of platform and upstreams.
+        The adapters of the platform and of upstreams.
+
+    Attributes
+    ----------
+    in_force
+        Number of the revision in force; 0 before the first one.
+    store_read_at
+        When the configuration was last read from the store, monotonic.
+    stopped
+        Fires when the process may end; fails if an invariant was broken.
     """
 
     def __init__(
@@ -84,7 +97,7 @@
         cfg: EntrySettings,
         clock: Clock,
         rng: random.Random,
-        outside: Outside,
+        adapters: Adapters,
     ) -> None:
         self._reactor = reactor
         self._cfg: dict[str, t.Any] = {**DEFAULTS, **cfg}
@@ -92,32 +105,32 @@
         self._rng = rng
         self.me = Incarnation(cfg["seat"], secrets.token_hex(8))
         self.metrics = Metrics()
-        self.life = make_life_cycle(_Later(reactor, self))
+        self.lifecycle = make_life_cycle(_DeferredActions(reactor, self))
         self.stopped: Deferred[None] = Deferred()
-        self.store, self.client = outside.store, outside.client
-        self.vms = VmWatch(outside.vms, clock, self.metrics, self._take_vms, self._send_all)
+        self.store, self.client = adapters.store, adapters.client
+        self.vms = VmWatch(adapters.vms, clock, self.metrics, self._apply_vm_rows, self._send)
         self.seat = SeatRecord(self.me, self.store)
         self._build_decisions()
-        self._build_edges()
+        self._build_io()
         self.in_force = 0
-        self._reported: tuple[object, ...] = ()
+        self._announced_state: tuple[object, ...] = ()
         self._timers = Timers(reactor, self._on_fault)
-        self.store_at: timedelta | None = None
-        self._refused = 0
-        self._useful_at = clock.monotonic()
+        self.store_read_at: timedelta | None = None
+        self._failed_revision = 0
+        self._capacity_seen_at = clock.monotonic()
 
     def _build_decisions(self) -> None:
         clock, rng, cfg = self._clock, self._rng, self._cfg
         self.shares = Shares(self.me, clock)
         self.pacer = Pacer(self.shares, clock)
-        # The region is known with the first document; until then nothing is decided.
+        # Built with the first document, which names the region; no request is routed before.
         self.router: Router | None = None
         self.membership = Membership(self.me, clock)
         self.replica = Replica(
             self.me,
             clock,
             rng,
-            self._describe,
+            self._own_digest,
             check=check_document,
             seeds=cfg.get("peer_seeds", ()),
         )
@@ -126,9 +139,9 @@
             rng,
             self.membership,
             self.shares,
-            lambda: self._describe(self.in_force),
+            lambda: self._own_digest(self.in_force),
         )
-        self.maps = MapLoader(rng, lambda digest: self.fetcher.read(digest), self._on_map)
+        self.maps = MapLoader(rng, lambda digest: self.fetcher.read_chunk(digest), self._on_map)
         self.fetcher = MapFetcher(self, self._on_fault)
         self.ids = OperationIds(self.me, clock, secrets.token_bytes(32))
         self.ledger = Ledger(
@@ -139,7 +152,7 @@
         self.claims = Claims(self.me, clock, writes_per_s=per_s) if per_s else None
         self.steward: StewardRunner | None = None
 
-    def _build_edges(self) -> None:
+    def _build_io(self) -> None:
         self.loads = LoadPoller(
             self.client, self._clock, lambda e: self.shares.free(slots_key(e)) > 0
         )
@@ -149,22 +162,22 @@
         self.status_page = StatusPage(self, self._clock)
         self.control = ControlApp(self.status_page)
 
-    # Life.
+    # Start and stop.
 
     def start(self) -> None:
-        """Listen and begin to look for a configuration.
+        """Listen on all addresses and start to look for a configuration.
 
         Raises
         ------
         BindError, twisted.internet.error.CannotListenError
-            If an address can't be had; another process on this VM may still hold it.
+            If an address is in use, perhaps by an earlier process on this VM.
         """
         cfg = self._cfg
         keys = None
         if "curve" in cfg:
             curve = cfg["curve"]
             keys = CurveKeys(curve["public"].encode(), curve["secret"].encode())
-        # The exclusive bind proves that no earlier process of this seat runs on this VM.
+        # The exclusive bind ensures that no earlier process of this seat runs on this VM.
         self.peers = PeerNode(self._reactor, self.me, cfg["peers"], self._on_message, keys)
         host, _, port = cfg["operators"].rpartition(":")
         self._reactor.listenTCP(int(port), self.control.site(), interface=host)
@@ -176,40 +189,40 @@
         await self.seat.record()
         await self._read_configuration()
         every = self._timers.every
-        every(TICK, self._tick)
-        every(INTERVAL, self._spread)
+        every(TICK_INTERVAL, self._tick)
+        every(DIGEST_INTERVAL, self._send_digests)
         every(timedelta(milliseconds=self._cfg["vms_every_ms"]), self._poll_vms)
         every(timedelta(milliseconds=self._cfg["load_every_ms"]), self._poll_load)
-        every(SEAT_RETRY, self._record_seat)
-        every(CHUNKS, self.fetcher.fetch)
-        every(FIRST_READ, self._look_for_first)
+        every(SEAT_RETRY_INTERVAL, self._record_seat)
+        every(CHUNKS, self.fetcher.request_missing)
+        every(INITIAL_READ_INTERVAL, self._read_first_configuration)
 
     def stop(self) -> None:
-        """Begin a graceful stop; asking again changes nothing."""
-        self.life.stop()
+        """Start a graceful stop; further calls have no effect."""
+        self.lifecycle.stop()
 
     def on_ready(self) -> None:
-        """Tell peers that callers may come."""
+        """Announce to peers that this entry serves callers."""
         log("ready", revision=self.in_force)
         self.gossip.announce()
 
     def on_leaving(self) -> None:
-        """Leave the look-ups; go on serving callers that asked a moment ago."""
+        """Withdraw from look-ups; keep serving callers that have a cached look-up."""
         log("leaving")
         self.gossip.announce()
         self.app.closing()
         hard = self._cfg.get("hard_stop_ms")
         if hard is not None:
-            self._reactor.callLater(hard / 1000, cut_off, self)
-        self._reactor.callLater(LINGER.total_seconds(), self.life.lingered)
+            self._reactor.callLater(hard / 1000, force_stop, self)
+        self._reactor.callLater(LEAVING_TIME.total_seconds(), self.lifecycle.lingered)
 
     def on_closing(self) -> None:
-        """Refuse new work, finish what is in flight, hand the shares over."""
+        """Refuse new requests, finish those in flight and hand the shares over."""
         log("closing", in_flight=self.app.in_flight)
         ensureDeferred(close(self, self._timers, self._clock)).addErrback(self._on_fault)
 
     def on_stopped(self) -> None:
-        """Release everything and end the process."""
+        """Stop the timers, close the sockets to peers and let the process end."""
         self._timers.stop()
         self.peers.close()
         log("stopped")
@@ -219,25 +232,25 @@
     # Callers.
 
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
-        useful = self._clock.monotonic() - self._useful_at < USELESS
-        return self.life.state() == "ready" and self.replica.ready and useful
+        """Return whether this entry serves callers now."""
+        has_capacity = self._clock.monotonic() - self._capacity_seen_at < NO_CAPACITY_TIMEOUT
+        return self.lifecycle.state() == "ready" and self.replica.ready and has_capacity
 
     def lookup(self, client: str) -> LookupAnswer | Refusal:
-        """Name the entries that a client should use, and the prefix for its operation ids."""
+        """Return the entries for the IPv4 address `client`, and a prefix for operation ids."""
         self.metrics.count("lookups")
         if self.router is None or self.router.classifier is None or not self.replica.ready:
-            return Refusal(RefusalReason.NOT_READY, "no configuration yet", COME_BACK)
+            return Refusal(RefusalReason.NOT_READY, "no configuration yet", RETRY_AFTER)
         return self.lookups.answer(client, self.router, self.in_force)
 
     def handle(
         self, head: RequestHead, body: RequestBody, gone: "Deferred[None]"
     ) -> "Deferred[Answer]":
-        """Answer one request."""
+        """Answer one request; `gone` fires when the caller disconnects."""
         return ensureDeferred(self._handle(head, body, gone))
 
     async def _handle(self, head: RequestHead, body: RequestBody, gone: "Deferred[None]") -> Answer:
-        refusal = self._not_admitted()
+        refusal = self._admission_refusal()
         if refusal is not None:
             self.metrics.count(f"refused.{refusal.reason}")
             return to_answer(refusal)
@@ -246,25 +259,33 @@
                 self.metrics.count(f"refused.{refused.reason}")
                 return to_answer(refused)
             case Result(ok=req):
-                return await self._carry(req, head, body, gone)
+                return await self._forward(req, head, body, gone)
 
-    async def _carry(
+    async def _forward(
         self, req: Request, head: RequestHead, body: RequestBody, gone: "Deferred[None]"
     ) -> Answer:
         if req.operation is not None and not req.idempotent:
             return await self.executor.handle(req, head, body, gone)
         return await self.forwarder.stream(req, head, body, gone)
 
-    def _not_admitted(self) -> Refusal | None:
-        if not self.life.admits():
+    def _admission_refusal(self) -> Refusal | None:
+        if not self.lifecycle.admits():
             reason = RefusalReason.STOPPING
-            if self.life.state() == "starting":
+            if self.lifecycle.state() == "starting":
                 reason = RefusalReason.NOT_READY
-            return Refusal(reason, "ask for another entry", COME_BACK)
+            return Refusal(
+                reason, "this entry does not serve requests now; look up another entry", RETRY_AFTER
+            )
         if not self.replica.ready:
-            return Refusal(RefusalReason.NOT_READY, "the configuration may be old", COME_BACK)
+            return Refusal(
+                RefusalReason.NOT_READY,
+                "the configuration is not confirmed as current",
+                RETRY_AFTER,
+            )
         if self.app.in_flight > self._cfg["max_in_flight"]:
-            return Refusal(RefusalReason.OVERLOAD, "too many requests here", COME_BACK)
+            return Refusal(
+                RefusalReason.OVERLOAD, "too many requests in flight at this entry", RETRY_AFTER
+            )
         return None
 
     # Configuration.
@@ -272,20 +293,20 @@
     async def _read_configuration(self) -> None:
         match await self.store.get(CONFIGURATION_KEY):
             case Result(tag="ok", ok=record):
-                self.store_at = self._clock.monotonic()
+                self.store_read_at = self._clock.monotonic()
                 offer_record(self.replica, record)
                 self.put_in_force()
 
     def put_in_force(self) -> None:
-        """Put the replica's revision in force if it is a new one."""
+        """Put the replica's revision in force if it is newer."""
         held = self.replica.held
-        if held is None or held.number <= max(self.in_force, self._refused):
+        if held is None or held.number <= max(self.in_force, self._failed_revision):
             return
         try:
             self._configure(held)
         except Exception:
-            # The revision before stays in force; trying again each tick would end the same.
-            self._refused = held.number
+            # The previous revision stays in force; this one is not tried again.
+            self._failed_revision = held.number
             log("configuration-failed", revision=held.number)
             self._on_fault(Failure())
 
@@ -296,16 +317,16 @@
             self._build_router(held)
         self._update_ownership()
         blocks = self.maps.configure(held.document["clients"])
-        self.router.configure(held, quarantine=self.seat.predecessor, blocks=blocks)
+        self.router.configure(held, quarantine=self.seat.may_have_predecessor, blocks=blocks)
         self.in_force = held.number
         self.gossip.configure(held.document)
         self.membership.configure(held.document, self.shares.partners)
-        self._place_steward()
+        self._update_stewardship()
         if self.claims is not None:
             entries = len(held.document["entries"])
             self.claims.budget.limit(min(self._cfg["claims_per_s"], CLAIMS_PER_S / entries))
         log("in-force", revision=held.number)
-        self.life.prepared()
+        self.lifecycle.prepared()
         self.gossip.announce()
 
     def _build_router(self, held: Revision) -> None:
@@ -356,12 +377,12 @@
             self._on_fault,
         )
 
-    def _place_steward(self) -> None:
+    def _update_stewardship(self) -> None:
         standby, size = self.membership.standing(STANDBYS)
         self.steward.stewardship.place(standby=standby, size=size)
 
     def _on_offer(self) -> None:
-        self.store_at = self._clock.monotonic()
+        self.store_read_at = self._clock.monotonic()
         self.put_in_force()
 
     def _callers_address(self, seat: str) -> str | None:
@@ -373,9 +394,9 @@
 
     # Peers.
 
-    def _describe(self, revision: int) -> Digest:
-        state = self.life.state()
-        # Entries that paused together must not take each other's word that they are current.
+    def _own_digest(self, revision: int) -> Digest:
+        state = self.lifecycle.state()
+        # After a pause of all entries, none may confirm another's revision as current.
         if state == "ready" and not self.ready():
             state = "starting"
         prefix = self.ids.prefix() if state == "ready" else None
@@ -390,21 +411,21 @@
     def _on_message(self, sender: Incarnation, message: Message) -> None:
         receive(self, sender, message)
 
-    def _send_all(self, outgoing: list[Outgoing], to: Incarnation | None = None) -> None:
+    def _send(self, outgoing: list[Outgoing], to: Incarnation | None = None) -> None:
         self.gossip.send(outgoing, to)
 
-    def _spread(self) -> None:
-        # One that owns nothing works on loans, and there are none for one that hears nobody.
+    def _send_digests(self) -> None:
+        # An entry without shares of its own depends on loans, hence on reachable peers.
         if self.shares.owns_any or self.membership.hears_any():
-            self._useful_at = self._clock.monotonic()
-        self.gossip.spread()
+            self._capacity_seen_at = self._clock.monotonic()
+        self.gossip.send_digests()
 
     # Timers.
 
     def _tick(self) -> None:
         outgoing = self.replica.tick()
         self.put_in_force()
-        self._send_all(outgoing)
+        self._send(outgoing)
         if self.router is None:
             return
         self.router.steering.tick()
@@ -413,14 +434,14 @@
         self.steward.tick()
         probe = self.steward.stewardship.peer_to_probe()
         if probe is not None:
-            self._send_all([Outgoing(probe, DocumentRequest(self.in_force))])
-        state = (self.shares.settled, self.life.state())
-        if state != self._reported:
-            self._reported = state
+            self._send([Outgoing(probe, DocumentRequest(self.in_force))])
+        state = (self.shares.settled, self.lifecycle.state())
+        if state != self._announced_state:
+            self._announced_state = state
             self.gossip.announce()
 
-    def _look_for_first(self) -> "Deferred[t.Any] | None":
-        """Read the store while nothing is held: without a roster no steward does."""
+    def _read_first_configuration(self) -> "Deferred[t.Any] | None":
+        """Read the store while no revision is held; stewards are chosen only with a roster."""
         return None if self.replica.held else ensureDeferred(self._read_configuration())
 
     def _on_map(self, blocks: BlockMap) -> None:
@@ -428,14 +449,14 @@
             self.router.classifier.use_blocks(blocks)
 
     def _tick_limits(self) -> None:
-        """Ask for, renew and return loans, and send what now fits; also as soon as one queues."""
+        """Borrow, renew and return loans, and dispatch the queued requests that now fit."""
         self.router.report_wants()
-        self._send_all(self.shares.tick())
+        self._send(self.shares.tick())
         self.forwarder.pump()
 
     def _update_ownership(self) -> None:
         self.shares.may_own = self.seat.recorded
-        if not self.seat.predecessor:
+        if not self.seat.may_have_predecessor:
             self.shares.lift_quarantine()
 
     def _record_seat(self) -> "Deferred[t.Any] | None":
@@ -443,22 +464,22 @@
 
     def _poll_vms(self) -> "Deferred[None] | None":
         if self.router is None:
-            return self.vms.poll(0, watches=False)
+            return self.vms.poll(0, at_each_call=False)
         stewardship = self.steward.stewardship
         return self.vms.poll(
             len(self.router.document["entries"]),
-            watches=stewardship.watches_configuration,
-            tells=self.near_seats() if stewardship.is_steward else (),
+            at_each_call=stewardship.watches_configuration,
+            notify=self.region_peers() if stewardship.is_steward else (),
         )
 
-    def near_seats(self) -> list[str]:
-        """Return the other seats of this region."""
+    def region_peers(self) -> list[str]:
+        """Return the other seats in this region."""
         region_of, here = self.router.region_of, self.router.region
         entries = self.router.document["entries"].items()
-        near = [seat for seat, row in entries if region_of(row["zone"]) == here]
-        return [seat for seat in near if seat != self.me.seat]
+        seats = [seat for seat, row in entries if region_of(row["zone"]) == here]
+        return [seat for seat in seats if seat != self.me.seat]
 
-    def _take_vms(self, rows: list[VmRow]) -> None:
+    def _apply_vm_rows(self, rows: list[VmRow]) -> None:
         self.membership.on_vms(rows)
         gone = self.membership.gone_seats()
         for row in rows:
@@ -469,32 +490,32 @@
         if self.router is not None:
             leaving = [row.name for row in rows if row.state != "live"]
             self.router.steering.on_leaving(leaving)
-            self._place_steward()
+            self._update_stewardship()
 
     def _poll_load(self) -> "Deferred[None] | None":
         if self.router is None:
             return None
         return self.loads.poll(self.router.nearby, self.router.steering)
 
-    def _on_broken(self, failure: Failure) -> None:
-        """End the process: its state contradicts itself, and a new life starts from the truth."""
+    def _on_broken_invariant(self, failure: Failure) -> None:
+        """End the process, since its state is inconsistent; its successor starts anew."""
         log("broken-invariant", detail=failure.getErrorMessage(), trace=failure.getTraceback())
-        self.life.drained()
+        self.lifecycle.drained()
         if not self.stopped.called:
             self.stopped.errback(failure)
 
     def _on_fault(self, failure: Failure) -> None:
         if failure.check(AssertionError):
-            self._on_broken(failure)
+            self._on_broken_invariant(failure)
             return
         self.metrics.count("faults")
         log("fault", detail=failure.getErrorMessage(), trace=failure.getTraceback())
 
 
-class _Later:
-    """Runs the actions of a transition after it, when the state may be asked for again."""
+class _DeferredActions:
+    """Runs the actions of a transition in the next turn of the loop, when it has ended."""
 
-    def __init__(self, reactor: t.Any, actions: LifeActions) -> None:
+    def __init__(self, reactor: t.Any, actions: LifecycleActions) -> None:
         self._reactor = reactor
         self._actions = actions
 
--- a/packages/entry/src/cardamomloft/entry/outside.py
+++ b/packages/entry/src/cardamomloft/entry/outside.py
@@ -1,4 +1,4 @@
-"""The adapters of what is not ours, as the settings name them."""
+"""Adapters of the external systems that the settings name."""
 
 import typing as t
 from datetime import timedelta
@@ -9,18 +9,18 @@
 from cardamomloft.upstreams.client import UpstreamClient
 
 
-class Outside(t.NamedTuple):
-    """The adapters of what is not ours."""
+class Adapters(t.NamedTuple):
+    """Adapters of the store, the VM list and the upstreams."""
 
     store: Store
     vms: VmList
     client: UpstreamClient
 
 
-def connect(reactor: t.Any, cfg: EntrySettings) -> Outside:
-    """Make the adapters that the settings name; nothing is sent yet."""
+def make_adapters(reactor: t.Any, cfg: EntrySettings) -> Adapters:
+    """Create the adapters that the settings name, without sending anything."""
     timeout = timedelta(milliseconds=cfg.get("store_timeout_ms", DEFAULTS["store_timeout_ms"]))
-    return Outside(
+    return Adapters(
         HttpStore(reactor, _address(cfg["store"]), timeout=timeout),
         HttpVmList(reactor, _address(cfg["vms"]), timeout=timeout),
         UpstreamClient(reactor),
--- a/packages/entry/src/cardamomloft/entry/receiving.py
+++ b/packages/entry/src/cardamomloft/entry/receiving.py
@@ -1,4 +1,4 @@
-"""What an entry does with a message of another entry."""
+"""Dispatches messages of other entries to the components that handle them."""
 
 import typing as t
 
@@ -22,7 +22,7 @@
 
 
 def receive(node: "EntryNode", sender: Incarnation, message: Message) -> None:
-    """Hand `message` to those whom it concerns, and send what they answer."""
+    """Pass `message` to the components that handle it, and send their replies."""
     send = node.gossip.send
     if node.steward is not None:
         node.steward.stewardship.heard(str(sender))
@@ -34,8 +34,8 @@
         case DocumentRequest():
             send(node.replica.on_document_request(sender, message), sender)
         case DocumentReply():
-            # Announced before it is in force here, so that no hop waits for the one before;
-            # nothing else is handled in between.
+            # Announced before it is put in force, so that the next hop does not wait for it. No
+            # other message is handled in between.
             send(node.replica.on_document_reply(sender, message), None)
             node.put_in_force()
         case LoanRequest() | LoanGrant() | LoanReturn() | LoanRecall():
--- a/packages/entry/src/cardamomloft/entry/seat.py
+++ b/packages/entry/src/cardamomloft/entry/seat.py
@@ -1,8 +1,8 @@
-"""The seat record: whether an earlier life of this seat may have left uses and loans behind.
+"""The seat record in the store: whether an earlier process may have left uses and loans.
 
-A life is recorded in the store before it owns any share, and a clean stop is noted there. An
-entry that finds the note, or no record at all, need not wait for a predecessor. One that cannot
-record its life (the store is away) works on loans from its peers until it can.
+Each incarnation of a seat is recorded before it owns any share, and so is its clean stop. An entry
+that finds a clean stop, or no record, need not wait for a predecessor. An entry that cannot write
+its record, because the store is unavailable, uses only loans from its peers until it can.
 """
 
 import json
@@ -26,9 +26,10 @@
     Attributes
     ----------
     recorded
-        Whether the store has this life.
-    predecessor
-        Whether an earlier life may still have uses or loans; True until the contrary is known.
+        Whether the store has the record of this incarnation.
+    may_have_predecessor
+        Whether an earlier incarnation may still have uses or loans; True until the
+        opposite is known.
     """
 
     def __init__(self, me: Incarnation, store: Store) -> None:
@@ -36,11 +37,11 @@
         self._store = store
         self._key = f"seat/{me.seat}"
         self.recorded = False
-        self.predecessor = True
-        self._clean = False
+        self.may_have_predecessor = True
+        self._no_predecessor = False
 
     async def record(self) -> bool:
-        """Try once to record this life; return whether it is recorded."""
+        """Try once to record this incarnation; return whether it is recorded."""
         match await self._store.get(self._key):
             case Result(tag="ok", ok=found):
                 pass
@@ -48,21 +49,21 @@
                 return False
         row = _parse(found)
         if row is not None and row["incarnation"] == self._me.number:
-            # The last try took effect although its answer was lost: the one before it cannot, as
-            # each is conditional on the version that it had read.
-            self._note_recorded()
+            # The last write took effect although its answer was lost. No earlier one still can:
+            # each write is conditional on the version read before it.
+            self._set_recorded()
             return True
-        self._clean = found is None or (row is not None and row["stopped"])
+        self._no_predecessor = found is None or (row is not None and row["stopped"])
         if await self._write(found, stopped=False):
-            self._note_recorded()
+            self._set_recorded()
         return self.recorded
 
-    def _note_recorded(self) -> None:
+    def _set_recorded(self) -> None:
         self.recorded = True
-        self.predecessor = not self._clean
+        self.may_have_predecessor = not self._no_predecessor
 
-    async def note_stop(self) -> bool:
-        """Note that this life has ended cleanly; call it when nothing is used or lent."""
+    async def record_stop(self) -> bool:
+        """Record a clean stop of this incarnation; only valid when nothing is used or lent."""
         match await self._store.get(self._key):
             case Result(tag="ok", ok=found):
                 pass
--- a/packages/entry/src/cardamomloft/entry/settings.py
+++ b/packages/entry/src/cardamomloft/entry/settings.py
@@ -1,7 +1,7 @@
-"""The entry's settings file: types, ranges and the strict check.
+"""The entry's settings file: types, ranges and validation.
 
-Settings say who this process is and where it listens; everything that operators decide together
-(services, rules, roster) is in the configuration document instead.
+The settings identify one process and its addresses. What applies to all entries (services, rules,
+roster) is in the configuration document.
 """
 
 import typing as t
@@ -21,7 +21,7 @@
 
 @_strict
 class CurveSettings(TypedDict):
-    """The deployment's CURVE key pair, Z85 text; peers without it are not heard."""
+    """The deployment's CURVE key pair, Z85-encoded; messages of peers without it are rejected."""
 
     public: t.Annotated[str, Field(min_length=40, max_length=40)]
     secret: t.Annotated[str, Field(min_length=40, max_length=40)]
@@ -31,10 +31,9 @@
 class EntrySettings(TypedDict):
     """Settings of one entry.
 
-    `seat` is the entry's name in the roster. `peer_seeds` are peers' addresses to ask for the
-    configuration while the store is away. `hard_stop_ms` bounds a graceful stop; without it the
-    entry waits as long as its longest request. `max_in_flight` and the ledger's limits bound
-    memory.
+    `seat` is the entry's name in the roster. `peer_seeds` are addresses of peers that supply the
+    configuration while the store is unavailable. `hard_stop_ms` bounds a graceful stop; without it
+    the entry waits for its longest request. `max_in_flight` and the ledger's limits bound memory.
     """
 
     seat: Name
@@ -65,15 +64,15 @@
     "ledger_bytes": 24 * 1024 * 1024,
     "claims_per_s": 20,
 }
-"""What the settings that may be left out are then."""
+"""Values of optional settings that are not given."""
 
 
 def load_settings(text: str) -> Result[EntrySettings, tuple[Mistake, ...]]:
-    """Check a settings file's text.
+    """Validate the text of a settings file.
 
     Returns
     -------
     Result
-        The settings, or every mistake with its path.
+        The settings, or all mistakes, each with its path.
     """
     return load_typed(EntrySettings, text)
--- a/packages/entry/src/cardamomloft/entry/status.py
+++ b/packages/entry/src/cardamomloft/entry/status.py
@@ -1,4 +1,4 @@
-"""What an entry shows on its operators' pages."""
+"""Content of the operators' pages of an entry."""
 
 import typing as t
 from collections import Counter
@@ -15,18 +15,18 @@
 
 
 class StatusPage:
-    """Reads the state of a node; changes nothing."""
+    """Renders the state of an entry without changing it."""
 
     def __init__(self, node: "EntryNode", clock: Clock) -> None:
         self._node = node
         self._clock = clock
 
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether this entry serves callers now."""
         return self._node.ready()
 
     def metrics_text(self) -> str:
-        """Return the metrics page."""
+        """Return the metrics page in the Prometheus text format."""
         node = self._node
         counters = node.metrics.counters
         for name, value in node.store.calls.items():
@@ -38,7 +38,7 @@
         return node.metrics.render()
 
     def status(self, *, limits: bool = True) -> dict[str, t.Any]:
-        """Return the status page's object, with its list of limits or without."""
+        """Return the status page's JSON object; `limits` includes a row for each limit."""
         node = self._node
         router = node.router
         return {
@@ -49,7 +49,7 @@
             "revision": node.fetcher.complete_revision(),
             "chunks_missing": len(node.maps.missing),
             "settled": node.shares.settled,
-            "state": node.life.state(),
+            "state": node.lifecycle.state(),
             "ready": self.ready(),
             "recorded": node.seat.recorded,
             "steward": bool(node.steward and node.steward.stewardship.is_steward),
@@ -57,18 +57,18 @@
             "drains": self._drains(),
             "limits": [_limit(row) for row in node.shares.rows()] if limits else [],
             "vms_age_ms": self._age_ms(node.vms.fetched_at),
-            "store_age_ms": self._age_ms(node.store_at),
+            "store_age_ms": self._age_ms(node.store_read_at),
         }
 
-    def explain(self, question: dict[str, t.Any]) -> dict[str, t.Any]:
-        """Tell which rule would match a request, and why not the ones before."""
+    def explain(self, query: dict[str, t.Any]) -> dict[str, t.Any]:
+        """Return the rules evaluated for a request, up to the first match, with reasons."""
         router = self._node.router
         if router is None or router.classifier is None or router.rules is None:
             return {"error": "no configuration yet"}
-        headers = {str(k).lower(): str(v) for k, v in dict(question.get("headers") or {}).items()}
+        headers = {str(k).lower(): str(v) for k, v in dict(query.get("headers") or {}).items()}
         found = router.classifier.classify(
-            str(question.get("method", "GET")),
-            str(question.get("path", "/")),
+            str(query.get("method", "GET")),
+            str(query.get("path", "/")),
             headers,
             None,
             self._clock.monotonic(),
@@ -97,13 +97,13 @@
             if kind == "slots" and name in service_of:
                 total[service_of[name]] += row.own + row.borrowed - row.lent
                 free[service_of[name]] += self._node.shares.free(row.key)
-        flights = Counter(d.ticket.req.service for d in router.in_flight())
+        dispatches = Counter(d.ticket.req.service for d in router.in_flight())
         queued = router.queued()
         return {
             service: {
                 "slots_free": free[service],
                 "slots_total": total[service],
-                "in_flight": flights[service],
+                "in_flight": dispatches[service],
                 "queued": queued[service],
             }
             for service in router.document["services"]
@@ -117,43 +117,43 @@
         return [self._drain(name, drain["kind"]) for name, drain in drains]
 
     def _drain(self, name: str, kind: str) -> dict[str, t.Any]:
-        """Return how far one drain has come here; of an entry only that entry itself can tell."""
+        """Return the progress of one drain here; a drained entry knows only its own."""
         router = self._node.router
         if kind == "entry":
             return self._drain_of_entry(name)
-        flights = [d for d in router.in_flight() if name in _names(d.endpoint, kind)]
+        dispatches = [d for d in router.in_flight() if name in _matching_names(d.endpoint, kind)]
         shifting = router.steering.drains() if kind in ("zone", "region") else []
-        mine = [p for p in shifting if name in (p.zone, router.region_of(p.zone))]
-        moving = any(p.traffic > 0 for p in mine)
-        usual = [router.admission.expected(d.ticket.req.service) for d in flights]
-        left = max([p.ends_in for p in mine] + usual, default=timedelta(0))
-        return _drain_row(name, kind, len(flights), left, moving=moving)
+        own = [p for p in shifting if name in (p.zone, router.region_of(p.zone))]
+        moving = any(p.traffic > 0 for p in own)
+        expected = [router.admission.expected(d.ticket.req.service) for d in dispatches]
+        remaining = max([p.ends_in for p in own] + expected, default=timedelta(0))
+        return _drain_row(name, kind, len(dispatches), remaining, moving=moving)
 
     def _drain_of_entry(self, name: str) -> dict[str, t.Any]:
         router = self._node.router
-        mine = name == self._node.me.seat
-        flights = router.in_flight() if mine else []
-        usual = [router.admission.expected(d.ticket.req.service) for d in flights]
-        here = self._node.app.in_flight if mine else 0
-        return _drain_row(name, "entry", here, max(usual, default=timedelta(0)), moving=False)
+        own = name == self._node.me.seat
+        dispatches = router.in_flight() if own else []
+        expected = [router.admission.expected(d.ticket.req.service) for d in dispatches]
+        here = self._node.app.in_flight if own else 0
+        return _drain_row(name, "entry", here, max(expected, default=timedelta(0)), moving=False)
 
     def _age_ms(self, at: timedelta | None) -> int | None:
         return None if at is None else (self._clock.monotonic() - at) // _MILLISECOND
 
 
 def _drain_row(
-    name: str, kind: str, in_flight: int, left: timedelta, *, moving: bool
+    name: str, kind: str, in_flight: int, remaining: timedelta, *, moving: bool
 ) -> dict[str, t.Any]:
     return {
         "name": name,
         "kind": kind,
         "in_flight": in_flight,
-        "expected_end_ms": left // _MILLISECOND if left or not in_flight else None,
+        "expected_end_ms": remaining // _MILLISECOND if remaining or not in_flight else None,
         "done": not in_flight and not moving,
     }
 
 
-def _names(endpoint: t.Any, kind: str) -> tuple[str, ...]:
+def _matching_names(endpoint: t.Any, kind: str) -> tuple[str, ...]:
     if kind == "upstream":
         return (endpoint.name,)
     return (endpoint.zone, endpoint.region)
--- a/packages/entry/src/cardamomloft/entry/steward.py
+++ b/packages/entry/src/cardamomloft/entry/steward.py
@@ -1,4 +1,4 @@
-"""Carrying out a steward's steps: the region's lease and the watch on the configuration."""
+"""Makes a steward's store calls: the region's lease and the watch on the configuration."""
 
 import random
 import typing as t
@@ -18,12 +18,13 @@
 
 CONFIGURATION_KEY = "config/current"
 WATCH_WAIT = timedelta(minutes=5)
-FIRST_BACK_OFF = timedelta(milliseconds=500)
-LAST_BACK_OFF = timedelta(seconds=10)
+"""How long the store may hold a watch that sees no change."""
+INITIAL_BACK_OFF = timedelta(milliseconds=500)
+MAX_BACK_OFF = timedelta(seconds=10)
 
 
 def offer_record(replica: Replica, record: Record | None) -> None:
-    """Give the replica what the store has under the configuration key."""
+    """Offer the replica the store's configuration record; None if there is no record."""
     if record is None:
         replica.on_store_empty()
         return
@@ -37,14 +38,19 @@
 
 
 class StewardRunner:
-    """Owns one entry's :class:`Stewardship` and its store calls.
+    """Executes the steps of one entry's :class:`Stewardship` with store calls.
 
     Parameters
     ----------
     on_offer
-        Called after the replica has been given something.
+        Called after a successful read of the configuration.
     on_fault
-        Told of exceptions; the step then counts as failed.
+        Called with exceptions; a step that raises counts as failed.
+
+    Attributes
+    ----------
+    stewardship
+        Decides whether this entry is its region's steward.
     """
 
     def __init__(
@@ -73,43 +79,45 @@
         self._config_index = 0
         self._watching = False
         self._failures = 0
-        self._watch_at = clock.monotonic()
-        self._offered: Record | None = None
+        self._next_watch_at = clock.monotonic()
+        self._last_offered: Record | None = None
 
     def tick(self) -> None:
-        """Do the step that is due; keep the watch on the configuration going while wanted."""
-        self._do(self.stewardship.tick())
-        due = self._clock.monotonic() >= self._watch_at
+        """Start the steps that are due, and the configuration watch if it should run."""
+        self._start(self.stewardship.tick())
+        due = self._clock.monotonic() >= self._next_watch_at
         if self.stewardship.watches_configuration and not self._watching and due:
             self._watching = True
-            ensureDeferred(self._watch()).addErrback(self._watch_failed).addBoth(self._watch_ended)
+            ensureDeferred(self._watch()).addErrback(self._on_watch_failure).addBoth(
+                self._watch_ended
+            )
 
     async def release(self) -> None:
-        """Give the lease up, so that a standby takes over without waiting for it to lapse."""
+        """Release the lease, so that a standby need not wait until it expires."""
         if self._lease is not None:
             await self._store.release(self._lease)
 
-    def _do(self, steps: list[Step]) -> None:
+    def _start(self, steps: list[Step]) -> None:
         for step in steps:
-            ensureDeferred(self._carry_out(step)).addErrback(self._failed)
+            ensureDeferred(self._execute(step)).addErrback(self._on_step_failure)
 
-    def _failed(self, failure: Failure) -> None:
+    def _on_step_failure(self, failure: Failure) -> None:
         self._on_fault(failure)
-        self._do(self.stewardship.store_failed())
+        self._start(self.stewardship.store_failed())
 
-    async def _carry_out(self, step: Step) -> None:
+    async def _execute(self, step: Step) -> None:
         match step:
             case TryLease(_, duration):
-                following = await self._try_lease(duration)
+                next_steps = await self._try_lease(duration)
             case Renew():
-                following = await self._renew()
+                next_steps = await self._renew()
             case WatchLease():
                 result = await self._store.watch(self._key, self._lease_index, WATCH_WAIT)
-                following = self._looked(result)
+                next_steps = self._on_lease_read(result)
             case ReadLease():
                 result = await self._store.watch(self._key, 0, WATCH_WAIT)
-                following = self._looked(result)
-        self._do(following)
+                next_steps = self._on_lease_read(result)
+        self._start(next_steps)
 
     async def _try_lease(self, duration: timedelta) -> list[Step]:
         match await self._store.create_lease(duration):
@@ -125,7 +133,7 @@
             case Result(tag="ok"):
                 await self._store.release(lease)
                 return self.stewardship.lease_refused()
-        # The key may be held by this lease, which nobody renews; it lapses by itself.
+        # The write may have succeeded; the lease is not renewed and expires.
         return self.stewardship.store_failed()
 
     async def _renew(self) -> list[Step]:
@@ -137,7 +145,7 @@
                 return self.stewardship.lease_lost()
         return self.stewardship.store_failed()
 
-    def _looked(self, result: Result[Watched, t.Any]) -> list[Step]:
+    def _on_lease_read(self, result: Result[Watched, t.Any]) -> list[Step]:
         match result:
             case Result(tag="ok", ok=Watched(record, index)):
                 self._lease_index = index
@@ -161,21 +169,21 @@
                     return
 
     def _offer(self, record: Record | None) -> None:
-        """Pass on what is new; a watch that ran out has the same record again."""
-        if record is None or self._offered != record:
+        """Offer a new record; a watch that timed out returns the same record again."""
+        if record is None or self._last_offered != record:
             offer_record(self._replica, record)
-        self._offered = record
+        self._last_offered = record
         self._on_offer()
 
-    def _watch_failed(self, failure: Failure) -> None:
+    def _on_watch_failure(self, failure: Failure) -> None:
         self._back_off()
         self._on_fault(failure)
 
     def _back_off(self) -> None:
         self._config_index = 0
-        wait = min(FIRST_BACK_OFF * 2 ** min(self._failures, 6), LAST_BACK_OFF)
+        wait = min(INITIAL_BACK_OFF * 2 ** min(self._failures, 6), MAX_BACK_OFF)
         self._failures += 1
-        self._watch_at = self._clock.monotonic() + wait * self._rng.uniform(0.5, 1.0)
+        self._next_watch_at = self._clock.monotonic() + wait * self._rng.uniform(0.5, 1.0)
 
     def _watch_ended(self, _: object) -> None:
         self._watching = False
--- a/packages/entry/src/cardamomloft/entry/stopping.py
+++ b/packages/entry/src/cardamomloft/entry/stopping.py
@@ -1,4 +1,4 @@
-"""The end of a graceful stop: what is in flight finishes, and the shares are handed over."""
+"""The last phase of a stop: requests in flight finish and the shares are handed over."""
 
 import typing as t
 from datetime import timedelta
@@ -10,39 +10,41 @@
 if t.TYPE_CHECKING:
     from cardamomloft.entry.node import EntryNode
 
-LOOK_EVERY = timedelta(milliseconds=50)
-"""How often it is looked whether everything has come to its end."""
+POLL_INTERVAL = timedelta(milliseconds=50)
+"""Interval at which the conditions for the next step are checked."""
 
-CLEAR_PATIENCE = timedelta(seconds=2)
-"""How long borrowers have to return what this entry has lent."""
+LOAN_RETURN_TIMEOUT = timedelta(seconds=2)
+"""How long to wait until borrowers have returned the loans of this entry."""
 
 
 async def close(node: "EntryNode", timers: Timers, clock: Clock) -> None:
-    """Finish what is in flight, hand the shares over, close the connections."""
+    """Wait for requests in flight, hand the shares over and close the callers' connections."""
     await node.app.drained()
-    while node.executor is not None and (node.executor.running or node.forwarder.lingering):
-        await timers.sleep(LOOK_EVERY)
+    while node.executor is not None and (
+        node.executor.running or node.forwarder.pending_cancellations
+    ):
+        await timers.sleep(POLL_INTERVAL)
     node.gossip.send(node.shares.hand_over(), None)
-    end = clock.monotonic() + CLEAR_PATIENCE
-    while not node.shares.is_clear and clock.monotonic() < end:
-        await timers.sleep(LOOK_EVERY)
+    deadline = clock.monotonic() + LOAN_RETURN_TIMEOUT
+    while not node.shares.is_clear and clock.monotonic() < deadline:
+        await timers.sleep(POLL_INTERVAL)
     if node.shares.is_clear and node.seat.recorded:
-        noted = await node.seat.note_stop()
+        noted = await node.seat.record_stop()
         log("handed-over", noted=noted)
     if node.steward is not None:
         await node.steward.release()
     await node.app.disconnect()
-    node.life.drained()
+    node.lifecycle.drained()
 
 
-def cut_off(node: "EntryNode") -> None:
-    """Stop in spite of requests in flight, and say which."""
-    if node.life.state() == "stopped":
+def force_stop(node: "EntryNode") -> None:
+    """Stop despite requests in flight, and log these."""
+    if node.lifecycle.state() == "stopped":
         return
-    flights = node.router.in_flight() if node.router else []
+    dispatches = node.router.in_flight() if node.router else []
     log(
         "cut-off",
-        requests=[f"{d.ticket.req.method} {d.ticket.req.path}" for d in flights],
-        endpoints=[d.endpoint.name for d in flights],
+        requests=[f"{d.ticket.req.method} {d.ticket.req.path}" for d in dispatches],
+        endpoints=[d.endpoint.name for d in dispatches],
     )
-    node.life.drained()
+    node.lifecycle.drained()
--- a/packages/entry/src/cardamomloft/entry/vms.py
+++ b/packages/entry/src/cardamomloft/entry/vms.py
@@ -1,4 +1,4 @@
-"""Watching the platform's VM list: stewards often, all others seldom and by notices."""
+"""Polls the platform's VM list: stewards often, other entries seldom and by notices."""
 
 from collections.abc import Callable, Sequence
 from datetime import datetime, timedelta
@@ -12,22 +12,29 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 
 PER_ENTRY = timedelta(milliseconds=100)
+"""Poll interval of an ordinary entry, per entry of the roster."""
 
 
 class VmWatch:
-    """One entry's knowledge of the list.
+    """The VM list as one entry knows it.
 
     Parameters
     ----------
+    vms
+        Fetches the list.
+    clock
+        Source of time.
+    metrics
+        Counts failed fetches and malformed notices.
     on_rows
-        Told of the whole list after each fetch and notice.
+        Called with all rows after each fetch and notice.
     send
         Sends notices to peers.
 
     Attributes
     ----------
     fetched_at
-        When the list was last fetched, monotonic.
+        When the list was last fetched, monotonic; None before.
     """
 
     def __init__(
@@ -44,32 +51,32 @@
         self._metrics = metrics
         self._on_rows = on_rows
         self._send = send
-        self._due = timedelta(0)
+        self._next_fetch_at = timedelta(0)
         self._rows: dict[str, VmRow] = {}
 
     def poll(
-        self, roster: int, *, watches: bool, tells: Sequence[str] = ()
+        self, roster: int, *, at_each_call: bool, notify: Sequence[str] = ()
     ) -> "Deferred[None] | None":
-        """Fetch the list if that is due.
+        """Fetch the list if a fetch is due.
 
         Parameters
         ----------
         roster
-            Entries in the roster; the more there are, the seldomer each one asks.
+            Number of entries in the roster; the poll interval is proportional to it.
         watches
-            Whether this entry is a steward or stands in for one, and asks at each call.
+            Whether to fetch at each call, as stewards and their standbys do.
         tells
-            Seats that are to hear of changed rows from here.
+            Seats that get a notice of each changed row.
         """
         now = self._clock.monotonic()
-        if now < self._due:
+        if now < self._next_fetch_at:
             return None
-        if not watches:
-            self._due = now + roster * PER_ENTRY
-        return ensureDeferred(self._fetch(tells))
+        if not at_each_call:
+            self._next_fetch_at = now + roster * PER_ENTRY
+        return ensureDeferred(self._fetch(notify))
 
     def on_notice(self, notice: VmNotice) -> None:
-        """Take a changed row from a steward."""
+        """Apply a changed row from a steward; a malformed one is counted and ignored."""
         try:
             row = VmRow(notice.name, notice.state, datetime.fromisoformat(notice.at))
         except ValueError:
@@ -78,7 +85,7 @@
         self._rows[row.name] = row
         self._on_rows(list(self._rows.values()))
 
-    async def _fetch(self, tells: Sequence[str]) -> None:
+    async def _fetch(self, notify: Sequence[str]) -> None:
         match await self._vms.fetch():
             case Result(tag="ok", ok=rows):
                 pass
@@ -89,6 +96,6 @@
         changed = [row for row in rows if self._rows and self._rows.get(row.name) != row]
         self._rows.update((row.name, row) for row in rows)
         notices = [VmNotice(row.name, row.state, row.at.isoformat()) for row in changed]
-        # By seat first, so that each link is opened once however many rows there are.
-        self._send([Outgoing(seat, notice) for seat in tells for notice in notices])
+        # Ordered by seat, so that each connection is opened once.
+        self._send([Outgoing(seat, notice) for seat in notify for notice in notices])
         self._on_rows(rows)
--- a/packages/entry/tests/test_executor.py
+++ b/packages/entry/tests/test_executor.py
@@ -1,4 +1,4 @@
-"""Operations: run once by one process, repeated to anybody, through replaced executors."""
+"""Operations run at most once and answer duplicates, also when executors are replaced."""
 
 import itertools
 import uuid
@@ -31,7 +31,11 @@
 
 
 class FakeStore:
-    """Claims; `faults` of acquire in order: None, "away", "lost" or "late" (written)."""
+    """Claims in memory, with faults to inject.
+
+    `faults` are used in order by `acquire`: None, "away" (not sent), "lost" (not written) or "late"
+    (written, answer lost).
+    """
 
     def __init__(self):
         self.claims = {}
@@ -39,15 +43,15 @@
         self.read_faults = []
         self.leases = []
         self.answer_later = False
-        self.lapsed = set()
+        self.expired = set()
 
     def renew(self, lease):
-        return succeed(Ok(lease not in self.lapsed))
+        return succeed(Ok(lease not in self.expired))
 
     def acquire(self, key, value, lease):
         fault = self.faults.pop(0) if self.faults else None
-        if lease in self.lapsed:
-            # The published service says this with an error that proves nothing.
+        if lease in self.expired:
+            # The store reports an unknown lease by an ambiguous error.
             return succeed(Error(StoreFailure(True, "status 500: invalid session")))
         if fault == "away":
             return succeed(Error(StoreFailure(False, "away")))
@@ -74,7 +78,7 @@
 
 
 class FakeForwarder:
-    """Runs that end when the test says so."""
+    """Runs that end when the test ends them."""
 
     def __init__(self, runs):
         self.runs = runs
@@ -94,18 +98,18 @@
 
 
 class Fleet:
-    """Entries that pass requests on to each other, and one store."""
+    """Two entries that forward requests to each other, and one store."""
 
     def __init__(self):
         self.clock, self.store = ManualClock(), FakeStore()
-        self.runs, self.lives, self.entries = [], itertools.count(1), {}
-        self.ids, self.cut_off, self.current = {}, set(), {}
+        self.runs, self.numbers, self.entries = [], itertools.count(1), {}
+        self.ids, self.unreachable, self.current = {}, set(), {}
         self.faults = []
         for seat in ("e1", "e2"):
             self.start(seat)
 
     def start(self, seat):
-        me = Incarnation(seat, f"life{next(self.lives)}")
+        me = Incarnation(seat, f"life{next(self.numbers)}")
         claims = Claims(me, self.clock, writes_per_s=100)
         claims.on_lease(claims.want_lease(), f"lease-{me.number}")
         self.ids[seat] = OperationIds(me, self.clock, bytes(32))
@@ -126,9 +130,9 @@
         )
 
     def send(self, sent):
-        """Stand in for the client that passes requests on."""
+        """Fake of the client that forwards requests to another entry."""
         seat = sent.endpoint.name.removeprefix("entry/")
-        if seat in self.cut_off:
+        if seat in self.unreachable:
             return succeed(Error(SendFailure(True, "refused")))
         caller = self.ask(seat, dict(sent.headers)["idempotency-key"], sent.body, sent.headers)
         answered = Deferred()
@@ -151,7 +155,7 @@
     def system_id(self, seat, unique="0123456789abcdef"):
         return f"{self.ids[seat].prefix().text}.{unique}"
 
-    def own_id(self, number=1):
+    def caller_supplied_id(self, number=1):
         stamp = int(self.clock.utcnow().timestamp() * 1000)
         value = stamp << 80 | 7 << 76 | 2 << 62 | number
         return str(uuid.UUID(int=value))
@@ -193,10 +197,10 @@
 
 @pytest.fixture(params=["system", "own"])
 def operation(request, fleet):
-    return fleet.system_id("e1") if request.param == "system" else fleet.own_id()
+    return fleet.system_id("e1") if request.param == "system" else fleet.caller_supplied_id()
 
 
-def test_repeats_join_the_run_and_later_ones_get_its_answer(fleet, operation):
+def test_duplicates_join_the_run_or_get_its_kept_answer(fleet, operation):
     first, second = fleet.ask("e1", operation), fleet.ask("e1", operation)
     assert first.answers == second.answers == []
     fleet.finish()
@@ -207,7 +211,7 @@
     assert len(fleet.runs) == 1
 
 
-def test_a_repeat_at_another_entry_is_passed_on(fleet, operation):
+def test_a_duplicate_at_another_entry_is_forwarded_to_the_executor(fleet, operation):
     first, second = fleet.ask("e1", operation), fleet.ask("e2", operation)
     fleet.finish()
     assert (first.answers[0].body, second.answers[0].body) == (b"receipt", b"receipt")
@@ -222,14 +226,14 @@
     assert caller.outcome == "complete" and len(fleet.runs) == 1
 
 
-def test_an_executor_that_cannot_be_reached_leaves_the_outcome_unknown(fleet, operation):
+def test_an_unreachable_executor_leaves_the_outcome_unknown(fleet, operation):
     fleet.ask("e1", operation)
-    fleet.cut_off.add("e1")
+    fleet.unreachable.add("e1")
     assert fleet.ask("e2", operation).outcome == "unknown"
     assert len(fleet.runs) == 1
 
 
-def test_after_its_executor_was_replaced_an_operation_is_unknown_everywhere(fleet, operation):
+def test_an_operation_of_a_replaced_executor_is_unknown_at_every_entry(fleet, operation):
     fleet.ask("e1", operation)
     fleet.start("e1")
     for seat in ("e1", "e2"):
@@ -238,17 +242,17 @@
     assert fleet.ask("e1", operation).outcome == "unknown" and len(fleet.runs) == 1
 
 
-def test_a_request_is_passed_on_once_at_most(fleet):
+def test_a_request_is_forwarded_to_an_executor_at_most_once(fleet):
     operation = fleet.system_id("e1")
     headers = (("idempotency-key", operation), (PASSED_ON_HEADER, "e3"))
     assert fleet.ask("e2", operation, headers=headers).outcome == "unknown"
     assert fleet.runs == []
 
 
-def test_a_caller_that_leaves_ends_its_request_and_the_run_goes_on(fleet, operation):
+def test_a_caller_that_disconnects_ends_its_request_but_not_the_run(fleet, operation):
     first = fleet.ask("e1", operation)
     first.gone.callback(None)
-    assert len(first.answers) == 1, "the request of a caller that has left never ends"
+    assert len(first.answers) == 1, "the request of a disconnected caller never ends"
     assert fleet.entries["e1"].running == 1
     again = fleet.ask("e1", operation)
     fleet.finish()
@@ -256,21 +260,21 @@
     assert len(fleet.runs) == 1
 
 
-def test_a_caller_that_left_gets_the_answer_by_its_repeat(fleet, operation):
+def test_a_disconnected_caller_gets_the_kept_answer_by_a_duplicate(fleet, operation):
     fleet.ask("e1", operation).gone.callback(None)
     fleet.finish()
     assert fleet.ask("e1", operation).answers[0].body == b"receipt"
     assert len(fleet.runs) == 1 and fleet.entries["e1"].running == 0
 
 
-def test_a_run_with_an_unknown_end_is_not_repeated(fleet, operation):
+def test_a_run_with_an_unknown_outcome_is_not_run_again(fleet, operation):
     first = fleet.ask("e1", operation)
     fleet.finish(Unknown("cut short"))
     assert (first.outcome, fleet.ask("e1", operation).outcome) == ("unknown", "unknown")
     assert len(fleet.runs) == 1
 
 
-def test_a_run_that_provably_did_not_happen_may_be_tried_again(fleet, operation):
+def test_a_refused_run_may_be_run_by_a_later_request(fleet, operation):
     first, joined = fleet.ask("e1", operation), fleet.ask("e1", operation)
     fleet.finish(Refusal(RefusalReason.SHED))
     assert (first.outcome, joined.outcome) == ("refused", "refused")
@@ -279,7 +283,7 @@
     assert again.outcome == "complete" and len(fleet.runs) == 2
 
 
-def test_a_fault_while_running_leaves_the_outcome_unknown(fleet, operation):
+def test_an_exception_in_a_run_leaves_the_outcome_unknown(fleet, operation):
     first = fleet.ask("e1", operation)
     _, run = fleet.runs[0]
     run.errback(RuntimeError("a defect"))
@@ -288,7 +292,7 @@
     assert [fault.type for fault in fleet.faults] == [RuntimeError]
 
 
-def test_an_id_used_for_another_request_runs_nothing(fleet, operation):
+def test_an_id_reused_for_a_different_request_is_refused(fleet, operation):
     fleet.ask("e1", operation)
     for seat in ("e1", "e2"):
         assert fleet.ask(seat, operation, b"another order").outcome == "refused"
@@ -307,16 +311,16 @@
 
 
 @pytest.mark.parametrize("operation_text", ["x", "v1.e1.life1.0.forged.0123456789abcdef"])
-def test_what_nobody_handed_out_runs_nothing(fleet, operation_text):
+def test_a_malformed_or_forged_id_is_refused(fleet, operation_text):
     assert fleet.ask("e1", operation_text).outcome == "refused" and fleet.runs == []
 
 
-# Ids of the callers' own making.
+# Caller-supplied ids.
 
 
 @pytest.mark.parametrize("fault", ["lost", "late"])
-def test_an_ambiguous_claim_is_settled_by_reading_it_back(fleet, fault):
-    operation = fleet.own_id()
+def test_an_ambiguous_claim_write_is_resolved_by_reading_it_back(fleet, fault):
+    operation = fleet.caller_supplied_id()
     fleet.store.faults = [fault]
     first = fleet.ask("e1", operation)
     fleet.finish()
@@ -327,26 +331,26 @@
 
 @pytest.mark.parametrize("fault", ["lost", "late"])
 def test_an_ambiguous_claim_that_cannot_be_read_runs_nothing(fleet, fault):
-    operation = fleet.own_id()
+    operation = fleet.caller_supplied_id()
     fleet.store.faults, fleet.store.read_faults = [fault], ["away"]
     assert fleet.ask("e1", operation).outcome == "refused"
     assert fleet.runs == []
     again = fleet.ask("e2", operation)
-    # The claim of e1, if it was written, stands: e2 passes the repeat on.
+    # If the claim of e1 was written, it is valid, and e2 forwards the duplicate.
     fleet.finish()
     assert again.outcome == "complete" and len(fleet.runs) == 1
 
 
-def test_with_the_store_away_own_ids_are_refused_and_system_ids_work(fleet):
+def test_an_unavailable_store_blocks_caller_supplied_ids_only(fleet):
     fleet.store.faults = ["away"] * 2
-    assert fleet.ask("e1", fleet.own_id()).outcome == "refused"
+    assert fleet.ask("e1", fleet.caller_supplied_id()).outcome == "refused"
     caller = fleet.ask("e1", fleet.system_id("e1"))
     fleet.finish()
     assert caller.outcome == "complete"
 
 
-def test_two_entries_that_get_one_own_id_at_once_run_it_once(fleet):
-    operation = fleet.own_id()
+def test_two_entries_that_receive_one_caller_supplied_id_run_it_once(fleet):
+    operation = fleet.caller_supplied_id()
     callers = [fleet.ask(seat, operation) for seat in ("e2", "e1", "e2")]
     fleet.finish()
     assert [caller.outcome for caller in callers] == ["complete"] * 3
@@ -354,11 +358,11 @@
 
 
 @pytest.mark.parametrize("later", [True, False])
-def test_a_new_lease_is_taken_each_time_the_old_one_gets_short(fleet, later):
+def test_a_new_lease_is_created_when_the_old_one_is_too_short(fleet, later):
     fleet.store.answer_later = later
     for count in (1, 2):
         fleet.clock.advance(timedelta(minutes=11))
-        callers = [fleet.ask("e1", fleet.own_id(10 * count + n)) for n in (1, 2)]
+        callers = [fleet.ask("e1", fleet.caller_supplied_id(10 * count + n)) for n in (1, 2)]
         assert len(fleet.store.leases) == count
         if later:
             assert callers[0].answers == callers[1].answers == []
@@ -369,22 +373,22 @@
 
 
 def test_a_lease_that_the_store_has_lost_is_replaced(fleet):
-    first = fleet.ask("e1", fleet.own_id(1))
+    first = fleet.ask("e1", fleet.caller_supplied_id(1))
     fleet.finish()
     assert first.outcome == "complete"
-    fleet.store.lapsed.add("lease-life1")
+    fleet.store.expired.add("lease-life1")
     fleet.clock.advance(timedelta(seconds=5))
-    assert fleet.ask("e1", fleet.own_id(2)).outcome == "refused"
-    caller = fleet.ask("e1", fleet.own_id(3))
+    assert fleet.ask("e1", fleet.caller_supplied_id(2)).outcome == "refused"
+    caller = fleet.ask("e1", fleet.caller_supplied_id(3))
     fleet.finish()
     assert caller.outcome == "complete" and len(fleet.store.leases) == 1
 
 
-def test_leases_that_cannot_be_had_cost_the_store_no_more_calls_than_the_budget(fleet):
+def test_failed_lease_creations_cost_no_more_store_calls_than_the_budget(fleet):
     fleet.clock.advance(timedelta(hours=1))
     fleet.store.answer_later = True
     for number in range(300):
-        caller = fleet.ask("e1", fleet.own_id(number))
+        caller = fleet.ask("e1", fleet.caller_supplied_id(number))
         if not fleet.store.leases[-1].called:
             fleet.store.leases[-1].callback(Error(StoreFailure(False, "away")))
         assert caller.outcome == "refused"
--- a/packages/entry/tests/test_forwarding.py
+++ b/packages/entry/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Requests that are carried to upstreams, when answers fail to come, come short or are refused."""
+"""Forwarding to upstreams when answers are lost, incomplete or refused."""
 
 import random
 from datetime import timedelta
@@ -40,7 +40,7 @@
 
 
 class FakeBody:
-    """An upstream's body; what comes of it is told by `end`."""
+    """An upstream's body, which ends when the test calls `end`."""
 
     def __init__(self):
         self.consumer = None
@@ -64,7 +64,7 @@
 
 
 class FakeClient:
-    """Requests as sent; as with the real client, a cancelled one ends in a failure."""
+    """Records requests; cancelling one makes it fail, as with the real client."""
 
     def __init__(self):
         self.sent = []
@@ -127,12 +127,12 @@
         head = RequestHead(method, "/m/7", "q=1", headers, "127.0.0.1", len(body), False)
         return self.forwarder.classify(head).ok, head
 
-    def stream(self, method="GET", body=b"", headers=(), *, whole=True):
+    def stream(self, method="GET", body=b"", headers=(), *, ended=True):
         req, head = self.request(method, body, headers)
-        caller = Caller(RequestBody(len(body) if whole else 1_000_000, Flow()))
+        caller = Caller(RequestBody(len(body) if ended else 1_000_000, Flow()))
         if body:
             caller.body.data_received(body)
-        if whole:
+        if ended:
             caller.body.end()
         coroutine = self.forwarder.stream(req, head, caller.body, caller.gone)
         ensureDeferred(coroutine).addBoth(caller.answers.append)
@@ -168,7 +168,7 @@
     return Bench()
 
 
-def test_an_answer_is_streamed_whole_and_its_slot_is_free_at_its_end(bench):
+def test_a_streamed_answer_holds_its_slot_until_its_end(bench):
     caller = bench.stream()
     (sent,) = bench.client.sent
     assert (sent.path, sent.request_id) == ("/m/7?q=1", "e1-1-1")
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize(
     ("method", "outcome"), [("POST", ("unknown", 504)), ("GET", ("complete", 200))]
 )
-def test_after_sending_only_an_idempotent_request_is_repeated(bench, method, outcome):
+def test_after_sending_only_an_idempotent_request_is_retried(bench, method, outcome):
     caller = bench.stream(method, b"" if method == "GET" else b"order")
     bench.client.fail(not_run=False)
     if method == "GET":
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("shed", [True, False])
-def test_what_provably_did_not_run_is_sent_to_another_endpoint(bench, shed):
+def test_a_request_that_did_not_run_is_retried_at_another_endpoint(bench, shed):
     caller = bench.stream("POST", b"order")
     if shed:
         assert bench.client.answer(status=503, not_run=True).aborted
@@ -212,7 +212,7 @@
     assert caller.outcome == ("complete", 201)
 
 
-def test_when_every_upstream_sheds_the_caller_is_told_that_it_did_not_run(bench):
+def test_a_request_that_every_upstream_sheds_is_refused(bench):
     caller = bench.stream("POST", b"order")
     for at in range(3):
         bench.client.answer(at, status=503, not_run=True)
@@ -220,15 +220,15 @@
     assert bench.used() == 0 and bench.metrics.counters["refused.upstream-shed"] == 1
 
 
-def test_an_order_that_sheds_first_and_is_lost_then_is_not_called_refused(bench):
+def test_a_request_that_is_shed_and_then_lost_is_unknown_not_refused(bench):
     caller = bench.stream("POST", b"order")
     bench.client.answer(status=503, not_run=True)
     bench.client.fail(not_run=False)
     assert caller.outcome == ("unknown", 504) and len(bench.client.sent) == 2
 
 
-def test_an_upload_that_has_begun_is_not_sent_again(bench):
-    caller = bench.stream("POST", b"x" * 100, whole=False)
+def test_an_upload_that_has_begun_is_not_resent(bench):
+    caller = bench.stream("POST", b"x" * 100, ended=False)
     (sent,) = bench.client.sent
     sent.body.startProducing(Sink())
     bench.client.fail(not_run=False)
@@ -236,16 +236,16 @@
     assert len(bench.client.sent) == 1
 
 
-def test_an_upload_that_was_not_touched_goes_elsewhere(bench):
-    caller = bench.stream("POST", b"x" * 100, whole=False)
+def test_an_upload_that_was_not_read_is_retried_at_another_endpoint(bench):
+    caller = bench.stream("POST", b"x" * 100, ended=False)
     bench.client.fail(not_run=True)
     assert len(bench.client.sent) == 2
     bench.client.answer()
     assert caller.outcome == ("complete", 200)
 
 
-def test_an_upload_that_breaks_off_after_sending_is_not_called_not_run(bench):
-    caller = bench.stream("PUT", b"x" * 100, whole=False)
+def test_an_upload_that_fails_after_sending_is_not_refused(bench):
+    caller = bench.stream("PUT", b"x" * 100, ended=False)
     bench.client.sent[0].body.startProducing(Sink()).addErrback(lambda failure: None)
     caller.body.fail("the body is malformed")
     bench.client.fail(not_run=False)
@@ -264,38 +264,38 @@
 
 
 @pytest.mark.parametrize("confirmed", [True, False])
-def test_the_slot_is_kept_until_the_upstream_cannot_be_running_it(confirmed):
+def test_the_slot_is_held_until_the_upstream_has_stopped_the_request(confirmed):
     bench = Bench(["m-1"])
     bench.stream("POST", b"order")
     deadline = timedelta(seconds=2)
     bench.client.fail(not_run=False)
     assert bench.client.cancelled == [("m-1", "e1-1-1")]
-    assert bench.used() == 1 and bench.forwarder.lingering == 1
+    assert bench.used() == 1 and bench.forwarder.pending_cancellations == 1
     if confirmed:
         bench.client.stops[0].callback(False)
         assert bench.used() == 1
         bench.client.stops[1].callback(True)
-        assert bench.used() == 0 and bench.forwarder.lingering == 0
+        assert bench.used() == 0 and bench.forwarder.pending_cancellations == 0
         return
     for _ in range(3):
         bench.client.stops[-1].callback(False)
     bench.pass_time(2.2)
     assert bench.used() == 1 and bench.clock.monotonic() > deadline
     bench.pass_time(0.5)
-    assert bench.used() == 0 and bench.forwarder.lingering == 0
+    assert bench.used() == 0 and bench.forwarder.pending_cancellations == 0
 
 
-def test_a_caller_that_leaves_in_mid_run_stops_it_upstream(bench):
+def test_a_caller_that_disconnects_cancels_its_request_upstream(bench):
     caller = bench.stream()
     caller.gone.callback(None)
     assert len(bench.client.cancelled) == 1 and bench.used() == 1
     bench.client.stops[0].callback(True)
     assert bench.used() == 0
-    assert len(bench.client.sent) == 1, "nobody waits for the answer to another attempt"
+    assert len(bench.client.sent) == 1, "a request was retried after its caller disconnected"
     assert bench.metrics.counters["caller-left"] == 1
 
 
-def test_a_queued_caller_that_leaves_is_never_sent():
+def test_a_queued_request_of_a_disconnected_caller_is_never_sent():
     bench = Bench(["m-1"])
     bench.stream()
     waiting = bench.stream()
@@ -318,7 +318,7 @@
     assert second.outcome == ("complete", 200)
 
 
-def test_a_displaced_request_is_told_at_once_and_counted_once():
+def test_a_displaced_request_is_refused_at_once_and_counted_once():
     bench = Bench(["m-1"], max_queued=1)
     bench.stream()
     bulk = bench.stream(headers=(("x-priority", "bulk"),))
@@ -329,7 +329,7 @@
 
 
 @pytest.mark.parametrize("complete", [True, False])
-def test_a_cut_short_answer_is_never_passed_for_whole(complete):
+def test_an_incomplete_answer_is_never_reported_as_complete(complete):
     bench = Bench(["m-1"])
     caller = bench.stream()
     body = bench.client.answer()
@@ -341,7 +341,7 @@
     assert len(bench.client.cancelled) == (0 if complete else 1)
 
 
-def test_an_aborted_answer_keeps_its_slot_until_the_stop_is_confirmed():
+def test_an_aborted_answer_holds_its_slot_until_cancellation_is_confirmed():
     bench = Bench(["m-1"])
     caller = bench.stream()
     body = bench.client.answer()
@@ -352,14 +352,14 @@
     assert bench.used() == 0
 
 
-def test_after_the_deadline_nothing_is_sent_again(bench):
+def test_nothing_is_retried_after_the_deadline(bench):
     caller = bench.stream()
     bench.pass_time(2.1)
     bench.client.fail(not_run=False)
     assert len(bench.client.sent) == 1 and caller.outcome == ("failed", 502)
 
 
-def test_a_request_that_waits_past_its_deadline_was_not_run():
+def test_a_request_queued_past_its_deadline_is_refused_and_not_sent():
     bench = Bench(["m-1"])
     bench.stream("POST", b"first")
     caller = bench.stream("POST", b"second")
@@ -368,14 +368,14 @@
     assert [sent.body for sent in bench.client.sent] == [b"first"]
 
 
-def test_an_operation_gets_its_whole_answer_kept(bench):
+def test_the_complete_answer_of_an_operation_is_kept(bench):
     results = bench.collect()
     bench.client.answer(status=201).end(b"receipt")
     kept = KeptAnswer(201, (("content-type", "text/plain"),), b"receipt")
     assert results == [kept] and bench.used() == 0
 
 
-def test_an_operation_with_a_short_or_no_answer_is_unknown_and_not_repeated(bench):
+def test_an_operation_with_an_incomplete_or_lost_answer_is_unknown_and_not_retried(bench):
     short, lost, unsent = bench.collect(), bench.collect(), bench.collect()
     bench.client.answer(0).end(b"rec", complete=False)
     bench.client.fail(not_run=False, at=1)
@@ -386,7 +386,7 @@
     assert isinstance(unsent[0], Refusal)
 
 
-def test_a_late_dispatch_for_nobody_gives_its_slot_back():
+def test_a_dispatch_without_a_waiting_request_releases_its_slot():
     bench = Bench(["m-1"])
     running = bench.stream()
     req, _ = bench.request()
@@ -396,7 +396,7 @@
     assert bench.used() == 0 and len(bench.client.sent) == 1
 
 
-def test_unknown_services_are_refused_before_anything_is_decided(bench):
+def test_a_request_for_an_unknown_service_is_refused_without_using_a_slot(bench):
     head = RequestHead("GET", "/other", "", (), "127.0.0.1", 0, False)
     assert bench.forwarder.classify(head).error.reason is RefusalReason.NO_SERVICE
     assert bench.used() == 0
--- a/packages/entry/tests/test_maps.py
+++ b/packages/entry/tests/test_maps.py
@@ -1,4 +1,4 @@
-"""The client-block map by chunks: lost, forged and late ones, and what a change fetches."""
+"""Loading the client-block map: lost and forged chunks, and the chunks a change needs."""
 
 import random
 
@@ -21,14 +21,14 @@
 
 
 def load(loader, chunks):
-    """Ask peers until nothing is missing; return how many chunks were taken."""
-    taken = 0
+    """Load all missing chunks from peers; return their number."""
+    loaded = 0
     while loader.missing:
         for _, request in loader.next_requests(["e2"], from_store=False):
             assert isinstance(request, ChunkRequest)
             loader.take(request.digest, chunks[request.digest])
-            taken += 1
-    return taken
+            loaded += 1
+    return loaded
 
 
 def test_a_changed_block_fetches_its_chunk_only(loader):
@@ -42,7 +42,7 @@
     assert loader.map.site_of(ADDRESS) == "site-new"
 
 
-def test_forged_and_unwanted_chunks_are_dropped_and_lost_ones_asked_for_again(loader):
+def test_forged_and_unwanted_chunks_are_dropped_and_lost_ones_requested_again(loader):
     chunks = chunks_of(BLOCKS)
     loader.configure({"default": "d", "chunks": list(chunks)})
     first = next(iter(chunks))
@@ -53,7 +53,7 @@
     assert load(loader, chunks) == len(chunks)
 
 
-def test_a_chunk_that_is_here_is_passed_on_and_no_other(loader):
+def test_a_peer_gets_a_loaded_chunk_and_no_other(loader):
     chunks = chunks_of(BLOCKS)
     loader.configure({"default": "d", "chunks": list(chunks)})
     first = next(iter(chunks))
--- a/packages/entry/tests/test_node.py
+++ b/packages/entry/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The assembled entry on a fake clock: starts, outages, stops, and what its pages say."""
+"""The assembled entry on a fake clock: starts, outages, stops and status pages."""
 
 import json
 import random
@@ -16,7 +16,7 @@
 from cardamomloft.core.model import Incarnation, Refusal, RefusalReason
 from cardamomloft.core.replication import pack
 from cardamomloft.entry.node import EntryNode
-from cardamomloft.entry.outside import Outside
+from cardamomloft.entry.outside import Adapters
 from cardamomloft.store.failures import StoreFailure
 from cardamomloft.store.keyvalue import Record
 from expression import Error, Ok
@@ -122,15 +122,15 @@
 
 
 class Bench:
-    """A node whose edges are fakes; `start` is without the sockets."""
+    """A node with fake adapters and peers; `start` opens no sockets."""
 
     def __init__(self, store=None, **settings):
         self.clock, self.reactor = ManualClock(), Clock()
         self.store = store or FakeStore()
         cfg = {**SETTINGS, **settings}
         self.vms = FakeVms()
-        outside = Outside(self.store, self.vms, FakeClient())
-        self.node = node = EntryNode(self.reactor, cfg, self.clock, random.Random(1), outside)
+        adapters = Adapters(self.store, self.vms, FakeClient())
+        self.node = node = EntryNode(self.reactor, cfg, self.clock, random.Random(1), adapters)
         node.peers = self.peers = FakePeers()
         self.ended = []
         node.stopped.addCallbacks(self.ended.append, lambda f: self.ended.append(f.type))
@@ -149,8 +149,8 @@
     def owned(self):
         return sum(row.own for row in self.node.shares.rows() if row.key == "slots/m-1")
 
-    def hear(self, message, seat="e2", life="1"):
-        self.node._on_message(Incarnation(seat, life), message)
+    def receive(self, message, seat="e2", number="1"):
+        self.node._on_message(Incarnation(seat, number), message)
 
     def digest(self, revision, state="ready"):
         return Digest(revision, revision, state, "", 0)
@@ -172,13 +172,13 @@
     return store
 
 
-def test_the_first_life_is_recorded_and_owns_its_shares(store):
+def test_the_first_incarnation_is_recorded_and_owns_its_shares(store):
     bench = Bench(store).start()
     assert bench.node.ready() and bench.owned() == 4
     assert not bench.seat_row()["stopped"]
 
 
-def test_after_a_crash_shares_wait_until_the_former_life_is_over(store):
+def test_after_a_crash_shares_are_quarantined_until_the_predecessor_has_ended(store):
     Bench(store).start()
     bench = Bench(store).start()
     assert bench.node.ready() and bench.owned() == 0
@@ -188,8 +188,8 @@
     assert bench.owned() == 4
 
 
-def test_no_share_is_owned_before_the_life_is_recorded(store):
-    """Else its own successor could not know that there was something to wait for."""
+def test_no_share_is_owned_before_the_incarnation_is_recorded(store):
+    """Otherwise its successor would not wait for its uses and loans to end."""
     bench = Bench(store)
     compare_and_swap = store.compare_and_swap
     store.compare_and_swap = lambda *args: succeed(AWAY)
@@ -203,7 +203,7 @@
     assert bench.node.ready()
 
 
-def test_without_a_configuration_everything_is_refused_as_not_run(store):
+def test_without_a_configuration_every_request_is_refused(store):
     store.away = True
     bench = Bench(store).start()
     assert not bench.node.ready()
@@ -214,24 +214,24 @@
     assert bench.node.ready() and not isinstance(bench.node.lookup("127.0.0.1"), Refusal)
 
 
-def test_with_the_store_away_the_configuration_comes_from_a_peer(store):
+def test_with_the_store_unavailable_the_configuration_comes_from_a_peer(store):
     store.away = True
     bench = Bench(store, peer_seeds=["127.0.0.1:7202"]).start()
-    asked = [m for address, m in bench.peers.sent if address == "127.0.0.1:7202"]
-    assert any(isinstance(message, DocumentRequest) for message in asked)
-    bench.hear(bench.digest(3))
-    bench.hear(DocumentReply(3, pack(document(("e1", "e2")))))
+    requests = [m for address, m in bench.peers.sent if address == "127.0.0.1:7202"]
+    assert any(isinstance(message, DocumentRequest) for message in requests)
+    bench.receive(bench.digest(3))
+    bench.receive(DocumentReply(3, pack(document(("e1", "e2")))))
     bench.pass_time(1)
-    bench.hear(bench.digest(3))
+    bench.receive(bench.digest(3))
     bench.pass_time(1)
     assert bench.node.status_page.status()["revision"] == 3 and bench.node.ready()
     assert bench.owned() == 0
 
 
-def test_an_older_revision_never_comes_back_into_force(store):
+def test_an_older_revision_is_never_put_in_force(store):
     bench = Bench(store).start()
     older = document(deployment="older")
-    bench.hear(DocumentReply(2, pack(older)))
+    bench.receive(DocumentReply(2, pack(older)))
     store.record(2, older)
     Deferred.fromCoroutine(bench.node._read_configuration())
     bench.pass_time(1)
@@ -239,7 +239,7 @@
     assert bench.node.router.document["deployment"] == "trial"
 
 
-def test_two_documents_under_one_number_end_the_process(store):
+def test_two_documents_with_one_revision_number_end_the_process(store):
     bench = Bench(store).start()
     store.record(3, document(deployment="other"))
     Deferred.fromCoroutine(bench.node._read_configuration()).addErrback(bench.node._on_fault)
@@ -251,29 +251,29 @@
 def test_after_a_pause_nothing_is_served_until_a_peer_confirms(store):
     store.record(4, document(("e1", "e2")))
     bench = Bench(store).start()
-    bench.hear(bench.digest(4))
+    bench.receive(bench.digest(4))
     assert bench.node.ready()
     bench.clock.advance(timedelta(seconds=30))
     bench.reactor.advance(0.025)
     assert bench.ask() == RefusalReason.NOT_READY
     assert isinstance(bench.node.lookup("127.0.0.1"), Refusal)
     bench.peers.sent.clear()
-    bench.node._spread()
+    bench.node._send_digests()
     assert {m.state for _, m in bench.peers.sent if isinstance(m, Digest)} == {"starting"}
     bench.pass_time(0.5)
-    bench.hear(bench.digest(4))
+    bench.receive(bench.digest(4))
     bench.pass_time(0.1)
     assert bench.node.ready()
 
 
-def test_a_planned_stop_leaves_look_ups_first_and_is_noted_as_clean(store):
+def test_a_planned_stop_leaves_look_ups_first_and_is_recorded_as_clean(store):
     store.record(4, document(("e1", "e2")))
     bench = Bench(store).start()
-    bench.hear(bench.digest(4))
+    bench.receive(bench.digest(4))
     bench.node.stop()
     bench.pass_time(0.1)
-    assert bench.node.life.state() == "leaving" and not bench.node.ready()
-    assert bench.node.life.admits()
+    assert bench.node.lifecycle.state() == "leaving" and not bench.node.ready()
+    assert bench.node.lifecycle.admits()
     assert [m.state for _, m in bench.peers.sent if isinstance(m, Digest)][-1] == "leaving"
     assert "e1" not in [entry["name"] for entry in bench.node.lookup("127.0.0.1")["entries"]]
     bench.pass_time(8)
@@ -282,19 +282,19 @@
     assert bench.ask() == RefusalReason.STOPPING
 
 
-def test_a_planned_stop_cuts_off_nothing_that_is_in_flight(store):
+def test_a_planned_stop_waits_for_requests_in_flight(store):
     bench = Bench(store).start()
     bench.node.app.in_flight = 1
     bench.node.stop()
     bench.pass_time(60)
-    assert bench.ended == [] and bench.node.life.state() == "closing"
+    assert bench.ended == [] and bench.node.lifecycle.state() == "closing"
     assert not bench.seat_row()["stopped"]
     bench.node.app._finished()
     bench.pass_time(5)
     assert bench.ended == [None] and bench.seat_row()["stopped"]
 
 
-def test_a_stop_waits_for_operations_whose_callers_have_left(store):
+def test_a_stop_waits_for_operations_of_disconnected_callers(store):
     bench = Bench(store).start()
     bench.node.executor.running = 1
     bench.node.stop()
@@ -305,7 +305,7 @@
     assert bench.ended == [None]
 
 
-def test_a_hard_limit_ends_a_stop_and_is_not_noted_as_clean(store):
+def test_a_stop_at_its_hard_limit_is_not_recorded_as_clean(store):
     bench = Bench(store, hard_stop_ms=5000).start()
     bench.node.app.in_flight = 1
     bench.node.stop()
@@ -313,7 +313,7 @@
     assert bench.ended == [None] and not bench.seat_row()["stopped"]
 
 
-def test_a_stop_with_the_store_away_ends_all_the_same(store):
+def test_a_stop_ends_with_the_store_unavailable(store):
     bench = Bench(store).start()
     store.away = True
     bench.node.stop()
@@ -321,7 +321,7 @@
     assert bench.ended == [None] and not bench.seat_row()["stopped"]
 
 
-def test_a_stop_before_there_is_a_configuration_ends(store):
+def test_a_stop_without_a_configuration_ends(store):
     store.away = True
     bench = Bench(store).start()
     bench.node.stop()
@@ -329,10 +329,10 @@
     assert bench.ended == [None]
 
 
-def test_a_vm_list_that_stops_or_lags_takes_nobody_for_gone(store):
+def test_an_unavailable_vm_list_marks_no_entry_as_gone(store):
     store.record(4, document(("e1", "e2")))
     bench = Bench(store).start()
-    bench.hear(bench.digest(4))
+    bench.receive(bench.digest(4))
     vms = bench.vms
     vms.rows = [VmRow(seat, "live", bench.clock.utcnow()) for seat in ("e1", "e2")]
     bench.pass_time(3)
@@ -343,7 +343,7 @@
     assert bench.node.status_page.status()["vms_age_ms"] > 50_000
 
 
-def test_a_fault_in_one_tick_is_counted_and_the_next_one_comes(store):
+def test_an_exception_in_a_tick_is_counted_and_the_ticks_continue(store):
     bench = Bench(store).start()
     tick, bench.node.router.steering.tick = bench.node.router.steering.tick, lambda: 1 / 0
     bench.pass_time(0.5)
@@ -379,16 +379,16 @@
     return next(row for row in rows if row["name"] == name)
 
 
-def test_a_drain_of_an_entry_is_done_there_when_nothing_is_in_flight(store):
+def test_a_drained_entry_is_done_only_without_requests_in_flight(store):
     drains = {seat: {"kind": "entry", "since": "2026-01-01T00:00:00Z"} for seat in ("e1", "e2")}
     store.record(4, document(("e1", "e2"), drains=drains))
     bench = Bench(store).start()
-    bench.hear(bench.digest(4))
+    bench.receive(bench.digest(4))
     bench.node.app.in_flight = 2
-    mine, other = drain_row(bench, "e1"), drain_row(bench, "e2")
-    assert (mine["kind"], mine["in_flight"], mine["done"]) == ("entry", 2, False)
-    # Nothing is known of when its requests end; 0 would be shown as the expected drain time.
-    assert mine["expected_end_ms"] != 0
+    own, other = drain_row(bench, "e1"), drain_row(bench, "e2")
+    assert (own["kind"], own["in_flight"], own["done"]) == ("entry", 2, False)
+    # The end of its requests is unknown; 0 would be shown as an expected drain time of zero.
+    assert own["expected_end_ms"] != 0
     assert (other["in_flight"], other["done"]) == (0, True)
     bench.node.app.in_flight = 0
     assert drain_row(bench, "e1")["done"]
@@ -399,10 +399,10 @@
     drains = {"e1": {"kind": "entry", "since": "2026-01-01T00:00:00Z"}}
     store.record(4, document(("e1", "e2"), drains=drains))
     bench = Bench(store).start()
-    bench.hear(bench.digest(4))
+    bench.receive(bench.digest(4))
     bench.vms.rows = [VmRow(seat, "live", bench.clock.utcnow()) for seat in ("e1", "e2")]
     bench.pass_time(3)
-    bench.hear(bench.digest(4))
+    bench.receive(bench.digest(4))
     assert [entry["name"] for entry in bench.node.lookup("127.0.0.1")["entries"]] == ["e2"]
 
 
--- a/packages/entry/tests/test_pacing.py
+++ b/packages/entry/tests/test_pacing.py
@@ -1,11 +1,11 @@
-"""Streams that are held to a link's rate."""
+"""Streams limited to the rate of a link."""
 
 from datetime import timedelta
 
 import pytest
 from cardamomloft.callers.body import BodyIncomplete, RequestBody
 from cardamomloft.callers.exchange import Delivery
-from cardamomloft.entry.forwarding import _flush
+from cardamomloft.entry.forwarding import _flush_delivery
 from cardamomloft.entry.pacing import PacedBody, PacedConsumer
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
@@ -14,7 +14,7 @@
 
 
 class FakePacer:
-    """Lets one piece go each second."""
+    """Allows one piece per second."""
 
     def __init__(self, reactor):
         self.reactor = reactor
@@ -47,7 +47,7 @@
 
 
 class Source:
-    """A push producer that keeps to its pauses."""
+    """A push producer that respects pauses."""
 
     def __init__(self, pieces):
         self.pieces = list(pieces)
@@ -100,7 +100,7 @@
     return results
 
 
-def test_pieces_keep_their_order_and_pace_and_hold_their_producer_back(reactor):
+def test_pieces_keep_their_order_and_rate_and_pause_the_producer(reactor):
     sink, source = Sink(), Source(PIECES)
     source.start(paced(reactor, sink))
     assert sink.written == PIECES[:1]
@@ -111,7 +111,7 @@
     assert sink.written == PIECES
 
 
-def test_the_end_is_told_only_when_the_last_piece_has_gone(reactor):
+def test_the_consumer_is_unregistered_only_after_the_last_piece(reactor):
     sink = Sink()
     consumer = paced(reactor, sink)
     consumer.registerProducer(Source([]), True)
@@ -125,7 +125,7 @@
     assert over == [None] and sink.events == [("unregistered", 3)]
 
 
-def test_a_slow_consumer_stops_the_stream_and_loses_nothing(reactor):
+def test_a_paused_consumer_pauses_the_stream_without_loss(reactor):
     sink, source = Sink(), Source(PIECES)
     source.start(paced(reactor, sink))
     sink.producer.pauseProducing()
@@ -136,35 +136,35 @@
     assert sink.written == PIECES
 
 
-def test_a_short_answer_drops_what_waits_and_ends_incomplete(reactor):
+def test_an_incomplete_answer_discards_the_waiting_pieces(reactor):
     sink = Sink()
     consumer = paced(reactor, sink)
     consumer.registerProducer(Source([]), True)
     for piece in PIECES[:3]:
         consumer.write(piece)
     consumer.unregisterProducer()
-    short = Delivery(False, 30, "cut short")
-    assert fired(_flush(short, consumer)) == [short]
+    incomplete = Delivery(False, 30, "cut short")
+    assert fired(_flush_delivery(incomplete, consumer)) == [incomplete]
     pass_time(reactor, 5)
     assert sink.written == PIECES[:1]
 
 
-def test_a_consumer_that_goes_ends_the_wait_for_what_was_left(reactor):
+def test_a_closed_consumer_ends_a_delivery_with_waiting_pieces(reactor):
     sink = Sink()
     consumer = paced(reactor, sink)
     consumer.registerProducer(Source([]), True)
     for piece in PIECES[:3]:
         consumer.write(piece)
     consumer.unregisterProducer()
-    over = fired(_flush(Delivery(True, 30), consumer))
+    over = fired(_flush_delivery(Delivery(True, 30), consumer))
     sink.producer.stopProducing()
     pass_time(reactor, 5)
     assert sink.written == PIECES[:1]
-    assert len(over) == 1, "the delivery never ends, and the request counts as in flight for ever"
+    assert len(over) == 1, "the delivery never ends, and the request counts as in flight forever"
     assert not over[0].complete
 
 
-def test_a_consumer_that_goes_stops_the_producer(reactor):
+def test_a_closed_consumer_stops_the_producer(reactor):
     sink, source = Sink(), Source(PIECES)
     source.start(paced(reactor, sink))
     sink.producer.stopProducing()
@@ -179,7 +179,7 @@
     return sink, body, fired(sent.startProducing(sink)), sent
 
 
-def test_an_upload_is_over_only_when_its_last_piece_has_been_sent(reactor):
+def test_an_upload_ends_only_after_its_last_piece_is_sent(reactor):
     sink, body, over, _ = start_body(reactor, 60)
     for piece in PIECES:
         body.data_received(piece)
@@ -190,7 +190,7 @@
     assert over == [None] and sink.written == PIECES
 
 
-def test_nothing_is_sent_of_an_upload_after_it_failed(reactor):
+def test_nothing_of_an_upload_is_sent_after_it_failed(reactor):
     sink, body, over, _ = start_body(reactor, 60)
     for piece in PIECES[:3]:
         body.data_received(piece)
@@ -200,7 +200,7 @@
     assert sink.written == PIECES[:1]
 
 
-def test_an_upload_that_is_stopped_sends_no_more(reactor):
+def test_a_stopped_upload_sends_nothing_more(reactor):
     sink, body, over, sent = start_body(reactor, 60)
     body.data_received(PIECES[0])
     body.data_received(PIECES[1])
--- a/packages/entry/tests/test_seat.py
+++ b/packages/entry/tests/test_seat.py
@@ -1,4 +1,4 @@
-"""The seat record under lost answers, outages, stops and crashes."""
+"""The seat record with lost answers, store outages, stops and crashes."""
 
 import json
 
@@ -12,7 +12,7 @@
 
 
 class FakeStore:
-    """One key; `faults` are used in order: None, "away", "lost" (not written), "late" (written)."""
+    """One key; `faults` in order: None, "away", "lost" (not written) or "late" (written)."""
 
     def __init__(self):
         self.record = None
@@ -51,7 +51,7 @@
     return FakeStore()
 
 
-def life(store, number):
+def seat_record(store, number):
     return SeatRecord(Incarnation("e1", number), store)
 
 
@@ -61,91 +61,91 @@
     return done[0]
 
 
-def test_the_first_life_has_no_predecessor(store):
-    first = life(store, "1")
-    assert first.predecessor
+def test_the_first_incarnation_has_no_predecessor(store):
+    first = seat_record(store, "1")
+    assert first.may_have_predecessor
     assert run(first.record())
-    assert (first.recorded, first.predecessor) == (True, False)
+    assert (first.recorded, first.may_have_predecessor) == (True, False)
     assert store.row == {"incarnation": "1", "stopped": False}
 
 
-def test_after_a_clean_stop_the_next_life_need_not_wait(store):
-    first, second = life(store, "1"), life(store, "2")
-    assert run(first.record()) and run(first.note_stop())
+def test_after_a_clean_stop_there_is_no_predecessor(store):
+    first, second = seat_record(store, "1"), seat_record(store, "2")
+    assert run(first.record()) and run(first.record_stop())
     assert store.row["stopped"]
     assert run(second.record())
-    assert not second.predecessor
+    assert not second.may_have_predecessor
 
 
-def test_after_a_crash_the_next_life_has_a_predecessor(store):
-    first, second, third = (life(store, number) for number in "123")
+def test_after_a_crash_there_is_a_predecessor(store):
+    first, second, third = (seat_record(store, number) for number in "123")
     run(first.record())
-    assert run(second.record()) and second.predecessor
-    assert run(third.record()) and third.predecessor
+    assert run(second.record()) and second.may_have_predecessor
+    assert run(third.record()) and third.may_have_predecessor
 
 
-def test_with_the_store_away_nothing_is_recorded_and_a_predecessor_is_assumed(store):
-    first = life(store, "1")
+def test_with_the_store_unavailable_a_predecessor_is_assumed(store):
+    first = seat_record(store, "1")
     for faults in (["away"], [None, "away"]):
         store.faults = faults
         assert not run(first.record())
-        assert (first.recorded, first.predecessor) == (False, True)
+        assert (first.recorded, first.may_have_predecessor) == (False, True)
     assert store.record is None
-    assert run(first.record()) and not first.predecessor
+    assert run(first.record()) and not first.may_have_predecessor
 
 
 @pytest.mark.parametrize("fault", ["lost", "late"])
-def test_a_lost_answer_leaves_the_life_unrecorded_until_it_is_read_back(store, fault):
-    first, second = life(store, "1"), life(store, "2")
+def test_a_lost_answer_leaves_the_incarnation_unrecorded_until_it_is_read_back(store, fault):
+    first, second = seat_record(store, "1"), seat_record(store, "2")
     run(first.record())
     store.faults = [None, fault]
     assert not run(second.record())
     assert not second.recorded
     assert run(second.record())
-    assert second.recorded and second.predecessor
+    assert second.recorded and second.may_have_predecessor
     assert store.row["incarnation"] == "2"
 
 
 @pytest.mark.parametrize("fault", ["lost", "late"])
-def test_after_a_clean_stop_a_lost_answer_brings_no_predecessor(store, fault):
-    first, second = life(store, "1"), life(store, "2")
+def test_a_lost_answer_after_a_clean_stop_implies_no_predecessor(store, fault):
+    first, second = seat_record(store, "1"), seat_record(store, "2")
     run(first.record())
-    run(first.note_stop())
+    run(first.record_stop())
     store.faults = [None, fault]
-    assert not run(second.record()) and second.predecessor
-    assert run(second.record()) and not second.predecessor
+    assert not run(second.record()) and second.may_have_predecessor
+    assert run(second.record()) and not second.may_have_predecessor
 
 
 @pytest.mark.parametrize("fault", ["lost", "late", "away"])
-def test_a_stop_whose_note_is_lost_is_never_taken_for_clean_wrongly(store, fault):
-    first, second = life(store, "1"), life(store, "2")
+def test_a_stop_is_clean_only_if_its_record_reached_the_store(store, fault):
+    first, second = seat_record(store, "1"), seat_record(store, "2")
     run(first.record())
     store.faults = [None, fault]
-    assert not run(first.note_stop())
+    assert not run(first.record_stop())
     assert run(second.record())
-    # Only a note that reached the store counts, and then the stop was clean.
-    assert second.predecessor == (fault != "late")
+    # Only a "late" record reached the store.
+    assert second.may_have_predecessor == (fault != "late")
 
 
-def test_a_life_does_not_note_the_stop_of_another(store):
-    first, second = life(store, "1"), life(store, "2")
+def test_an_incarnation_does_not_record_the_stop_of_another(store):
+    first, second = seat_record(store, "1"), seat_record(store, "2")
     run(first.record())
     run(second.record())
-    assert not run(first.note_stop())
+    assert not run(first.record_stop())
     assert store.row == {"incarnation": "2", "stopped": False}
 
 
-def test_a_late_note_of_a_stop_does_not_overwrite_the_next_life(store):
-    first, second = life(store, "1"), life(store, "2")
+def test_a_late_stop_does_not_overwrite_the_record_of_the_next_incarnation(store):
+    first, second = seat_record(store, "1"), seat_record(store, "2")
     run(first.record())
     store.after_get = lambda: setattr(store, "after_get", lambda: None) or run(second.record())
-    assert not run(first.note_stop())
+    assert not run(first.record_stop())
     assert store.row == {"incarnation": "2", "stopped": False}
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b'{"incarnation": "1"}', b'{"stopped": true}'])
-def test_a_record_that_cannot_be_read_is_a_predecessor(store, value):
+def test_an_unreadable_record_counts_as_a_predecessor(store, value):
     store.record = Record(value, 7)
-    first = life(store, "1")
+    first = seat_record(store, "1")
     assert run(first.record())
-    assert first.predecessor
+    assert first.may_have_predecessor
--- a/packages/entry/tests/test_settings.py
+++ b/packages/entry/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file and ``--check``."""
+"""Validation of the settings file, and ``--check``."""
 
 import json
 
@@ -21,12 +21,12 @@
     return sorted(mistake.path for mistake in load_settings(json.dumps(raw)).error)
 
 
-def test_whole_settings_are_taken_as_they_are():
+def test_valid_settings_are_returned_unchanged():
     cfg = {**GOOD, "peer_seeds": ["127.0.0.1:7202"], "hard_stop_ms": 60_000}
     assert load_settings(json.dumps(cfg)).ok == cfg
 
 
-def test_every_mistake_is_reported_at_once_with_its_path():
+def test_all_mistakes_are_reported_with_their_paths():
     raw = {**GOOD, "callers": "localhost:1", "store": "https://127.0.0.1:1", "seatt": "x"}
     raw |= {"peer_seeds": ["127.0.0.1:1", "x"], "curve": {"public": "short"}}
     raw |= {"hard_stop_ms": 0, "max_in_flight": "5", "ledger_bytes": True}
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize(
     "text", ["", "{", "[]", "null", '{"seat": 1', '{"seat": "a", "seat": "b"}']
 )
-def test_what_is_no_object_is_a_mistake_too(text):
+def test_text_that_is_not_a_json_object_is_rejected(text):
     assert load_settings(text).is_error()
 
 
@@ -79,6 +79,6 @@
 
 
 @pytest.mark.parametrize("text", [None, b"\xff\xfe", b"{"])
-def test_check_refuses_what_cannot_be_read(check, text):
+def test_check_rejects_unreadable_settings(check, text):
     code, printed = check(text)
     assert code == main.EXIT_SETTINGS and printed.err
--- a/packages/entry/tests/test_steward.py
+++ b/packages/entry/tests/test_steward.py
@@ -1,4 +1,4 @@
-"""A steward's store calls under lapsed leases, outages and faults, on a fake clock."""
+"""A steward's store calls with expired leases, store outages and exceptions."""
 
 import random
 from collections import Counter
@@ -20,7 +20,7 @@
 
 
 class FakeStore:
-    """A lease key and the configuration; `away`, `raising` and `hanging` are its faults."""
+    """A lease key and the configuration record; `away` and `raising` inject faults."""
 
     def __init__(self):
         self.away = False
@@ -37,7 +37,7 @@
             raise RuntimeError("a defect")
         return succeed(AWAY if self.away else result())
 
-    def lapse(self):
+    def expire(self):
         self.holder = None
         self.leases.clear()
 
@@ -76,11 +76,11 @@
             self.watches.append(Deferred())
             return self.watches[-1]
 
-        def look():
+        def read_lease():
             held = None if self.holder is None else Record(self.holder[0].encode(), 1)
             return Ok(Watched(held, 1))
 
-        return self.answer("look", look)
+        return self.answer("read_lease", read_lease)
 
 
 class FakeReplica:
@@ -141,25 +141,25 @@
     return bench
 
 
-def test_a_steward_passes_on_what_its_watch_brings(steward):
+def test_a_steward_offers_the_records_of_its_watch(steward):
     steward.store.watches[-1].callback(Ok(Watched(record(4), 2)))
     assert steward.replica.offers == [3, 4] and steward.offered == 2
     assert len(steward.store.watches) == 2
 
 
-def test_a_lapsed_lease_is_noticed_and_tried_for_again(steward):
-    steward.store.lapse()
+def test_an_expired_lease_is_noticed_and_acquired_again(steward):
+    steward.store.expire()
     steward.store.holder = ("e2", "other")
     steward.run(10)
     assert not steward.is_steward and not steward.faults
-    steward.store.lapse()
+    steward.store.expire()
     steward.run(30)
     assert steward.is_steward and steward.store.holder[0] == "e1/1"
 
 
-def test_what_a_paused_steward_brings_late_is_only_offered(steward):
-    """Its lease has lapsed under it; the replica, not the lease, keeps copies from going back."""
-    steward.store.lapse()
+def test_a_late_record_of_a_paused_steward_is_only_offered(steward):
+    """The replica, not the lease, prevents copies from going back to an older revision."""
+    steward.store.expire()
     steward.clock.advance(timedelta(seconds=30))
     steward.store.watches[-1].callback(Ok(Watched(record(2), 2)))
     assert steward.replica.offers == [3, 2]
@@ -167,21 +167,23 @@
     assert not steward.faults
 
 
-def test_an_outage_costs_few_calls_and_is_over_by_itself(steward):
+def test_a_store_outage_costs_few_calls_and_is_recovered_from(steward):
     steward.store.away = True
     steward.store.watches[-1].callback(AWAY)
     before = steward.store.calls.total()
     steward.run(60)
-    assert steward.store.calls.total() - before <= 120, "more than two calls a second while away"
+    assert (
+        steward.store.calls.total() - before <= 120
+    ), "more than two calls per second during an outage"
     steward.store.away = False
-    steward.store.lapse()
+    steward.store.expire()
     steward.store.config = record(5)
     steward.run(60)
     assert steward.is_steward and steward.replica.offers[-1] == 5
 
 
 @pytest.mark.parametrize("standby", [True, False])
-def test_before_it_is_steward_an_outage_costs_few_calls(standby):
+def test_an_outage_costs_a_candidate_few_calls(standby):
     bench = Bench(standby)
     bench.store.away = True
     bench.run(60)
@@ -191,7 +193,7 @@
     assert bench.is_steward
 
 
-def test_a_fault_in_a_step_is_reported_and_the_next_step_still_comes():
+def test_an_exception_in_a_step_is_reported_and_the_steps_continue():
     bench = Bench()
     bench.store.raising = True
     bench.run(5)
@@ -201,7 +203,7 @@
     assert bench.is_steward
 
 
-def test_a_fault_in_the_watch_is_reported_and_the_watch_goes_on(steward):
+def test_an_exception_in_the_watch_is_reported_and_the_watch_continues(steward):
     steward.store.config = record(4)
     steward.replica.offer = lambda number, packed: 1 / 0
     steward.store.watches[-1].callback(Ok(Watched(record(4), 2)))
@@ -211,7 +213,7 @@
     assert steward.replica.offers == [3, 4]
 
 
-def test_a_lost_answer_to_acquiring_leaves_a_lease_that_lapses():
+def test_a_lease_whose_acquisition_was_not_confirmed_expires():
     bench = Bench()
     acquire = bench.store.acquire
 
@@ -223,19 +225,19 @@
     bench.store.acquire = lose
     bench.run(8)
     assert not bench.is_steward and bench.store.holder[0] == "e1/1"
-    bench.store.lapse()
+    bench.store.expire()
     bench.run(10)
     assert bench.is_steward and len(bench.store.leases) == 1
 
 
-def test_a_planned_stop_frees_the_lease(steward):
+def test_a_planned_stop_releases_the_lease(steward):
     assert steward.store.holder is not None
     ensureDeferred(steward.runner.release())
     assert steward.store.holder is None
 
 
 @pytest.mark.parametrize("value", [b"", b"{}", b"[1]", b'{"number": "1"}'])
-def test_a_value_that_is_no_record_is_not_offered(value):
+def test_a_malformed_record_is_not_offered(value):
     replica = FakeReplica()
     offer_record(replica, Record(value, 1))
     assert replica.offers == [] and replica.empty == 0
--- a/packages/entry/tests/test_vms.py
+++ b/packages/entry/tests/test_vms.py
@@ -1,4 +1,4 @@
-"""The VM list's rows: who asks how often, who tells whom, and what is malformed."""
+"""Polling the VM list: the interval, notices of changes, and malformed notices."""
 
 from datetime import timedelta
 
@@ -23,33 +23,33 @@
         return succeed(Ok(rows))
 
 
-def test_an_entry_of_a_large_fleet_asks_seldom_and_a_steward_at_each_call():
+def test_an_entry_of_a_large_fleet_polls_seldom_and_a_steward_at_each_call():
     bench = Bench()
     for _ in range(30):
-        bench.watch.poll(1500, watches=False)
+        bench.watch.poll(1500, at_each_call=False)
         bench.clock.advance(timedelta(seconds=2))
     assert bench.fetches == 1
     steward = Bench()
     for _ in range(30):
-        steward.watch.poll(1500, watches=True)
+        steward.watch.poll(1500, at_each_call=True)
     assert steward.fetches == 30
 
 
-def test_a_steward_tells_changed_rows_only_and_seat_by_seat():
+def test_a_steward_sends_notices_of_changed_rows_only_ordered_by_seat():
     bench = Bench()
     bench.listed = {"e1": "live", "e2": "live"}
-    bench.watch.poll(2, watches=True, tells=["e3", "e4"])
-    bench.watch.poll(2, watches=True, tells=["e3", "e4"])
+    bench.watch.poll(2, at_each_call=True, notify=["e3", "e4"])
+    bench.watch.poll(2, at_each_call=True, notify=["e3", "e4"])
     assert bench.sent == []
     bench.listed["e2"] = "gone"
-    bench.watch.poll(2, watches=True, tells=["e3", "e4"])
+    bench.watch.poll(2, at_each_call=True, notify=["e3", "e4"])
     assert [(seat, notice.name, notice.state) for seat, notice in bench.sent] == [
         ("e3", "e2", "gone"),
         ("e4", "e2", "gone"),
     ]
 
 
-def test_a_notice_is_taken_and_a_malformed_one_counted():
+def test_a_notice_is_applied_and_a_malformed_one_counted():
     bench = Bench()
     bench.watch.on_notice(VmNotice("e2", "gone", "2026-01-01T00:00:00+00:00"))
     assert [row.name for row in bench.seen[-1]] == ["e2"]
--- a/packages/runtime/src/cardamomloft/runtime/__init__.py
+++ b/packages/runtime/src/cardamomloft/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every process needs to run: event loop, timers, life cycle, logs, metrics, pages."""
+"""Runtime of every process: event loop, timers, lifecycle, logs, metrics, operators' pages."""
--- a/packages/runtime/src/cardamomloft/runtime/control.py
+++ b/packages/runtime/src/cardamomloft/runtime/control.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP pages of one entry: health, readiness, metrics, status, explain."""
+"""The operators' HTTP pages of a process: health, readiness, metrics, status, explain."""
 
 import json
 import typing as t
@@ -7,31 +7,31 @@
 from twisted.web.iweb import IRequest
 from twisted.web.server import Site
 
-_EXPLAIN_LIMIT = 65_536
+_MAX_EXPLAIN_BYTES = 65_536
 
 
 class StatusSource(t.Protocol):
-    """What the pages show; implemented by the entry's node."""
+    """Content of the pages, supplied by the process."""
 
     def ready(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether this process serves callers now."""
         ...
 
     def status(self, *, limits: bool = True) -> dict[str, t.Any]:
-        """Return the status page's object, with its list of limits or without."""
+        """Return the status page's JSON object; `limits` includes a row for each limit."""
         ...
 
     def metrics_text(self) -> str:
-        """Return the metrics page."""
+        """Return the metrics page in the Prometheus text format."""
         ...
 
-    def explain(self, question: dict[str, t.Any]) -> dict[str, t.Any]:
-        """Tell which rule would match a request, and why not the ones before."""
+    def explain(self, query: dict[str, t.Any]) -> dict[str, t.Any]:
+        """Return which rules match the request that the query describes, and why."""
         ...
 
 
 class ControlApp:
-    """Serves the pages of one :class:`StatusSource`."""
+    """Serves the pages of one :class:`StatusSource` over HTTP."""
 
     app = Klein()
 
@@ -62,17 +62,17 @@
     @app.route("/explain", methods=["POST"])
     def _explain(self, req: IRequest) -> bytes:
         try:
-            question = json.loads(req.content.read(_EXPLAIN_LIMIT))
+            query = json.loads(req.content.read(_MAX_EXPLAIN_BYTES))
         except ValueError as exc:
             req.setResponseCode(400)
-            return _send_json(req, {"error": f"not JSON: {exc}"})
-        if not isinstance(question, dict):
+            return _send_json(req, {"error": f"the request body is not JSON: {exc}"})
+        if not isinstance(query, dict):
             req.setResponseCode(400)
-            return _send_json(req, {"error": "an object is expected"})
-        return _send_json(req, self._source.explain(question))
+            return _send_json(req, {"error": "the request body must be a JSON object"})
+        return _send_json(req, self._source.explain(query))
 
     def site(self) -> Site:
-        """Return the site to listen with."""
+        """Return the Twisted site that serves the pages."""
         return Site(self.app.resource())
 
 
--- a/packages/runtime/src/cardamomloft/runtime/eventloop.py
+++ b/packages/runtime/src/cardamomloft/runtime/eventloop.py
@@ -1,8 +1,7 @@
-"""The event loop of every process: its timers count elapsed time.
+"""The event loop of every process, whose timers count elapsed time.
 
-Twisted's own loops set timers by the time of day. When that goes back by 6 s, nothing is due for
-6 s: no question to the store, no renewal of a lease, no timeout; when it goes ahead, every timeout
-ends early. So the loop counts by the clock that the decisions use too.
+Twisted's reactors time their calls by the time of day: a step back delays every timer, a step
+forward ends timeouts early. This reactor uses the same clock as the decisions.
 """
 
 from cardamomloft.core.clock import elapsed_seconds
@@ -11,19 +10,19 @@
 
 
 class ElapsedTimeReactor(EPollReactor):
-    """Twisted's epoll loop on a clock that is never set."""
+    """Twisted's epoll reactor on a clock that steps of the time of day do not change."""
 
     def seconds(self) -> float:
-        """Return the instant by which timers are set and due, in seconds of elapsed time."""
+        """Return the current time of the reactor's timers, in seconds of elapsed time."""
         return elapsed_seconds()
 
 
 def install_event_loop() -> None:
-    """Make it the loop of this process; call it before anything imports `reactor`.
+    """Install the reactor; must be called before anything imports `twisted.internet.reactor`.
 
     Raises
     ------
     twisted.internet.error.ReactorAlreadyInstalledError
-        If another loop is installed already.
+        If another reactor is installed already.
     """
     installReactor(ElapsedTimeReactor())
--- a/packages/runtime/src/cardamomloft/runtime/lifecycle.py
+++ b/packages/runtime/src/cardamomloft/runtime/lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of an entry as a state machine: starting, ready, leaving, closing, stopped.
+"""The lifecycle of a process as a state machine: starting, ready, leaving, closing, stopped.
 
-A leaving entry is no longer named in look-ups, but still takes what callers send who asked before;
-a closing one refuses new work and finishes what it has.
+A leaving process is no longer named in look-ups, but accepts requests of callers with a cached
+look-up. A closing one refuses new requests and finishes those in flight.
 """
 
 import typing as t
@@ -9,45 +9,45 @@
 from automat import TypeMachineBuilder
 
 
-class LifeCycle(t.Protocol):
-    """Inputs of the machine. Inputs that a state does not expect are ignored."""
+class Lifecycle(t.Protocol):
+    """Inputs and queries of the machine; an input that a state does not expect is ignored."""
 
     def prepared(self) -> None:
-        """The entry has a configuration and may serve."""
+        """Report that the process has a configuration and can serve."""
 
     def stop(self) -> None:
-        """A planned stop was asked for; asking again changes nothing."""
+        """Start a graceful stop; further calls have no effect."""
 
     def lingered(self) -> None:
-        """Callers have had time to ask again and hear of other entries."""
+        """Report that callers' cached look-ups have expired."""
 
     def drained(self) -> None:
-        """No request is in flight any more, or the hard limit was reached."""
+        """Report that no request is in flight, or that the stop must not wait longer."""
 
     def state(self) -> str:
-        """Return the state's name."""
+        """Return the name of the current state."""
 
     def admits(self) -> bool:
-        """Tell whether new work may be taken."""
+        """Return whether new requests are accepted."""
 
 
-class LifeActions(t.Protocol):
-    """What the owner does on transitions."""
+class LifecycleActions(t.Protocol):
+    """Actions of the owner on entering a state."""
 
     def on_ready(self) -> None:
-        """Tell peers that callers may come."""
+        """Announce that this process serves callers."""
 
     def on_leaving(self) -> None:
-        """Leave the look-ups."""
+        """Withdraw from look-ups."""
 
     def on_closing(self) -> None:
-        """Refuse new work, finish the old, hand the shares over."""
+        """Refuse new requests and finish those in flight."""
 
     def on_stopped(self) -> None:
-        """Release everything and end the process."""
+        """Release all resources and end the process."""
 
 
-_builder = TypeMachineBuilder(LifeCycle, LifeActions)
+_builder = TypeMachineBuilder(Lifecycle, LifecycleActions)
 _starting = _builder.state("starting")
 _ready = _builder.state("ready")
 _leaving = _builder.state("leaving")
@@ -55,34 +55,34 @@
 _stopped = _builder.state("stopped")
 
 
-@_starting.upon(LifeCycle.prepared).to(_ready)
-def _become_ready(lifecycle: LifeCycle, actions: LifeActions) -> None:
+@_starting.upon(Lifecycle.prepared).to(_ready)
+def _become_ready(lifecycle: Lifecycle, actions: LifecycleActions) -> None:
     actions.on_ready()
 
 
-@_starting.upon(LifeCycle.stop).to(_leaving)
-@_ready.upon(LifeCycle.stop).to(_leaving)
-def _leave(lifecycle: LifeCycle, actions: LifeActions) -> None:
+@_starting.upon(Lifecycle.stop).to(_leaving)
+@_ready.upon(Lifecycle.stop).to(_leaving)
+def _start_leaving(lifecycle: Lifecycle, actions: LifecycleActions) -> None:
     actions.on_leaving()
 
 
-@_leaving.upon(LifeCycle.lingered).to(_closing)
-def _close(lifecycle: LifeCycle, actions: LifeActions) -> None:
+@_leaving.upon(Lifecycle.lingered).to(_closing)
+def _start_closing(lifecycle: Lifecycle, actions: LifecycleActions) -> None:
     actions.on_closing()
 
 
-@_leaving.upon(LifeCycle.drained).to(_stopped)
-@_closing.upon(LifeCycle.drained).to(_stopped)
-def _finish(lifecycle: LifeCycle, actions: LifeActions) -> None:
+@_leaving.upon(Lifecycle.drained).to(_stopped)
+@_closing.upon(Lifecycle.drained).to(_stopped)
+def _stop(lifecycle: Lifecycle, actions: LifecycleActions) -> None:
     actions.on_stopped()
 
 
 _ADMITTING = ("ready", "leaving")
 _IGNORED = {
-    LifeCycle.prepared: (_ready, _leaving, _closing, _stopped),
-    LifeCycle.stop: (_leaving, _closing, _stopped),
-    LifeCycle.lingered: (_starting, _ready, _closing, _stopped),
-    LifeCycle.drained: (_starting, _ready, _stopped),
+    Lifecycle.prepared: (_ready, _leaving, _closing, _stopped),
+    Lifecycle.stop: (_leaving, _closing, _stopped),
+    Lifecycle.lingered: (_starting, _ready, _closing, _stopped),
+    Lifecycle.drained: (_starting, _ready, _stopped),
 }
 for _input, _states in _IGNORED.items():
     for _state in _states:
@@ -94,7 +94,7 @@
     ("closing", _closing),
     ("stopped", _stopped),
 ):
-    _state.upon(LifeCycle.state).loop().returns(_name)
-    _state.upon(LifeCycle.admits).loop().returns(_name in _ADMITTING)
+    _state.upon(Lifecycle.state).loop().returns(_name)
+    _state.upon(Lifecycle.admits).loop().returns(_name in _ADMITTING)
 
-make_life_cycle: t.Callable[[LifeActions], LifeCycle] = _builder.build()
+make_life_cycle: t.Callable[[LifecycleActions], Lifecycle] = _builder.build()
--- a/packages/runtime/src/cardamomloft/runtime/logs.py
+++ b/packages/runtime/src/cardamomloft/runtime/logs.py
@@ -7,18 +7,18 @@
 from twisted.logger import ILogObserver, LogEvent, LogLevel, formatEvent, globalLogBeginner
 from zope.interface import implementer
 
-KNOWN_KEPT = 1_000
-"""Mistakes of others that are kept to log each once; beyond it they may be logged again."""
+MAX_REPORTED = 1_000
+"""Keys whose last logged problem is kept; all are cleared beyond it, and may be logged again."""
 
 
 def log(event: str, **fields: object) -> None:
-    """Write one log line; `event` is its message type."""
+    """Write one log line with `fields`; `event` is its message type."""
     eliot.log_message(f"cardamomloft:{event}", **fields)
 
 
 @implementer(ILogObserver)
 class _TwistedObserver:
-    """Passes the loop's own warnings and failures on to the same stream."""
+    """Writes Twisted's warnings and errors to the log."""
 
     def __call__(self, event: LogEvent) -> None:
         if event["log_level"] in (LogLevel.warn, LogLevel.error, LogLevel.critical):
@@ -28,26 +28,26 @@
 
 
 def start_logs() -> None:
-    """Send eliot's and twisted's messages to standard output, one JSON object a line."""
+    """Write eliot's and Twisted's messages to standard output, one JSON object per line."""
     eliot.to_file(LogOutput(sys.stdout.fileno()))
     globalLogBeginner.beginLoggingTo([_TwistedObserver()], redirectStandardIO=False)
 
 
 class Known:
-    """What was logged already, so that it is logged once and not each time it is read again."""
+    """Remembers logged problems, so that each is logged once and not at every read."""
 
     def __init__(self) -> None:
         self._details: dict[str, str] = {}
 
     def is_new(self, key: str, detail: str) -> bool:
-        """Note what is wrong with `key`; return whether that is not known yet."""
+        """Record the problem `detail` of `key`; return whether it differs from the last one."""
         if self._details.get(key) == detail:
             return False
-        if len(self._details) >= KNOWN_KEPT:
+        if len(self._details) >= MAX_REPORTED:
             self._details.clear()
         self._details[key] = detail
         return True
 
     def forget(self, key: str) -> None:
-        """Note that nothing is wrong with `key` any more."""
+        """Record that `key` has no problem any more."""
         self._details.pop(key, None)
--- a/packages/runtime/src/cardamomloft/runtime/metrics.py
+++ b/packages/runtime/src/cardamomloft/runtime/metrics.py
@@ -1,18 +1,18 @@
-"""Counters and latency histograms by service, rendered for the operators' /metrics page."""
+"""Counters, and latency histograms by service, for the operators' /metrics page."""
 
 from collections import Counter
 from datetime import timedelta
 
 from hdrh.histogram import HdrHistogram
 
-_LOWEST_US = 1
-_HIGHEST_US = 600_000_000
-_DIGITS = 2
+_MIN_LATENCY_US = 1
+_MAX_LATENCY_US = 600_000_000
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class Metrics:
-    """All figures of one entry since its start."""
+    """Counters and latencies of one process since its start."""
 
     def __init__(self) -> None:
         self.counters: Counter[str] = Counter()
@@ -23,14 +23,16 @@
         self.counters[name] += by
 
     def observe(self, service: str, latency: timedelta) -> None:
-        """Record one answer's latency, from the request's head to the answer's end."""
+        """Record one latency, from the request's head to the end of the answer."""
         histogram = self._latency.get(service)
         if histogram is None:
-            histogram = self._latency[service] = HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
-        histogram.record_value(max(_LOWEST_US, int(latency / timedelta(microseconds=1))))
+            histogram = self._latency[service] = HdrHistogram(
+                _MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS
+            )
+        histogram.record_value(max(_MIN_LATENCY_US, int(latency / timedelta(microseconds=1))))
 
     def render(self) -> str:
-        """Return the figures in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         lines = [
             f"cardamomloft_{name.replace('-', '_').replace('.', '_')}_total {value}"
             for name, value in sorted(self.counters.items())
--- a/packages/runtime/src/cardamomloft/runtime/output.py
+++ b/packages/runtime/src/cardamomloft/runtime/output.py
@@ -1,54 +1,58 @@
-"""Standard output that never blocks the loop: what a slow reader does not take is left out."""
+"""Log output that never blocks the event loop: lines for a slow reader are dropped."""
 
 import json
 import os
 
-PENDING_BYTES = 256 * 1024
-"""Bytes kept for a reader that is behind: about six seconds of 100 lines of 413 bytes,
-the mean of the 3,844 lines about requests of one recorded day."""
+MAX_PENDING_BYTES = 256 * 1024
+"""Bytes buffered for a slow reader: some seconds of log lines about requests."""
 
 
 class LogOutput:
-    """A file-like object for log lines, over a descriptor that is made non-blocking.
+    """A file-like object that writes log lines to a descriptor, which becomes non-blocking.
 
     Parameters
     ----------
     descriptor
-        Where the lines go.
-    pending_bytes
-        How much is kept while the reader is behind; whole lines beyond it are left out, and
-        their number is logged when there is room again.
+        The file descriptor to write to.
+    max_pending_bytes
+        Bytes buffered for a slow reader; lines beyond it are dropped whole, and their number is
+        logged once the buffer is empty.
+
+    Attributes
+    ----------
+    dropped_lines
+        Number of lines dropped since the last such log line.
     """
 
-    def __init__(self, descriptor: int, pending_bytes: int = PENDING_BYTES) -> None:
+    def __init__(self, descriptor: int, max_pending_bytes: int = MAX_PENDING_BYTES) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._limit = pending_bytes
+        self._limit = max_pending_bytes
         self._pending = bytearray()
-        self.left_out = 0
+        self.dropped_lines = 0
 
     def write(self, line: bytes) -> int:
-        """Take one line, with its line end."""
+        """Write or buffer one line, which includes its line end, or drop it."""
         self.flush()
-        if self.left_out and not self._pending:
-            note = {"message_type": "cardamomloft:lines-left-out", "count": self.left_out}
+        if self.dropped_lines and not self._pending:
+            note = {"message_type": "cardamomloft:lines-left-out", "count": self.dropped_lines}
             self._pending += json.dumps(note).encode() + b"\n"
-            self.left_out = 0
+            self.dropped_lines = 0
         if len(self._pending) + len(line) <= self._limit:
             self._pending += line
         elif line:
-            self.left_out += 1
+            self.dropped_lines += 1
         return len(line)
 
     def flush(self) -> None:
-        """Write as much as the reader takes now."""
+        """Write as much of the buffer as possible without blocking."""
         while self._pending:
             try:
                 written = os.write(self._descriptor, self._pending)
             except BlockingIOError:
                 return
             except OSError:
-                # The reader has gone for good, and there is nowhere else to say so.
+                # The reader has closed its end; there is nowhere else to log this.
                 self._pending.clear()
                 return
             del self._pending[:written]
--- a/packages/runtime/src/cardamomloft/runtime/timers.py
+++ b/packages/runtime/src/cardamomloft/runtime/timers.py
@@ -1,4 +1,4 @@
-"""Repeated work of a process: one fault does not end the repetition."""
+"""Periodic calls of a process, which continue after a call has failed."""
 
 import typing as t
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 
 
 class Timers:
-    """All repeated calls of one process, stopped together.
+    """All periodic calls of one process, which are stopped together.
 
     Parameters
     ----------
     reactor
         The event loop.
     on_fault
-        Told of what a call raises; the next one still comes.
+        Called with the exception of a failed call; the period continues.
     """
 
     def __init__(self, reactor: t.Any, on_fault: Callable[[Failure], None]) -> None:
@@ -25,28 +25,28 @@
         self._on_fault = on_fault
         self._calls: list[LoopingCall] = []
 
-    def every(self, interval: timedelta, act: Callable[[], t.Any]) -> None:
-        """Call `act` now and each `interval`; one that returns a Deferred is waited for."""
-        call = LoopingCall(self._guard, act)
+    def every(self, interval: timedelta, action: Callable[[], t.Any]) -> None:
+        """Call `action` now and at each `interval`, but not before its last Deferred has fired."""
+        call = LoopingCall(self._guard, action)
         call.clock = self._reactor
         call.start(interval.total_seconds())
         self._calls.append(call)
 
     def stop(self) -> None:
-        """End the repetition."""
+        """Stop all periodic calls."""
         for call in self._calls:
             call.stop()
         self._calls.clear()
 
     def sleep(self, duration: timedelta) -> "Deferred[None]":
-        """Return a result that fires after `duration`."""
+        """Return a Deferred that fires after `duration`."""
         done: Deferred[None] = Deferred()
         self._reactor.callLater(duration.total_seconds(), done.callback, None)
         return done
 
-    def _guard(self, act: Callable[[], t.Any]) -> t.Any:
+    def _guard(self, action: Callable[[], t.Any]) -> t.Any:
         try:
-            result = act()
+            result = action()
         except Exception:
             self._on_fault(Failure())
             return None
--- a/packages/runtime/tests/test_eventloop.py
+++ b/packages/runtime/tests/test_eventloop.py
@@ -1,4 +1,4 @@
-"""Timers of the loop that every process installs, while the time of day and the VM's state move."""
+"""The reactor of every process, with steps of the time of day and suspension of the VM."""
 
 import subprocess
 import sys
@@ -14,7 +14,7 @@
     "operators": "from cardamomloft.operators.running import _run_loop as run; run({}, None, None)",
     "platform": "from cardamomloft.platform.main import main as run; run()",
 }
-"""How each program begins; none has settings here, so each ends after its loop is installed."""
+"""Start of each program; without settings each ends after its reactor is installed."""
 
 CHECK = """
 import contextlib, pathlib, sys
@@ -30,16 +30,14 @@
 
 @pytest.fixture
 def loop():
-    found = ElapsedTimeReactor()
-    yield found
-    for reader in found.removeAll():
+    reactor = ElapsedTimeReactor()
+    yield reactor
+    for reader in reactor.removeAll():
         reader.connectionLost(None)
 
 
 @pytest.mark.parametrize("step", [-20.0, 20.0])
-def test_a_timer_is_due_after_the_time_that_passed_whatever_the_time_of_day(
-    loop, monkeypatch, step
-):
+def test_a_step_of_the_time_of_day_does_not_move_a_timer(loop, monkeypatch, step):
     called = []
     loop.callLater(5.0, called.append, True)
     boot, day = clock.elapsed_seconds(), time.time()
@@ -50,16 +48,16 @@
         assert called == due
 
 
-def test_time_goes_on_while_the_machine_is_suspended(monkeypatch):
-    asked = []
-    monkeypatch.setattr(time, "clock_gettime", lambda which: asked.append(which) or 7.0)
-    monkeypatch.setattr(time, "clock_gettime_ns", lambda which: asked.append(which) or 7)
+def test_the_clock_includes_time_in_suspension(monkeypatch):
+    clocks = []
+    monkeypatch.setattr(time, "clock_gettime", lambda which: clocks.append(which) or 7.0)
+    monkeypatch.setattr(time, "clock_gettime_ns", lambda which: clocks.append(which) or 7)
     clock.elapsed_seconds()
     clock.SystemClock().monotonic()
-    assert asked == [time.CLOCK_BOOTTIME] * 2
+    assert clocks == [time.CLOCK_BOOTTIME] * 2
 
 
 @pytest.mark.parametrize("program", PROGRAMS)
-def test_every_program_runs_on_that_loop(program):
+def test_every_program_installs_the_elapsed_time_reactor(program):
     script = CHECK.format(start=PROGRAMS[program])
     subprocess.run([sys.executable, "-c", script], check=True, timeout=60)
--- a/packages/runtime/tests/test_lifecycle.py
+++ b/packages/runtime/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of an entry: which input leads where, and that nothing happens twice."""
+"""The lifecycle state machine: transitions, and that no action happens twice."""
 
 import itertools
 
@@ -19,15 +19,15 @@
 
 def play(*inputs):
     actions = Actions()
-    life = make_life_cycle(actions)
+    lifecycle = make_life_cycle(actions)
     for name in inputs:
-        getattr(life, name)()
-    return life, actions.done
+        getattr(lifecycle, name)()
+    return lifecycle, actions.done
 
 
 def test_a_planned_stop_goes_through_every_state():
-    life, done = play("prepared", "stop", "lingered", "drained")
-    assert life.state() == "stopped"
+    lifecycle, done = play("prepared", "stop", "lingered", "drained")
+    assert lifecycle.state() == "stopped"
     assert done == ["on_ready", "on_leaving", "on_closing", "on_stopped"]
 
 
@@ -44,21 +44,21 @@
         (("prepared", "drained"), "ready", True),
     ],
 )
-def test_what_each_state_admits(inputs, state, admits):
-    life, _ = play(*inputs)
-    assert (life.state(), life.admits()) == (state, admits)
+def test_new_requests_are_accepted_in_ready_and_leaving_only(inputs, state, admits):
+    lifecycle, _ = play(*inputs)
+    assert (lifecycle.state(), lifecycle.admits()) == (state, admits)
 
 
-def test_whatever_comes_in_any_order_no_action_is_done_twice_and_no_state_goes_back():
+def test_no_order_of_inputs_repeats_an_action_or_goes_back_a_state():
     for inputs in itertools.product(INPUTS, repeat=6):
         actions = Actions()
-        life = make_life_cycle(actions)
-        states = [life.state()]
+        lifecycle = make_life_cycle(actions)
+        states = [lifecycle.state()]
         for name in inputs:
-            getattr(life, name)()
-            states.append(life.state())
+            getattr(lifecycle, name)()
+            states.append(lifecycle.state())
         ranks = [ORDER.index(state) for state in states]
         assert ranks == sorted(ranks)
         assert len(actions.done) == len(set(actions.done))
-        if life.state() == "stopped":
+        if lifecycle.state() == "stopped":
             assert actions.done[-1] == "on_stopped" and "on_leaving" in actions.done
--- a/packages/runtime/tests/test_output.py
+++ b/packages/runtime/tests/test_output.py
@@ -1,4 +1,4 @@
-"""Log output never blocks: lines beyond a bound are left out and counted."""
+"""Log output never blocks: lines beyond a bound are dropped and counted."""
 
 import json
 import os
@@ -33,25 +33,25 @@
     assert _read(pipe[0]) == b"0\n1\n2\n"
 
 
-def test_a_reader_that_is_behind_costs_whole_lines_and_never_time(pipe):
-    output = LogOutput(pipe[1], pending_bytes=1000)
+def test_lines_for_a_slow_reader_are_dropped_whole_without_blocking(pipe):
+    output = LogOutput(pipe[1], max_pending_bytes=1000)
     line = b"x" * 99 + b"\n"
     for _ in range(2000):
         output.write(line)
         output.flush()
-    assert output.left_out > 0
-    left_out, taken = output.left_out, _read(pipe[0])
+    assert output.dropped_lines > 0
+    dropped_lines, received = output.dropped_lines, _read(pipe[0])
     output.flush()
-    taken += _read(pipe[0])
+    received += _read(pipe[0])
     output.write(b"after\n")
     output.flush()
-    *whole, note, last = (taken + _read(pipe[0])).splitlines()
+    *whole, note, last = (received + _read(pipe[0])).splitlines()
     assert set(whole) == {line.strip()}
-    assert json.loads(note)["count"] == left_out == 2000 - len(whole)
+    assert json.loads(note)["count"] == dropped_lines == 2000 - len(whole)
     assert last == b"after"
 
 
-def test_a_reader_that_has_gone_is_no_fault():
+def test_a_closed_reader_raises_no_exception():
     reader, writer = os.pipe()
     os.close(reader)
     output = LogOutput(writer)
