--- a/packages/entry/src/cardamomloft/entry/vms.py
+++ b/packages/entry/src/cardamomloft/entry/vms.py
@@ -63,9 +63,9 @@
         ----------
         roster
             Number of entries in the roster; the poll interval is proportional to it.
-        watches
+        at_each_call
             Whether to fetch at each call, as stewards and their standbys do.
-        tells
+        notify
             Seats that get a notice of each changed row.
         """
         now = self._clock.monotonic()
--- a/packages/entry/tests/test_executor.py
+++ b/packages/entry/tests/test_executor.py
@@ -109,7 +109,7 @@
             self.start(seat)
 
     def start(self, seat):
-        me = Incarnation(seat, f"life{next(self.numbers)}")
+        me = Incarnation(seat, f"incarnation{next(self.numbers)}")
         claims = Claims(me, self.clock, writes_per_s=100)
         claims.on_lease(claims.want_lease(), f"lease-{me.number}")
         self.ids[seat] = OperationIds(me, self.clock, bytes(32))
@@ -310,7 +310,7 @@
     assert len(fleet.runs) == 1
 
 
-@pytest.mark.parametrize("operation_text", ["x", "v1.e1.life1.0.forged.0123456789abcdef"])
+@pytest.mark.parametrize("operation_text", ["x", "v1.e1.incarnation1.0.forged.0123456789abcdef"])
 def test_a_malformed_or_forged_id_is_refused(fleet, operation_text):
     assert fleet.ask("e1", operation_text).outcome == "refused" and fleet.runs == []
 
@@ -376,7 +376,7 @@
     first = fleet.ask("e1", fleet.caller_supplied_id(1))
     fleet.finish()
     assert first.outcome == "complete"
-    fleet.store.expired.add("lease-life1")
+    fleet.store.expired.add("lease-incarnation1")
     fleet.clock.advance(timedelta(seconds=5))
     assert fleet.ask("e1", fleet.caller_supplied_id(2)).outcome == "refused"
     caller = fleet.ask("e1", fleet.caller_supplied_id(3))
