--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -223,7 +223,7 @@
         await done
 
     async def _check_lease(self, lease: str) -> None:
-        """Drop the lease if the store no longer knows it, which makes every write fail."""
+        """Drop the lease if the store has lost it; writes under it would keep failing."""
         match await self._store.renew(lease):
             case Result(tag="ok", ok=False):
                 self._claims.drop_lease(lease)
@@ -377,8 +377,8 @@
         match sent:
             case Result(tag="ok", ok=answer):
                 match await answer.body.collect(MAX_OPERATION_ANSWER_BYTES):
-                    case Result(tag="ok", ok=content):
-                        return Answer(answer.status, end_to_end(answer.headers), content)
+                    case Result(tag="ok", ok=answer_body):
+                        return Answer(answer.status, end_to_end(answer.headers), answer_body)
         return self._to_counted_answer(Unknown(f"no answer from the executor {executor.seat}"))
 
 
