--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -31,8 +31,8 @@
     Unknown,
 )
 from cardamomloft.core.operations import (
+    CallerSuppliedId,
     OperationIds,
-    OwnId,
     SystemId,
     fingerprint,
     parse_operation,
@@ -167,14 +167,14 @@
 
     async def _handle_caller_supplied(
         self,
-        operation: OwnId,
+        operation: CallerSuppliedId,
         req: Request,
         head: RequestHead,
         content: bytes,
         gone: "Deferred[None]",
     ) -> Answer:
         request_fingerprint = fingerprint(req, content)
-        match self._ledger.look(operation.text, request_fingerprint):
+        match self._ledger.lookup(operation.text, request_fingerprint):
             case Result(tag="error", error=refusal):
                 return self._to_counted_answer(refusal)
             case Result(ok=None):
@@ -190,7 +190,7 @@
                 return self._to_counted_answer(outcome)
 
     async def _claim(
-        self, operation: OwnId, request_fingerprint: str
+        self, operation: CallerSuppliedId, request_fingerprint: str
     ) -> Claimed | HeldBy | Refusal | Unknown:
         if self._claims is None:
             return Refusal(
--- a/packages/entry/src/cardamomloft/entry/forwarding.py
+++ b/packages/entry/src/cardamomloft/entry/forwarding.py
@@ -332,14 +332,14 @@
     def _body_for(self, dispatch: Dispatch, payload: Payload) -> IBodyProducer | bytes:
         if payload.stream is None:
             return payload.buffered or b""
-        link = self._router.link_to(dispatch.endpoint)
+        link = self._router.link_limit_key(dispatch.endpoint)
         if link is None:
             return payload.stream
         return PacedBody(self._reactor, self.pacer, link, payload.stream)
 
     def paced_consumer(self, dispatch: Dispatch, consumer: IConsumer) -> PacedConsumer | None:
         """Return a consumer that paces the answer, or None if the link has no rate limit."""
-        link = self._router.link_to(dispatch.endpoint)
+        link = self._router.link_limit_key(dispatch.endpoint)
         return None if link is None else PacedConsumer(self._reactor, self.pacer, link, consumer)
 
     def _record_completion(self, dispatch: Dispatch, answer: UpstreamAnswer) -> None:
--- a/packages/entry/src/cardamomloft/entry/gossip.py
+++ b/packages/entry/src/cardamomloft/entry/gossip.py
@@ -66,7 +66,7 @@
     def send_digests(self) -> None:
         """Send the digest to a few peers, and request those of holders that have not agreed yet."""
         digest = self._describe()
-        self._membership.set_self(digest)
+        self._membership.set_own_digest(digest)
         targets = self._membership.gossip_targets(self._rng, TARGETS)
         self.send(Outgoing(seat, digest) for seat in targets)
         # Random gossip may not reach these holders soon.
@@ -78,7 +78,7 @@
     def announce(self) -> None:
         """Send the digest at once to a few peers and to all that share limits with this entry."""
         digest = self._describe()
-        self._membership.set_self(digest)
+        self._membership.set_own_digest(digest)
         targets = set(self._membership.gossip_targets(self._rng, TARGETS))
         targets |= self._shares.partners
         self.send(Outgoing(seat, digest) for seat in sorted(targets))
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -28,7 +28,7 @@
 from cardamomloft.core.router import Router, slots_key
 from cardamomloft.core.shares import Shares
 from cardamomloft.core.steering import Steering
-from cardamomloft.core.stewardship import STANDBYS, Stewardship
+from cardamomloft.core.stewardship import STANDBYS_PER_REGION, Stewardship
 from cardamomloft.entry.executor import Executor
 from cardamomloft.entry.forwarding import Forwarder
 from cardamomloft.entry.gossip import DIGEST_INTERVAL, Gossip
@@ -145,7 +145,7 @@
         self.fetcher = MapFetcher(self, self._on_fault)
         self.ids = OperationIds(self.me, clock, secrets.token_bytes(32))
         self.ledger = Ledger(
-            clock, max_entries=cfg["ledger_entries"], max_bytes=cfg["ledger_bytes"]
+            clock, max_operations=cfg["ledger_entries"], max_bytes=cfg["ledger_bytes"]
         )
         self.lookups = Lookups(self.me, self.membership, self.ids)
         per_s = cfg["claims_per_s"]
@@ -324,7 +324,7 @@
         self._update_stewardship()
         if self.claims is not None:
             entries = len(held.document["entries"])
-            self.claims.budget.limit(min(self._cfg["claims_per_s"], CLAIMS_PER_S / entries))
+            self.claims.budget.set_rate(min(self._cfg["claims_per_s"], CLAIMS_PER_S / entries))
         log("in-force", revision=held.number)
         self.lifecycle.prepared()
         self.gossip.announce()
@@ -378,8 +378,8 @@
         )
 
     def _update_stewardship(self) -> None:
-        standby, size = self.membership.standing(STANDBYS)
-        self.steward.stewardship.place(standby=standby, size=size)
+        standby, size = self.membership.standby_status(STANDBYS_PER_REGION)
+        self.steward.stewardship.set_role(standby=standby, size=size)
 
     def _on_offer(self) -> None:
         self.store_read_at = self._clock.monotonic()
@@ -416,7 +416,7 @@
 
     def _send_digests(self) -> None:
         # An entry without shares of its own depends on loans, hence on reachable peers.
-        if self.shares.owns_any or self.membership.hears_any():
+        if self.shares.owns_any or self.membership.has_recent_peer():
             self._capacity_seen_at = self._clock.monotonic()
         self.gossip.send_digests()
 
@@ -450,7 +450,7 @@
 
     def _tick_limits(self) -> None:
         """Borrow, renew and return loans, and dispatch the queued requests that now fit."""
-        self.router.report_wants()
+        self.router.report_demand()
         self._send(self.shares.tick())
         self.forwarder.pump()
 
@@ -480,7 +480,7 @@
         return [seat for seat in seats if seat != self.me.seat]
 
     def _apply_vm_rows(self, rows: list[VmRow]) -> None:
-        self.membership.on_vms(rows)
+        self.membership.on_vm_list(rows)
         gone = self.membership.gone_seats()
         for row in rows:
             if row.name in gone:
@@ -495,7 +495,7 @@
     def _poll_load(self) -> "Deferred[None] | None":
         if self.router is None:
             return None
-        return self.loads.poll(self.router.nearby, self.router.steering)
+        return self.loads.poll(self.router.region_endpoints, self.router.steering)
 
     def _on_broken_invariant(self, failure: Failure) -> None:
         """End the process, since its state is inconsistent; its successor starts anew."""
--- a/packages/entry/src/cardamomloft/entry/receiving.py
+++ b/packages/entry/src/cardamomloft/entry/receiving.py
@@ -25,7 +25,7 @@
     """Pass `message` to the components that handle it, and send their replies."""
     send = node.gossip.send
     if node.steward is not None:
-        node.steward.stewardship.heard(str(sender))
+        node.steward.stewardship.record_message(str(sender))
     match message:
         case Digest():
             node.membership.on_digest(sender, message)
--- a/packages/entry/tests/test_executor.py
+++ b/packages/entry/tests/test_executor.py
@@ -118,7 +118,7 @@
             me,
             self.clock,
             self.ids[seat],
-            Ledger(self.clock, max_entries=100, max_bytes=10_000_000),
+            Ledger(self.clock, max_operations=100, max_bytes=10_000_000),
             claims,
             self.store,
             FakeForwarder(self.runs),
--- a/scripts/slopes.py
+++ b/scripts/slopes.py
@@ -28,8 +28,8 @@
 import slopes_rules
 import slopes_store
 from cardamomloft.core.hints import MAX_REPORT_AGE
-from cardamomloft.core.membership import CACHED
-from cardamomloft.core.shares import REVIEW
+from cardamomloft.core.membership import CANDIDATE_CACHE_TTL
+from cardamomloft.core.shares import REVIEW_INTERVAL
 from cardamomloft.entry import gossip, maps, node, steward, vms
 from cardamomloft.peers.node import MAX_LINKS
 from slopes_document import RULES
@@ -66,13 +66,13 @@
         "claims_per_s": min(defaults["claims_per_s"] * TARGET.entries, node.CLAIMS_PER_S),
         "digest_bytes": slopes_messages.DIGEST_BYTES,
         "gossip_targets": gossip.TARGETS,
-        "groups_kept_s": CACHED.total_seconds(),
+        "groups_kept_s": CANDIDATE_CACHE_TTL.total_seconds(),
         "ledger_bytes": defaults["ledger_bytes"],
         "ledger_entries": defaults["ledger_entries"],
         "load_every_s": defaults["load_every_ms"] / 1000,
         "max_links": MAX_LINKS,
         "report_age_s": MAX_REPORT_AGE.total_seconds(),
-        "review_s": REVIEW.total_seconds(),
+        "review_s": REVIEW_INTERVAL.total_seconds(),
         "rules": RULES,
         "vms_every_s": defaults["vms_every_ms"] / 1000,
         "vms_per_entry_s": vms.PER_ENTRY.total_seconds(),
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -10,7 +10,7 @@
 from cardamomloft.core.limits import limits_of
 from cardamomloft.core.messages import Digest
 from cardamomloft.core.model import Incarnation
-from cardamomloft.core.shares import REVIEW, Shares
+from cardamomloft.core.shares import REVIEW_INTERVAL, Shares
 from cardamomloft.entry import status
 from cardamomloft.operators.fleet import read_status
 from slopes_document import ENDPOINTS_PER_ENTRY, Size, full_size, make_document
@@ -88,7 +88,7 @@
         shares = make()
 
         def tick(shares: Shares = shares, clock: ManualClock = clock) -> None:
-            clock.advance(REVIEW)
+            clock.advance(REVIEW_INTERVAL)
             shares.tick()
 
         page = _page(shares)
--- a/scripts/slopes_members.py
+++ b/scripts/slopes_members.py
@@ -66,7 +66,7 @@
         ("configure", "ms"): cpu_ms(lambda: members.configure(document)),
         ("targets", "us"): 1000
         * cpu_ms(lambda: members.gossip_targets(rng, gossip.TARGETS), loops=_TARGET_CALLS),
-        ("on_vms", "ms"): cpu_ms(lambda: members.on_vms(rows)),
+        ("on_vms", "ms"): cpu_ms(lambda: members.on_vm_list(rows)),
         ("parse_vms", "ms"): cpu_ms(lambda: parse_vms(listed)),
         ("look_up_groups", "ms"): cpu_ms(all_sites),
         ("memory", "bytes"): held_bytes(lambda: _full(document, clock)),
@@ -109,7 +109,7 @@
     for _ in range(seconds):
         clock.advance(timedelta(seconds=1))
         for seat, one in members.items():
-            one.set_self(_DIGEST)
+            one.set_own_digest(_DIGEST)
             for target in one.gossip_targets(rng, gossip.TARGETS):
                 members[target].on_digest(names[seat], _DIGEST)
     return list(members.values())
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -109,7 +109,7 @@
             me,
             self.clock,
             ids,
-            Ledger(self.clock, max_entries=100, max_bytes=10_000_000),
+            Ledger(self.clock, max_operations=100, max_bytes=10_000_000),
             None,
             None,
             Upstream(self, me),
