--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -49,7 +49,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 from twisted.python.failure import Failure
 
-PASSED_ON_HEADER = "x-forwarded-by"
+FORWARDED_BY_HEADER = "x-forwarded-by"
 LEASE_RETRY_INTERVAL = timedelta(seconds=1)
 CLIENT_HEADER = "x-client"
 NOT_KEPT_HEADER = ("Cardamomloft-Answer", "not-kept")
@@ -350,7 +350,7 @@
         request has been forwarded once already.
         """
         address = self._address_of(executor.seat)
-        already_forwarded = any(name == PASSED_ON_HEADER for name, _ in head.headers)
+        already_forwarded = any(name == FORWARDED_BY_HEADER for name, _ in head.headers)
         if address is None or already_forwarded or not self._is_current(executor):
             return self._to_counted_answer(
                 Unknown(f"the executor {executor.seat} is not reachable")
@@ -361,7 +361,7 @@
         forwarded = tuple(h for h in head.headers if h[0] not in ("host", "content-length"))
         if not any(name == CLIENT_HEADER for name, _ in forwarded):
             forwarded = (*forwarded, (CLIENT_HEADER, head.client))
-        headers = (*forwarded, (PASSED_ON_HEADER, self._me.seat))
+        headers = (*forwarded, (FORWARDED_BY_HEADER, self._me.seat))
         request_id = f"{self._me.seat}-{self._me.number}-passed"
         sent = await self._client.send(
             UpstreamRequest(
--- a/packages/entry/src/cardamomloft/entry/gossip.py
+++ b/packages/entry/src/cardamomloft/entry/gossip.py
@@ -11,7 +11,7 @@
 from cardamomloft.core.shares import Shares
 
 DIGEST_INTERVAL = timedelta(seconds=1)
-TARGETS = 6
+DIGEST_FANOUT = 6
 MAX_HOLDER_REQUESTS = 4
 
 
@@ -67,7 +67,7 @@
         """Send the digest to a few peers, and request those of holders that have not agreed yet."""
         digest = self._describe()
         self._membership.set_own_digest(digest)
-        targets = self._membership.gossip_targets(self._rng, TARGETS)
+        targets = self._membership.gossip_targets(self._rng, DIGEST_FANOUT)
         self.send(Outgoing(seat, digest) for seat in targets)
         # Random gossip may not reach these holders soon.
         missing = sorted(self._shares.awaited)
@@ -79,6 +79,6 @@
         """Send the digest at once to a few peers and to all that share limits with this entry."""
         digest = self._describe()
         self._membership.set_own_digest(digest)
-        targets = set(self._membership.gossip_targets(self._rng, TARGETS))
+        targets = set(self._membership.gossip_targets(self._rng, DIGEST_FANOUT))
         targets |= self._shares.partners
         self.send(Outgoing(seat, digest) for seat in sorted(targets))
--- a/packages/entry/src/cardamomloft/entry/lookups.py
+++ b/packages/entry/src/cardamomloft/entry/lookups.py
@@ -9,7 +9,7 @@
 from cardamomloft.core.operations import OperationIds
 from cardamomloft.core.router import Router
 
-ENTRIES = 3
+ENTRIES_PER_LOOKUP = 3
 """Entries in one answer; the others are the caller's fallback if one fails."""
 
 LOOKUP_VALIDITY = timedelta(seconds=2)
@@ -37,7 +37,7 @@
     def answer(self, client: str, router: Router, revision: int) -> LookupAnswer:
         """Return the entries for the IPv4 address `client`, and a prefix for operation ids."""
         site = router.classifier.site_of(int.from_bytes(socket.inet_aton(client)))
-        seats = self._membership.entries_for(site, ENTRIES)
+        seats = self._membership.entries_for(site, ENTRIES_PER_LOOKUP)
         executor, prefix, remaining = self._choose_executor(seats)
         rows = router.document["entries"]
         entries = [LookupEntry(name=seat, address=rows[seat]["callers"]) for seat in seats]
--- a/packages/entry/src/cardamomloft/entry/maps.py
+++ b/packages/entry/src/cardamomloft/entry/maps.py
@@ -16,7 +16,7 @@
 from cardamomloft.runtime.logs import log
 from expression import Result
 
-ASKED_AT_ONCE = 2
+CHUNKS_PER_REQUEST_ROUND = 2
 """Chunks requested at each call of :meth:`MapLoader.next_requests`."""
 
 
@@ -28,7 +28,7 @@
     rng
         Chooses the chunks and the peers for requests.
     read
-        Starts reading one chunk from the store; the result is passed to :meth:`take`.
+        Starts reading one chunk from the store; the result is passed to :meth:`add_chunk`.
     on_map
         Called with each new map, complete or not.
 
@@ -76,7 +76,7 @@
         missing = self.missing
         if not missing:
             return []
-        digests = self._rng.sample(missing, min(ASKED_AT_ONCE, len(missing)))
+        digests = self._rng.sample(missing, min(CHUNKS_PER_REQUEST_ROUND, len(missing)))
         if from_store:
             for digest in digests:
                 self._read(digest)
@@ -90,7 +90,7 @@
         chunk = self._chunks.get(req.digest)
         return [] if chunk is None else [Outgoing(seat, ChunkReply(req.digest, chunk))]
 
-    def take(self, digest: str, chunk: bytes) -> None:
+    def add_chunk(self, digest: str, chunk: bytes) -> None:
         """Add a chunk from the store or a peer, unless it is not missing or fails its digest."""
         if digest not in self.missing or digest_of(chunk) != digest:
             return
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -29,14 +29,14 @@
 from cardamomloft.core.shares import Shares
 from cardamomloft.core.steering import Steering
 from cardamomloft.core.stewardship import STANDBYS_PER_REGION, Stewardship
+from cardamomloft.entry.adapters import Adapters
 from cardamomloft.entry.executor import Executor
 from cardamomloft.entry.forwarding import Forwarder
 from cardamomloft.entry.gossip import DIGEST_INTERVAL, Gossip
 from cardamomloft.entry.loads import LoadPoller
 from cardamomloft.entry.lookups import LOOKUP_VALIDITY, Lookups
-from cardamomloft.entry.mapfetching import CHUNKS, MapFetcher
+from cardamomloft.entry.mapfetching import CHUNK_REQUEST_INTERVAL, MapFetcher
 from cardamomloft.entry.maps import MapLoader
-from cardamomloft.entry.outside import Adapters
 from cardamomloft.entry.receiving import receive
 from cardamomloft.entry.seat import SeatRecord
 from cardamomloft.entry.settings import DEFAULTS, EntrySettings
@@ -47,7 +47,7 @@
 from cardamomloft.peers.curve import CurveKeys
 from cardamomloft.peers.node import PeerNode
 from cardamomloft.runtime.control import ControlApp
-from cardamomloft.runtime.lifecycle import LifecycleActions, make_life_cycle
+from cardamomloft.runtime.lifecycle import LifecycleActions, make_lifecycle
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.runtime.timers import Timers
@@ -63,7 +63,7 @@
 INITIAL_READ_INTERVAL = timedelta(milliseconds=1500)
 NO_CAPACITY_TIMEOUT = timedelta(seconds=10)
 """How long an entry without shares of its own and without peers still counts as ready."""
-CLAIMS_PER_S = 300
+TOTAL_CLAIMS_PER_S = 300
 """Claims written per second by the whole deployment, divided evenly among its entries."""
 
 
@@ -105,7 +105,7 @@
         self._rng = rng
         self.me = Incarnation(cfg["seat"], secrets.token_hex(8))
         self.metrics = Metrics()
-        self.lifecycle = make_life_cycle(_DeferredActions(reactor, self))
+        self.lifecycle = make_lifecycle(_DeferredActions(reactor, self))
         self.stopped: Deferred[None] = Deferred()
         self.store, self.client = adapters.store, adapters.client
         self.vms = VmWatch(adapters.vms, clock, self.metrics, self._apply_vm_rows, self._send)
@@ -194,7 +194,7 @@
         every(timedelta(milliseconds=self._cfg["vms_every_ms"]), self._poll_vms)
         every(timedelta(milliseconds=self._cfg["load_every_ms"]), self._poll_load)
         every(SEAT_RETRY_INTERVAL, self._record_seat)
-        every(CHUNKS, self.fetcher.request_missing)
+        every(CHUNK_REQUEST_INTERVAL, self.fetcher.request_missing)
         every(INITIAL_READ_INTERVAL, self._read_first_configuration)
 
     def stop(self) -> None:
@@ -324,7 +324,9 @@
         self._update_stewardship()
         if self.claims is not None:
             entries = len(held.document["entries"])
-            self.claims.budget.set_rate(min(self._cfg["claims_per_s"], CLAIMS_PER_S / entries))
+            self.claims.budget.set_rate(
+                min(self._cfg["claims_per_s"], TOTAL_CLAIMS_PER_S / entries)
+            )
         log("in-force", revision=held.number)
         self.lifecycle.prepared()
         self.gossip.announce()
--- a/packages/entry/src/cardamomloft/entry/steward.py
+++ b/packages/entry/src/cardamomloft/entry/steward.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 
 CONFIGURATION_KEY = "config/current"
-WATCH_WAIT = timedelta(minutes=5)
+WATCH_TIMEOUT = timedelta(minutes=5)
 """How long the store may hold a watch that sees no change."""
 INITIAL_BACK_OFF = timedelta(milliseconds=500)
 MAX_BACK_OFF = timedelta(seconds=10)
@@ -112,10 +112,10 @@
             case Renew():
                 next_steps = await self._renew()
             case WatchLease():
-                result = await self._store.watch(self._key, self._lease_index, WATCH_WAIT)
+                result = await self._store.watch(self._key, self._lease_index, WATCH_TIMEOUT)
                 next_steps = self._on_lease_read(result)
             case ReadLease():
-                result = await self._store.watch(self._key, 0, WATCH_WAIT)
+                result = await self._store.watch(self._key, 0, WATCH_TIMEOUT)
                 next_steps = self._on_lease_read(result)
         self._start(next_steps)
 
@@ -158,7 +158,7 @@
 
     async def _watch(self) -> None:
         while self.stewardship.watches_configuration:
-            result = await self._store.watch(CONFIGURATION_KEY, self._config_index, WATCH_WAIT)
+            result = await self._store.watch(CONFIGURATION_KEY, self._config_index, WATCH_TIMEOUT)
             match result:
                 case Result(tag="ok", ok=Watched(record, index)):
                     self._config_index = index
--- a/packages/entry/src/cardamomloft/entry/vms.py
+++ b/packages/entry/src/cardamomloft/entry/vms.py
@@ -11,7 +11,7 @@
 from expression import Result
 from twisted.internet.defer import Deferred, ensureDeferred
 
-PER_ENTRY = timedelta(milliseconds=100)
+POLL_INTERVAL_PER_ENTRY = timedelta(milliseconds=100)
 """Poll interval of an ordinary entry, per entry of the roster."""
 
 
@@ -72,7 +72,7 @@
         if now < self._next_fetch_at:
             return None
         if not at_each_call:
-            self._next_fetch_at = now + roster * PER_ENTRY
+            self._next_fetch_at = now + roster * POLL_INTERVAL_PER_ENTRY
         return ensureDeferred(self._fetch(notify))
 
     def on_notice(self, notice: VmNotice) -> None:
--- a/packages/runtime/src/cardamomloft/runtime/lifecycle.py
+++ b/packages/runtime/src/cardamomloft/runtime/lifecycle.py
@@ -97,4 +97,4 @@
     _state.upon(Lifecycle.state).loop().returns(_name)
     _state.upon(Lifecycle.admits).loop().returns(_name in _ADMITTING)
 
-make_life_cycle: t.Callable[[LifecycleActions], Lifecycle] = _builder.build()
+make_lifecycle: t.Callable[[LifecycleActions], Lifecycle] = _builder.build()
--- a/packages/runtime/src/cardamomloft/runtime/logs.py
+++ b/packages/runtime/src/cardamomloft/runtime/logs.py
@@ -33,7 +33,7 @@
     globalLogBeginner.beginLoggingTo([_TwistedObserver()], redirectStandardIO=False)
 
 
-class Known:
+class ReportedProblems:
     """Remembers logged problems, so that each is logged once and not at every read."""
 
     def __init__(self) -> None:
--- a/packages/runtime/tests/test_lifecycle.py
+++ b/packages/runtime/tests/test_lifecycle.py
@@ -3,7 +3,7 @@
 import itertools
 
 import pytest
-from cardamomloft.runtime.lifecycle import make_life_cycle
+from cardamomloft.runtime.lifecycle import make_lifecycle
 
 INPUTS = ("prepared", "stop", "lingered", "drained")
 ORDER = ("starting", "ready", "leaving", "closing", "stopped")
@@ -19,7 +19,7 @@
 
 def play(*inputs):
     actions = Actions()
-    lifecycle = make_life_cycle(actions)
+    lifecycle = make_lifecycle(actions)
     for name in inputs:
         getattr(lifecycle, name)()
     return lifecycle, actions.done
@@ -52,7 +52,7 @@
 def test_no_order_of_inputs_repeats_an_action_or_goes_back_a_state():
     for inputs in itertools.product(INPUTS, repeat=6):
         actions = Actions()
-        lifecycle = make_life_cycle(actions)
+        lifecycle = make_lifecycle(actions)
         states = [lifecycle.state()]
         for name in inputs:
             getattr(lifecycle, name)()
