--- a/scripts/bench_drain.py
+++ b/scripts/bench_drain.py
@@ -38,7 +38,7 @@
         drained = _drain_zone(fleet)
         stop = _stop_entry(fleet)
         result = kit.finish_loads(fleet, names, seconds)
-        cut_off = sum(book["cut_off"] for book in fleet.books().values())
+        cut_off = sum(counts["cut_off"] for counts in fleet.upstream_counts().values())
         over = kit.overshoot(fleet)
     return [*_drain_figures(drained, cut_off, over, result), *stop]
 
@@ -74,8 +74,10 @@
     thread.join()
     if answer["code"] != 0:
         raise RuntimeError(f"drain: {answer}")
-    books = fleet.books()
-    starts = [datetime.fromisoformat(books[r["name"]]["last_start"]).timestamp() for r in rows]
+    upstream_counts = fleet.upstream_counts()
+    starts = [
+        datetime.fromisoformat(upstream_counts[r["name"]]["last_start"]).timestamp() for r in rows
+    ]
     kit.say(f"drain: {answer['drain'].get('drain')}")
     return Drained(ended, max(starts) - since, float(answer["drain"]["drain_s"]))
 
@@ -89,8 +91,8 @@
 
 
 def _running(fleet: Fleet, rows: list[dict[str, t.Any]]) -> int:
-    books = fleet.books()
-    return sum(books[row["name"]]["running"] for row in rows)
+    upstream_counts = fleet.upstream_counts()
+    return sum(upstream_counts[row["name"]]["running"] for row in rows)
 
 
 def _stop_entry(fleet: Fleet) -> list[Figure]:
--- a/scripts/bench_kit.py
+++ b/scripts/bench_kit.py
@@ -238,8 +238,10 @@
 
 def overshoot(fleet: Fleet) -> int:
     """Return by how many requests any upstream was ever beyond its slots."""
-    books = fleet.books().values()
-    return max((max(0, book["most_running"] - book["slots"]) for book in books), default=0)
+    upstream_counts = fleet.upstream_counts().values()
+    return max(
+        (max(0, counts["most_running"] - counts["slots"]) for counts in upstream_counts), default=0
+    )
 
 
 def sent_messages(fleet: Fleet) -> float:
--- a/scripts/bench_once.py
+++ b/scripts/bench_once.py
@@ -7,7 +7,7 @@
 
 import bench_kit as kit
 from bench_kit import Aim, Figure, LoadResult, Plan, Sizes
-from fleet import Fleet, put_json, sum_up
+from fleet import Fleet, put_json, summarize_counts
 
 PLAN = Plan(number=11, max_deadline_ms=2000)
 WORK_MS = 100.0
@@ -36,8 +36,8 @@
         names = kit.start_loads(fleet, "orders", _mix(), seconds, processes=PROCESSES)
         faults = _disturb(fleet, seconds)
         result = kit.finish_loads(fleet, names, seconds)
-        books = sum_up(fleet.books())
-        return [calm, *_figures(result, books.runs, faults), *_limits(fleet)]
+        upstream_counts = summarize_counts(fleet.upstream_counts())
+        return [calm, *_figures(result, upstream_counts.runs, faults), *_limits(fleet)]
 
 
 def _mix() -> kit.Mix:
--- a/scripts/bench_overload.py
+++ b/scripts/bench_overload.py
@@ -28,7 +28,7 @@
         )
         if not sizes.quick:
             figures += _outage(fleet, sizes)
-        fleet.end(fleet.document["entries"], patience=0.1)
+        fleet.end(fleet.document["entries"], timeout=0.1)
         modes = ["static"] if sizes.quick else ["queue", "static"]
         base = {mode: _baseline(fleet, mode, times, sizes) for mode in modes}
         static_skew = None if sizes.quick else _static_skew(fleet, sizes)
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,7 +1,7 @@
-"""Start and end whole deployments of separate processes on loopback, for demo and benchmarks.
+"""Run whole deployments as separate processes on loopback, for the demo, trials and benchmarks.
 
-The script starts the processes; no process of the system starts another. Every process is ended
-by its own id, and a context manager guarantees that none outlives the script.
+All processes are direct children of the script and are ended by their process id. The context
+manager `running` ends them when its block exits.
 """
 
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class Process:
-    """One child process; its standard output goes to a file."""
+    """One child process; standard output and standard error go to a log file."""
 
     def __init__(self, name: str, argv: list[str], folder: pathlib.Path) -> None:
         self.name = name
@@ -36,44 +36,50 @@
         )
 
     def signal(self, number: int) -> None:
-        """Send a signal if the process still runs."""
+        """Send a signal if the process is running."""
         if self.popen.poll() is None:
             self.popen.send_signal(number)
 
     def wait(self, timeout: float) -> int | None:
-        """Return the exit code, or None if it still runs after `timeout` seconds."""
+        """Return the exit code, or None if the process still runs after `timeout` seconds."""
         with contextlib.suppress(subprocess.TimeoutExpired):
             self.popen.wait(timeout)
         return self.popen.returncode
 
     def lines(self) -> list[str]:
-        """Return what it has printed so far."""
+        """Return the lines printed so far."""
         return self.log.read_text(errors="replace").splitlines()
 
-    def listens(self) -> bool:
-        """Tell whether the process has said that it listens; raise if it has ended instead."""
+    def is_listening(self) -> bool:
+        """Return whether the process has printed its listening address.
+
+        Raises
+        ------
+        RuntimeError
+            If the process has exited.
+        """
         if self.popen.poll() is not None:
             raise RuntimeError(f"{self.name} ended: " + "\n".join(self.lines()[-2:]))
         return any(line.startswith('{"listening"') for line in self.lines())
 
-    def close(self, patience: float = 2.0) -> None:
-        """End the process, by force if it does not follow within `patience` seconds."""
+    def close(self, timeout: float = 2.0) -> None:
+        """Terminate the process; kill it if it still runs after `timeout` seconds."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
-        if self.wait(patience) is None:
+        if self.wait(timeout) is None:
             self.popen.kill()
             self.popen.wait()
         self._file.close()
 
 
 def get_json(url: str, timeout: float = 2.0) -> t.Any:
-    """Fetch a JSON page from a loopback address."""
+    """Fetch and decode a JSON document."""
     with urllib.request.urlopen(url, timeout=timeout) as resp:
         return json.load(resp)
 
 
 def put_json(url: str, value: t.Any, timeout: float = 2.0) -> None:
-    """Send a JSON value to a control page of a stand-in."""
+    """Send a JSON value with PUT, as the control endpoints of the stand-ins expect."""
     req = urllib.request.Request(
         url,
         data=json.dumps(value).encode(),
@@ -85,7 +91,13 @@
 
 
 def wait_until(what: str, condition: t.Callable[[], bool], timeout: float = _READY_S) -> float:
-    """Poll until `condition` holds and return the seconds it took; raise TimeoutError else."""
+    """Poll until `condition` holds; return the seconds that it took.
+
+    Raises
+    ------
+    TimeoutError
+        If `condition` does not hold within `timeout` seconds.
+    """
     start = time.monotonic()
     while not condition():
         if time.monotonic() - start > timeout:
@@ -95,18 +107,18 @@
 
 
 class Fleet:
-    """All processes of one deployment.
+    """The processes of one deployment: entries, stand-ins and load generators.
 
     Parameters
     ----------
     document
         The configuration document; its addresses must be loopback addresses.
     folder
-        Where settings and logs go.
+        Directory for settings and logs.
     number
-        The last octet of the stand-ins' addresses, so that two fleets can run side by side.
+        Last octet of the store's and VM list's addresses; unique among fleets that run at once.
     behaviour
-        Behaviour of every stand-in upstream, by service (see the stand-ins' settings).
+        Behaviour of the stand-in upstreams by service (see the stand-ins' settings).
     net
         The first two octets of the platform stand-ins' addresses.
     """
@@ -129,13 +141,13 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def start(self, name: str, argv: list[str]) -> Process:
-        """Start one process under `name`; an ended one of the same name is replaced."""
+        """Start a process under `name`, which replaces an ended process of that name."""
         proc = Process(name, argv, self.folder)
         self.processes[name] = proc
         return proc
 
     def start_standins(self) -> None:
-        """Start store, VM list and upstreams, and wait until all listen."""
+        """Start the store, the VM list and the upstreams, and wait until all of them listen."""
         module = [sys.executable, "-m", "cardamomloft_standins.main"]
         rows = self.upstream_rows()
         cfg = self.folder / "upstreams.json"
@@ -146,16 +158,16 @@
             self.start("upstreams", [*module, "upstreams", "--settings", str(cfg)]),
         ]
         for proc in started:
-            wait_until(proc.name, proc.listens)
+            wait_until(proc.name, proc.is_listening)
         self.store_control = json.loads(started[0].lines()[0])["control"]
         self.set_vms({})
 
     def set_store(self, **faults: t.Any) -> None:
-        """Change the faults of the store, which is reached so even while it is down."""
+        """Set faults of the store through its control address, which works while it is down."""
         put_json(f"http://{self.store_control}/control", faults)
 
     def store_calls(self) -> dict[str, int]:
-        """Return the store's calls by kind since its start."""
+        """Return the number of calls to the store since its start, by kind."""
         return get_json(f"http://{self.store_control}/control/counts")["calls"]
 
     def set_upstreams(self, **behaviour: t.Any) -> None:
@@ -164,7 +176,7 @@
             put_json(f"http://{row['address']}/-/control", behaviour)
 
     def metrics(self, seat: str) -> dict[str, float]:
-        """Return an entry's counters, without their common prefix and suffix."""
+        """Return an entry's unlabelled metrics, without their common prefix and suffix."""
         url = f"http://{self.document['entries'][seat]['operators']}/metrics"
         with urllib.request.urlopen(url, timeout=2.0) as resp:
             lines = resp.read().decode().splitlines()
@@ -190,7 +202,7 @@
         ]
 
     def set_vms(self, states: dict[str, str]) -> None:
-        """Publish the VM list: every entry live but for the given states."""
+        """Publish the VM list; entries that are missing from `states` are live."""
         stamp = time.strftime("%Y-%m-%dT%H:%M:%S+00:00", time.gmtime())
         rows = [
             {
@@ -204,7 +216,7 @@
         put_json(f"http://{self.vms}/v1/vms", rows)
 
     def start_entry(self, seat: str, **extra: t.Any) -> Process:
-        """Start the entry that holds `seat`."""
+        """Start the entry of `seat`; `extra` adds to or overrides its settings."""
         row = self.document["entries"][seat]
         seeds = [r["peers"] for name, r in self.document["entries"].items() if name != seat]
         settings = {
@@ -229,24 +241,24 @@
             self.start_entry(seat)
 
     def status(self, seat: str) -> dict[str, t.Any] | None:
-        """Return an entry's status page, or None if it does not answer."""
+        """Return an entry's status page, or None if it can't be read."""
         try:
             return get_json(f"http://{self.document['entries'][seat]['operators']}/status")
         except (OSError, ValueError):
             return None
 
     def wait_ready(self, seats: list[str] | None = None, timeout: float = _READY_S) -> float:
-        """Wait until the named entries (all by default) serve; return the seconds it took."""
-        todo = list(seats or self.document["entries"])
+        """Wait until the given entries (default: all) are ready; return the seconds it took."""
+        pending = list(seats or self.document["entries"])
 
         def ready() -> bool:
-            todo[:] = [seat for seat in todo if not (self.status(seat) or {}).get("ready")]
-            return not todo
+            pending[:] = [seat for seat in pending if not (self.status(seat) or {}).get("ready")]
+            return not pending
 
         return wait_until("entries ready", ready, timeout)
 
     def ctl(self, *args: str, timeout: float = 30.0) -> tuple[int, dict[str, t.Any]]:
-        """Run cardamomctl with --json; return its exit code and answer."""
+        """Run cardamomctl with --json; return its exit code and decoded output."""
         binary = str(pathlib.Path(sys.executable).parent / "cardamomctl")
         where = ["--store", f"http://{self.store}", "--vms", f"http://{self.vms}"]
         done = subprocess.run(
@@ -262,7 +274,13 @@
             return done.returncode, {"text": done.stdout, "error": done.stderr}
 
     def apply(self, document: Document, why: str, wait: float = 15.0) -> dict[str, t.Any]:
-        """Apply a document and wait until it is accepted; raise if it is not."""
+        """Apply a document and wait until it is accepted.
+
+        Raises
+        ------
+        RuntimeError
+            If `cardamomctl apply` exits with an error.
+        """
         path = self.folder / "rules.json"
         path.write_text(json.dumps(document, indent=2))
         code, answer = self.ctl("apply", str(path), "--why", why, "--wait", str(wait))
@@ -272,38 +290,44 @@
         self.document = document
         return answer
 
-    def books(self) -> dict[str, dict[str, t.Any]]:
-        """Return the books of every stand-in upstream by endpoint name."""
+    def upstream_counts(self) -> dict[str, dict[str, t.Any]]:
+        """Return the run counts that each stand-in upstream has recorded, by endpoint name."""
         return {
             row["name"]: get_json(f"http://{row['address']}/-/books")
             for row in self.upstream_rows()
         }
 
     def start_load(self, name: str, settings: dict[str, t.Any]) -> Process:
-        """Start one process of callers."""
+        """Start a load generator process."""
         path = self.folder / f"{name}.load.json"
         path.write_text(json.dumps(settings))
         return self.start(name, [sys.executable, "-m", "cardamomloft_standins.load", str(path)])
 
     def load_report(self, name: str, timeout: float) -> dict[str, t.Any]:
-        """Wait for a load process and return its report."""
+        """Wait for a load generator to exit and return its report.
+
+        Raises
+        ------
+        RuntimeError
+            If it fails or does not exit within `timeout` seconds.
+        """
         proc = self.processes[name]
         if proc.wait(timeout) != 0:
             raise RuntimeError(f"{name}: " + "\n".join(proc.lines()[-20:]))
         return json.loads(proc.lines()[-1])
 
     def addresses(self) -> list[str]:
-        """Return the callers' addresses of all entries."""
+        """Return the addresses on which the entries serve callers."""
         return [row["callers"] for row in self.document["entries"].values()]
 
     def close(self) -> None:
         """End every process of this fleet."""
         self.end(self.processes)
 
-    def end(self, names: Iterable[str], patience: float = 2.0) -> None:
-        """End the named processes at the same time."""
+    def end(self, names: Iterable[str], timeout: float = 2.0) -> None:
+        """End the named processes in parallel."""
         procs = [self.processes[name] for name in names]
-        threads = [threading.Thread(target=proc.close, args=(patience,)) for proc in procs]
+        threads = [threading.Thread(target=proc.close, args=(timeout,)) for proc in procs]
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -318,7 +342,7 @@
     behaviour: dict[str, dict[str, t.Any]] | None = None,
     net: str = "127.0",
 ) -> Iterator[Fleet]:
-    """Own a fleet: its stand-ins run inside the block, and nothing of it runs after."""
+    """Yield a fleet with running stand-ins; end all its processes when the block exits."""
     fleet = Fleet(document, folder, number, behaviour, net)
     try:
         fleet.start_standins()
@@ -327,8 +351,8 @@
         fleet.close()
 
 
-class Books(t.NamedTuple):
-    """What the upstreams saw, summed up."""
+class UpstreamCounts(t.NamedTuple):
+    """Run counts over all upstreams; `runs` holds the runs of each idempotency key."""
 
     duplicate_runs: int
     slot_overshoot: int
@@ -336,22 +360,28 @@
     runs: dict[str, int]
 
 
-def sum_up(books: dict[str, dict[str, t.Any]]) -> Books:
-    """Sum the books of all upstreams; a key's runs count over all of them."""
+def summarize_counts(upstream_counts: dict[str, dict[str, t.Any]]) -> UpstreamCounts:
+    """Sum the run counts of all upstreams, so that repeated runs at different ones show."""
     runs: dict[str, int] = {}
-    for book in books.values():
-        for key, count in book["runs"].items():
+    for counts in upstream_counts.values():
+        for key, count in counts["runs"].items():
             runs[key] = runs.get(key, 0) + count
-    return Books(
+    return UpstreamCounts(
         sum(count - 1 for count in runs.values() if count > 1),
-        max((max(0, book["most_running"] - book["slots"]) for book in books.values()), default=0),
-        sum(book["cut_off"] for book in books.values()),
+        max(
+            (
+                max(0, counts["most_running"] - counts["slots"])
+                for counts in upstream_counts.values()
+            ),
+            default=0,
+        ),
+        sum(counts["cut_off"] for counts in upstream_counts.values()),
         runs,
     )
 
 
 def percentile(values: list[float], percent: float) -> float:
-    """Return the nearest-rank percentile of sorted or unsorted values; 0 for none."""
+    """Return the nearest-rank percentile of `values`, which need no order; 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/scripts/losses.py
+++ b/scripts/losses.py
@@ -1,7 +1,7 @@
-"""Tells from the logs of all gateways which requests were slow, refused or failed, and why.
+"""Summarize from gateway logs which requests were slow, refused or failed, and why.
 
-Gateways log each request that was slow, repeated, refused or failed, and the growth of their
-counters; this folds both into tables by service, cause and time.
+Gateways log each request that was slow, retried, refused or failed, and the increments of their
+counters. This script aggregates both into tables by service, cause and time window.
 """
 
 import json
@@ -14,21 +14,24 @@
 import defopt
 
 WINDOW_S = 4.0
-"""Length of one line of the tables by time, in seconds."""
+"""Length of the time window that one table row covers, in seconds."""
 
 _PREFIX = "cardamomloft:"
 
 
 class Line(t.NamedTuple):
-    """One log line: its kind, its time in seconds and its fields."""
+    """One parsed log line; `timestamp` is its Unix time in seconds."""
 
     kind: str
-    at: float
+    timestamp: float
     fields: dict[str, t.Any]
 
 
 def read(lines: Iterable[str]) -> Iterator[Line]:
-    """Yield the log lines of this project; what stands before a line's JSON is left out."""
+    """Yield the gateway's log lines and skip all others.
+
+    A prefix before the JSON object of a line is ignored.
+    """
     for text in lines:
         start = text.find("{")
         try:
@@ -41,7 +44,7 @@
 
 
 def cause_of(row: t.Mapping[str, t.Any]) -> str:
-    """Return what cost a request most of its time, or why it was not answered."""
+    """Return the largest contributor to a request's latency, or why it was not answered."""
     sends = row.get("sends", [])
     if row["outcome"] == "refused":
         return _cause_of_refusal(row)
@@ -49,12 +52,12 @@
         return f"no answer: {sends[-1]['detail'][:24]}" if sends else "no answer: not sent"
     if row["outcome"] != "served" or not sends:
         return str(row["outcome"])
-    here = row["ms"] - sum(send["ms"] for send in sends)
-    earlier = sum(send["ms"] for send in sends[:-1])
+    own_ms = row["ms"] - sum(send["ms"] for send in sends)
+    earlier_ms = sum(send["ms"] for send in sends[:-1])
     last = sends[-1]
-    if here > max(earlier, last["ms"]):
+    if own_ms > max(earlier_ms, last["ms"]):
         return "waiting here"
-    if earlier > last["ms"]:
+    if earlier_ms > last["ms"]:
         return f"an earlier send: {sends[0]['outcome']}"
     if last["touch"] in ("first", "beside-first"):
         return f"touch: {last['touch']}, {last['reason']}"
@@ -70,7 +73,7 @@
 
 
 def by_cause(lines: Iterable[Line]) -> dict[str, Counter[str]]:
-    """Return how often each cause stands in the lines of requests, by service."""
+    """Count the logged requests by service and cause."""
     found: dict[str, Counter[str]] = {}
     for line in lines:
         if line.kind == "request" and "service" in line.fields:
@@ -80,12 +83,15 @@
 
 
 def by_time(lines: Iterable[Line], begin: float) -> dict[float, Counter[str]]:
-    """Return what the counters grew by in each window, without the services' names."""
+    """Sum the counter increments of each time window over all services.
+
+    Keys are the seconds from `begin` to the start of the window.
+    """
     found: dict[float, Counter[str]] = {}
     for line in lines:
         if line.kind != "figures":
             continue
-        window = found.setdefault((line.at - begin) // WINDOW_S * WINDOW_S, Counter())
+        window = found.setdefault((line.timestamp - begin) // WINDOW_S * WINDOW_S, Counter())
         for name, value in line.fields.items():
             if isinstance(value, int):
                 window[".".join(name.split(".")[:2])] += value
@@ -108,19 +114,19 @@
 
 
 def losses(*files: Path) -> None:
-    """Print why requests were slow, refused or failed.
+    """Print the causes of slow, refused and failed requests, and the counters over time.
 
     Parameters
     ----------
     files
-        Logs of gateways; standard input if none is named.
+        Gateway log files; standard input if none is given.
     """
     texts = (text for path in files for text in path.open()) if files else sys.stdin
     lines = list(read(texts))
     if not lines:
         raise SystemExit("there is no log line of a gateway in the input")
     _print_causes(by_cause(lines))
-    _print_windows(by_time(lines, min(line.at for line in lines)))
+    _print_windows(by_time(lines, min(line.timestamp for line in lines)))
 
 
 if __name__ == "__main__":
--- a/scripts/trials.py
+++ b/scripts/trials.py
@@ -1,8 +1,9 @@
-"""Break running deployments and judge the promises by the upstreams' books and callers' reports.
+"""Fault-injection trials on running deployments.
 
 Each trial starts a small deployment of separate processes on loopback, runs a mixed load, causes a
-failure, and prints one line of figures with "ok" or "BROKEN". The last line is one JSON object.
-Exits 1 if a promise was broken, also by a trial that could not be carried to its end.
+failure, and compares the callers' reports with the run counts of the upstreams. It prints one line
+of metrics with "ok" or "BROKEN". The last line is one JSON object. Exits with 1 if a check failed
+or a trial could not be completed.
 """
 
 import argparse
@@ -24,42 +25,42 @@
 
 from fleet import Document, Fleet, wait_until
 from trials_kit import (
-    BOUND_S,
     BUILD,
     DEADLINE_MS,
     OUTCOMES,
     REGIONS,
     SERVICES,
+    TRIAL_TIMEOUT_S,
     Codes,
-    Figures,
-    LookUps,
+    LookupPoller,
+    Metrics,
+    RevisionPoller,
     Trial,
-    Verdict,
-    Watch,
-    add,
+    TrialResult,
+    add_checks,
     apply,
     busiest,
     control_upstreams,
+    count_started,
     deployment,
     entries_of,
-    judge,
+    evaluate,
     kill,
     make_document,
+    read_audit_trail,
+    restart_entry,
     service_row,
-    start_again,
     start_load,
-    started,
-    trail,
-    with_edit,
+    with_retry_percent,
 )
 
-# Loans come back after the longest deadline of 2 s and six seconds: this outlasts them.
-FREEZE_S = 12.0
-# Of each 60 ms the first write is lost in the first rounds, and every write in the last two.
-LOSE_AT_ONCE = (1, 1, 1, 1, 1000, 1000)
-LOSE_EVERY_S = 0.06
-OUTAGE_S = 15.0
-STOP_LIMIT_S = 20.0
+# Longer than a loan, which expires six seconds after the maximum deadline of 2 s.
+FREEZE_DURATION_S = 12.0
+# Writes to lose per fault interval, by round; 1000 means all of them.
+MAX_LOST_WRITES = (1, 1, 1, 1, 1000, 1000)
+FAULT_INTERVAL_S = 0.06
+OUTAGE_DURATION_S = 15.0
+STOP_TIMEOUT_S = 20.0
 UPLOAD_BYTES = 200_000_000
 UPLOAD_PAUSE_S = 0.8
 UPLOAD_GROWTH_MB = 30.0
@@ -67,30 +68,32 @@
 # The trials
 
 
-def run_kill(fleet: Fleet) -> Verdict:
-    """Kill an entry in mid-load and start it again 2 s later."""
+def run_kill(fleet: Fleet) -> TrialResult:
+    """Kill an entry under load and restart it 2 s later."""
     start_load(fleet, 18)
     time.sleep(4.0)
-    seat, flights = busiest(fleet)
+    seat, in_flight_count = busiest(fleet)
     kill(fleet, [seat])
     time.sleep(2.0)
-    ready_s = start_again(fleet, seat)
-    return add(judge(fleet, 18, (12, 0.95)), {}, in_flight=flights, ready_s=ready_s)
+    ready_s = restart_entry(fleet, seat)
+    return add_checks(
+        evaluate(fleet, 18, (12, 0.95)), {}, in_flight=in_flight_count, ready_s=ready_s
+    )
 
 
-def run_freeze(fleet: Fleet) -> Verdict:
-    """Stop an entry's process for longer than deadlines and loans last, and let it go on."""
+def run_freeze(fleet: Fleet) -> TrialResult:
+    """Suspend an entry's process for longer than deadlines and loans last, then resume it."""
     start_load(fleet, 24)
     time.sleep(4.0)
-    seat, flights = busiest(fleet)
+    seat, in_flight_count = busiest(fleet)
     fleet.processes[seat].signal(signal.SIGSTOP)
-    time.sleep(FREEZE_S)
+    time.sleep(FREEZE_DURATION_S)
     fleet.processes[seat].signal(signal.SIGCONT)
-    return add(judge(fleet, 24, (19, 0.95)), {}, in_flight=flights)
+    return add_checks(evaluate(fleet, 24, (19, 0.95)), {}, in_flight=in_flight_count)
 
 
-def run_store_down(fleet: Fleet) -> Verdict:
-    """Let the store hang, then refuse, and meanwhile restart an entry and apply a change."""
+def run_store_down(fleet: Fleet) -> TrialResult:
+    """Make the store hang, then refuse; restart an entry and apply changes meanwhile."""
     start_load(fleet, 40)
     time.sleep(2.0)
     codes, ready_s = [], 0.0
@@ -99,76 +102,80 @@
         since = time.monotonic()
         if down == "hang":
             kill(fleet, ["west-a-1"])
-            ready_s = start_again(fleet, "west-a-1", OUTAGE_S)
-        codes.append(apply(fleet, with_edit(fleet.document, "menus", 11), f"while-{down}")[0])
-        time.sleep(max(0.0, since + OUTAGE_S - time.monotonic()))
+            ready_s = restart_entry(fleet, "west-a-1", OUTAGE_DURATION_S)
+        codes.append(
+            apply(fleet, with_retry_percent(fleet.document, "menus", 11), f"while-{down}")[0]
+        )
+        time.sleep(max(0.0, since + OUTAGE_DURATION_S - time.monotonic()))
     fleet.set_store(down=False)
-    after, answer = apply(fleet, with_edit(fleet.document, "menus", 12), "after")
-    verified, rows = trail(fleet)
-    promises = {
+    after, answer = apply(fleet, with_retry_percent(fleet.document, "menus", 12), "after")
+    verified, rows = read_audit_trail(fleet)
+    checks = {
         "apply fails with 5 while the store is away": codes == [5, 5],
         "an apply is accepted afterwards": after == 0,
         "only that one was recorded": len(rows) == 2 and verified == 0,
     }
-    figures = {"exits": [*codes, after], "audit_rows": len(rows), "ready_s": ready_s}
-    verdict = add(judge(fleet, 40, (34, 0.95)), promises, **figures)
-    return verdict if after == 0 else Verdict(verdict.figures, [*verdict.broken, str(answer)])
+    metrics = {"exits": [*codes, after], "audit_rows": len(rows), "ready_s": ready_s}
+    result = add_checks(evaluate(fleet, 40, (34, 0.95)), checks, **metrics)
+    return result if after == 0 else TrialResult(result.metrics, [*result.violations, str(answer)])
 
 
-def run_lost_answers(fleet: Fleet) -> Verdict:
-    """Lose the answers of writes that took effect, and writes, under own ids and applies."""
+def run_lost_answers(fleet: Fleet) -> TrialResult:
+    """Drop write requests and write responses of the store during claims and applies."""
     start_load(fleet, 20, **{"own-orders": 12.0})
     time.sleep(2.0)
     codes: list[int] = []
     lost: list[int] = []
-    for at, most in enumerate(LOSE_AT_ONCE):
-        document = with_edit(fleet.document, "menus", 30 + at)
-        with losing(fleet, "lose_answers" if at % 2 == 0 else "lose_requests", most, lost):
+    for at, max_lost in enumerate(MAX_LOST_WRITES):
+        document = with_retry_percent(fleet.document, "menus", 30 + at)
+        with losing_writes(
+            fleet, "lose_answers" if at % 2 == 0 else "lose_requests", max_lost, lost
+        ):
             code, answer = apply(fleet, document, f"lost-{at}")
         codes.append(code)
         if code == 6:
             args = ["--change", answer["change"]]
             codes.append(apply(fleet, document, f"lost-{at}", *args)[0])
-    verified, rows = trail(fleet)
-    # Exit 5 means that nothing was written, so these must not be in the trail.
-    promises = {
-        "each apply ends with 0 or 5, or with 6 and then 0": _settled(codes),
+    verified, rows = read_audit_trail(fleet)
+    # Exit code 5 means that nothing was written, so these changes must not be recorded.
+    checks = {
+        "each apply ends with 0 or 5, or with 6 and then 0": _applies_settled(codes),
         "exactly the accepted changes are recorded": len(rows) == 1 + codes.count(0),
         "the audit trail is whole": verified == 0,
         "writes were lost": sum(lost) >= 10,
     }
-    verdict = judge(fleet, 20, (18, 0.9))
-    return add(verdict, promises, exits=codes, audit_rows=len(rows), lost=sum(lost))
+    result = evaluate(fleet, 20, (18, 0.9))
+    return add_checks(result, checks, exits=codes, audit_rows=len(rows), lost=sum(lost))
 
 
-def _settled(codes: list[int]) -> bool:
+def _applies_settled(codes: list[int]) -> bool:
     after = zip(codes, [*codes[1:], 0], strict=True)
     return all(code in (0, 5) or (code == 6 and later == 0) for code, later in after)
 
 
 @contextlib.contextmanager
-def losing(fleet: Fleet, fault: str, most: int, lost: list[int]) -> Iterator[None]:
-    """Let the store lose up to `most` writes each few milliseconds; note how many in `lost`."""
-    over = threading.Event()
+def losing_writes(fleet: Fleet, fault: str, max_lost: int, lost: list[int]) -> Iterator[None]:
+    """Make the store lose up to `max_lost` writes per interval; append the counts to `lost`."""
+    stop = threading.Event()
 
     def lose() -> None:
-        while not over.wait(LOSE_EVERY_S):
-            lost.append(most - change_store(fleet)[fault])
-            change_store(fleet, **{fault: most})
+        while not stop.wait(FAULT_INTERVAL_S):
+            lost.append(max_lost - change_store(fleet)[fault])
+            change_store(fleet, **{fault: max_lost})
 
-    change_store(fleet, **{fault: most})
+    change_store(fleet, **{fault: max_lost})
     thread = threading.Thread(target=lose)
     thread.start()
     try:
         yield
     finally:
-        over.set()
+        stop.set()
         thread.join()
         change_store(fleet, **{fault: 0})
 
 
-def change_store(fleet: Fleet, **faults: t.Any) -> Figures:
-    """Change the store's faults, or none; return those in force."""
+def change_store(fleet: Fleet, **faults: t.Any) -> Metrics:
+    """Set the given faults of the store, if any; return the faults in force."""
     host, _, port = fleet.store_control.partition(":")
     conn = http.client.HTTPConnection(host, int(port), timeout=2.0)
     with contextlib.closing(conn):
@@ -176,14 +183,14 @@
         return json.loads(conn.getresponse().read())
 
 
-def run_two_operators(fleet: Fleet) -> Verdict:
-    """Apply two different edits at the same moment, several times."""
+def run_two_operators(fleet: Fleet) -> TrialResult:
+    """Apply two conflicting edits concurrently, several times."""
     start_load(fleet, 16)
     codes: list[list[int]] = []
-    with Watch(fleet) as watch, ThreadPoolExecutor(2) as pool:
+    with RevisionPoller(fleet) as poller, ThreadPoolExecutor(2) as pool:
         for at in range(5):
             base = max((fleet.status(seat) or {}).get("revision", 0) for seat in _seats(fleet))
-            edits = [with_edit(fleet.document, name, 40 + at) for name in SERVICES]
+            edits = [with_retry_percent(fleet.document, name, 40 + at) for name in SERVICES]
             args = ["--base", str(base)] if at % 2 else []
             pair = [
                 pool.submit(apply, fleet, edit, f"round-{at}-{name}", *args)
@@ -193,23 +200,23 @@
             codes.append(ended)
             if 0 in ended:
                 fleet.document = edits[ended.index(0)]
-        verified, rows = trail(fleet)
-    promises = {
+        verified, rows = read_audit_trail(fleet)
+    checks = {
         "one wins and the other sees a conflict": all(sorted(pair) == [0, 3] for pair in codes),
         "only the winners are recorded": len(rows) == 1 + len(codes),
         "the audit trail is whole": verified == 0,
-        "no revision goes back": not watch.went_back,
+        "no revision goes back": not poller.went_back,
     }
-    verdict = judge(fleet, 16, (2, 0.95))
-    return add(verdict, promises, exits=codes, polls=watch.polls, went_back=watch.went_back)
+    result = evaluate(fleet, 16, (2, 0.95))
+    return add_checks(result, checks, exits=codes, polls=poller.polls, went_back=poller.went_back)
 
 
 def _seats(fleet: Fleet) -> list[str]:
     return list(fleet.document["entries"])
 
 
-def run_zone_gone(fleet: Fleet) -> Verdict:
-    """Lose a zone's entries and upstreams at once; the VM list tells of it 3 s later."""
+def run_zone_gone(fleet: Fleet) -> TrialResult:
+    """Fail all entries and upstreams of a zone at once; update the VM list 3 s later."""
     start_load(fleet, 22)
     time.sleep(4.0)
     seats = entries_of(fleet, "east-a")
@@ -219,11 +226,11 @@
     fleet.set_vms(dict.fromkeys(seats, "gone"))
     fleet.processes["load"].wait(40.0)
     control_upstreams(fleet, "east-a", refuse=False)
-    return judge(fleet, 22, (14, 0.95))
+    return evaluate(fleet, 22, (14, 0.95))
 
 
-def run_upstream_faults(fleet: Fleet) -> Verdict:
-    """Let upstreams answer short, twice, after the deadline and not at all, in turns."""
+def run_upstream_faults(fleet: Fleet) -> TrialResult:
+    """Have upstreams truncate, duplicate, delay past the deadline and withhold answers in turn."""
     start_load(fleet, 26, streams=8.0)
     time.sleep(2.0)
     for _ in range(2):
@@ -234,71 +241,71 @@
         control_upstreams(fleet, "east-a", late_ms=0)
         control_upstreams(fleet, "west-b", hang=True)
         time.sleep(3.0)
-        # Ends as a restart would, since a request at its deadline else gets the upstream's own 504.
+        # Closes connections as a restart would; a hanging request would get the upstream's 504.
         control_upstreams(fleet, "west-b", refuse=True)
         control_upstreams(fleet, "west-b", refuse=False, hang=False)
-    return judge(fleet, 26, (23, 0.95))
+    return evaluate(fleet, 26, (23, 0.95))
 
 
-def run_drain_during_failover(fleet: Fleet) -> Verdict:
-    """Drain the other zone of a region whose first zone has just failed."""
+def run_drain_during_failover(fleet: Fleet) -> TrialResult:
+    """Drain one zone of a region just after the other zone has failed."""
     start_load(fleet, 22)
     time.sleep(4.0)
     control_upstreams(fleet, "east-a", refuse=True)
     time.sleep(1.0)
     code, answer = fleet.ctl("drain", "zone", "east-b", "--why", "trial", "--wait", "12")
-    at_end = started(fleet, "east-b")
+    at_end = count_started(fleet, "east-b")
     fleet.processes["load"].wait(40.0)
-    later = started(fleet, "east-b") - at_end
+    later = count_started(fleet, "east-b") - at_end
     control_upstreams(fleet, "east-a", refuse=False)
-    promises = {"the drain is done": code == 0, "no request starts in it later": later == 0}
-    verdict = judge(fleet, 22, (15, 0.9))
-    return add(verdict, promises, exit=code, drain_s=answer.get("drain_s"), started_later=later)
+    checks = {"the drain is done": code == 0, "no request starts in it later": later == 0}
+    result = evaluate(fleet, 22, (15, 0.9))
+    return add_checks(result, checks, exit=code, drain_s=answer.get("drain_s"), started_later=later)
 
 
-def run_stop_under_load(fleet: Fleet) -> Verdict:
-    """Stop and start every entry, one after the other, as an upgrade does."""
+def run_stop_under_load(fleet: Fleet) -> TrialResult:
+    """Restart every entry in turn under load, as a rolling upgrade does."""
     start_load(fleet, 34)
     time.sleep(2.0)
     codes: Codes = []
     seconds: list[float] = []
     named_late: list[float] = []
     for seat in _seats(fleet):
-        with LookUps(fleet, seat) as look_ups:
-            # It must be seen to be named, or the check below would show nothing.
-            wait_until(f"{seat} named", lambda seen=look_ups: seen.valid_until > 0)
+        with LookupPoller(fleet, seat) as lookups:
+            # The check on named_late needs at least one look-up that names the entry.
+            wait_until(f"{seat} named", lambda seen=lookups: seen.valid_until > 0)
             start = time.monotonic()
             fleet.processes[seat].signal(signal.SIGTERM)
-            codes.append(fleet.processes[seat].wait(STOP_LIMIT_S))
+            codes.append(fleet.processes[seat].wait(STOP_TIMEOUT_S))
             seconds.append(round(time.monotonic() - start, 2))
-        named_late.append(round(look_ups.valid_until - closing_at(fleet, seat), 2))
-        start_again(fleet, seat)
-    over = fleet.processes["load"].popen.poll() is not None
-    verdict = judge(fleet, 34)
-    promises = {
+        named_late.append(round(lookups.valid_until - closing_time(fleet, seat), 2))
+        restart_entry(fleet, seat)
+    load_ended = fleet.processes["load"].popen.poll() is not None
+    result = evaluate(fleet, 34)
+    checks = {
         "every entry exits with 0": codes == [0] * len(codes),
-        "no connection is cut": verdict.figures["cut"] == 0,
-        "no run is cut off": verdict.figures["cut_off"] == 0,
-        "no request ends unknown or failed": not {"unknown", "failed"} & _seen(verdict),
+        "no connection is cut": result.metrics["cut"] == 0,
+        "no run is cut off": result.metrics["cut_off"] == 0,
+        "no request ends unknown or failed": not {"unknown", "failed"} & _observed_outcomes(result),
         "no look-up names an entry for longer than it takes work": max(named_late) <= 0,
-        "the load lasted to the end": not over,
+        "the load lasted to the end": not load_ended,
     }
-    return add(verdict, promises, exits=codes, stop_s=seconds, named_late_s=named_late)
+    return add_checks(result, checks, exits=codes, stop_s=seconds, named_late_s=named_late)
 
 
-def _seen(verdict: Verdict) -> set[str]:
-    figures = {**verdict.figures["repeats"], **{n: verdict.figures[n] for n in OUTCOMES}}
-    return {name for name, count in figures.items() if count}
+def _observed_outcomes(result: TrialResult) -> set[str]:
+    metrics = {**result.metrics["repeats"], **{n: result.metrics[n] for n in OUTCOMES}}
+    return {name for name, count in metrics.items() if count}
 
 
-def closing_at(fleet: Fleet, seat: str) -> float:
-    """Return when a stopped entry took no more work, in seconds of Unix time."""
+def closing_time(fleet: Fleet, seat: str) -> float:
+    """Return the Unix time at which a stopping entry logged that it closes to new requests."""
     lines = [line for line in fleet.processes[seat].lines() if '"cardamomloft:closing"' in line]
     return json.loads(lines[-1])["timestamp"]
 
 
-def run_big_upload(fleet: Fleet) -> Verdict:
-    """Upload 200 MB through one entry while others are served, and watch its memory."""
+def run_big_upload(fleet: Fleet) -> TrialResult:
+    """Upload 200 MB through one entry under load and measure the growth of its memory."""
     start_load(fleet, 14)
     seat = "east-a-1"
     time.sleep(3.0)
@@ -310,7 +317,7 @@
         start = time.monotonic()
         future = pool.submit(upload, address, UPLOAD_BYTES)
         time.sleep(0.1)
-        # Upstreams that read nothing for a while show whether the entry holds the caller back.
+        # While the upstreams read nothing, the entry must apply back-pressure to the caller.
         fleet.processes["upstreams"].signal(signal.SIGSTOP)
         time.sleep(UPLOAD_PAUSE_S)
         stopped_early = future.done()
@@ -321,17 +328,17 @@
             time.sleep(0.01)
         seconds = time.monotonic() - start
     growth = round(max(most - before, resident_mb(pid, "VmHWM") - peak), 1)
-    promises = {
+    checks = {
         "the answer is complete and shows every byte": future.result(),
         "the upload waited for the upstream": not stopped_early,
         f"memory grows by less than {UPLOAD_GROWTH_MB:g} MB": growth < UPLOAD_GROWTH_MB,
     }
-    figures = {"growth_mb": growth, "before_mb": round(before, 1), "upload_s": round(seconds, 2)}
-    return add(judge(fleet, 14, (8, 0.95)), promises, **figures)
+    metrics = {"growth_mb": growth, "before_mb": round(before, 1), "upload_s": round(seconds, 2)}
+    return add_checks(evaluate(fleet, 14, (8, 0.95)), checks, **metrics)
 
 
 def upload(address: str, size: int) -> bool:
-    """Send a body of `size` bytes; tell whether the answer proves that all of it arrived."""
+    """Send a body of `size` bytes; return whether the answer's size and digest match it."""
     host, _, port = address.partition(":")
     piece = os.urandom(1_000_000)
     digest = hashlib.sha256()
@@ -353,14 +360,14 @@
 
 
 def resident_mb(pid: int, field: str = "VmRSS") -> float:
-    """Return a process's resident memory in megabytes, or its highest so far (VmHWM)."""
+    """Return the resident memory of a process in megabytes, or its peak with ``VmHWM``."""
     text = pathlib.Path(f"/proc/{pid}/status").read_text()
     row = next(line for line in text.splitlines() if line.startswith(field))
     return int(row.split()[1]) * 1024 / 1e6
 
 
 def with_uploads(document: Document) -> Document:
-    """Add a service for uploads whose deadline leaves time for them."""
+    """Add an upload service with a deadline long enough for large bodies."""
     zones = [zone for zones in REGIONS.values() for zone in zones]
     host = document["services"]["orders"]["upstreams"]["orders-east-a"]["address"].split(":")[0]
     row = service_row("media", host.rpartition(".")[0] + ".3", zones)
@@ -383,37 +390,37 @@
 )
 
 
-def carry_out(trial: Trial) -> Verdict:
-    """Run one trial within its bound; one that cannot be carried to its end is broken."""
+def run_trial(trial: Trial) -> TrialResult:
+    """Run one trial within its time limit; an exception counts as a violation."""
     document = make_document(trial)
     if trial.name == "big-upload":
         document = with_uploads(document)
-    signal.alarm(BOUND_S)
+    signal.alarm(TRIAL_TIMEOUT_S)
     try:
         with deployment(trial, document) as fleet:
             return trial.run(fleet)
     except Exception as exc:
-        return Verdict({}, [f"not carried to its end: {type(exc).__name__}: {exc}"])
+        return TrialResult({}, [f"not carried to its end: {type(exc).__name__}: {exc}"])
     finally:
         signal.alarm(0)
 
 
-def show(trial: Trial, verdict: Verdict, seconds: float) -> None:
-    """Print one trial's line."""
-    words = ", ".join(f"{name} {value}" for name, value in verdict.figures.items())
-    state = "BROKEN: " + "; ".join(verdict.broken) if verdict.broken else "ok"
-    print(f"{trial.name} ({seconds:.0f} s): {words}: {state}", flush=True)
+def print_result(trial: Trial, result: TrialResult, seconds: float) -> None:
+    """Print the result line of one trial."""
+    metrics_text = ", ".join(f"{name} {value}" for name, value in result.metrics.items())
+    state = "BROKEN: " + "; ".join(result.violations) if result.violations else "ok"
+    print(f"{trial.name} ({seconds:.0f} s): {metrics_text}: {state}", flush=True)
 
 
 def on_signal(number: int, _: object) -> t.NoReturn:
-    """Leave by an exception, so that the context managers end every process."""
+    """Raise an exception, so that context managers end all processes."""
     if number == signal.SIGALRM:
-        raise TimeoutError(f"not within {BOUND_S} s")
+        raise TimeoutError(f"not within {TRIAL_TIMEOUT_S} s")
     raise SystemExit(128 + number)
 
 
 def main() -> int:
-    """Run the trials one after the other."""
+    """Run the selected trials one after the other."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--only", metavar="NAME", choices=[row.name for row in TRIALS])
     args = parser.parse_args()
@@ -430,16 +437,16 @@
     for trial in TRIALS:
         if args.only in (None, trial.name):
             shutil.rmtree(BUILD / trial.name, ignore_errors=True)
-            busy, start = os.getloadavg()[0], time.monotonic()
-            verdict = carry_out(trial)
+            load_average, start = os.getloadavg()[0], time.monotonic()
+            result = run_trial(trial)
             seconds = time.monotonic() - start
-            show(trial, verdict, seconds)
+            print_result(trial, result, seconds)
             results[trial.name] = {
-                "ok": not verdict.broken,
-                "broken": verdict.broken,
+                "ok": not result.violations,
+                "broken": result.violations,
                 "seconds": round(seconds, 1),
-                "load_average": round(busy, 1),
-                **verdict.figures,
+                "load_average": round(load_average, 1),
+                **result.metrics,
             }
     print(json.dumps(results))
     return 0 if all(row["ok"] for row in results.values()) else 1
--- a/scripts/trials_kit.py
+++ b/scripts/trials_kit.py
@@ -1,4 +1,4 @@
-"""What the trials share: small deployments under a load, and what callers and upstreams saw."""
+"""Shared parts of the trials: small deployments, load, fault injection and evaluation."""
 
 import contextlib
 import json
@@ -9,22 +9,22 @@
 import typing as t
 from collections.abc import Callable, Iterable, Iterator
 
-from fleet import Document, Fleet, get_json, put_json, running, sum_up
+from fleet import Document, Fleet, get_json, put_json, running, summarize_counts
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 BUILD = ROOT / "build" / "trials"
 NET = "127.6"
-BOUND_S = 75
+TRIAL_TIMEOUT_S = 75
 DEADLINE_MS = 1500
 MAX_DEADLINE_MS = 2000
 REGIONS = {"east": ["east-a", "east-b"], "west": ["west-a", "west-b"]}
-CLIENTS = {"east": "10.1.0.0/16", "west": "10.2.0.0/16"}
+CLIENT_BLOCKS = {"east": "10.1.0.0/16", "west": "10.2.0.0/16"}
 SERVICES = ("menus", "orders")
-CLIENTS_EACH = 4
+CLIENTS_PER_REGION = 4
 SLOTS = 4
 
-# These are promises of every trial: each must be 0.
-NEVER = (
+# Metrics that must be 0 in every trial.
+MUST_BE_ZERO = (
     "duplicate_runs",
     "slot_overshoot",
     "refused_but_run",
@@ -34,35 +34,35 @@
 )
 OUTCOMES = ("complete", "refused", "unknown", "failed", "cut", "unreached")
 
-Figures = dict[str, t.Any]
+Metrics = dict[str, t.Any]
 Codes = list[int | None]
 
 
-class Verdict(t.NamedTuple):
-    """What a trial measured, and which promises it saw broken."""
+class TrialResult(t.NamedTuple):
+    """Metrics of one trial and a message for each violated check."""
 
-    figures: Figures
-    broken: list[str]
+    metrics: Metrics
+    violations: list[str]
 
 
 class Trial(t.NamedTuple):
-    """One trial: its number keeps its addresses apart from those of the others."""
+    """One trial; `number` selects its loopback addresses."""
 
     name: str
     number: int
-    run: "Callable[[Fleet], Verdict]"
-    entries_each: tuple[int, ...] = (2, 2, 1, 1)
+    run: "Callable[[Fleet], TrialResult]"
+    entries_per_zone: tuple[int, ...] = (2, 2, 1, 1)
 
 
 # The deployment
 
 
 def make_document(trial: Trial) -> Document:
-    """Generate two regions of two zones, with one upstream of each service in each zone."""
+    """Return a document of two regions with two zones, and one upstream per service and zone."""
     zones = [zone for zones in REGIONS.values() for zone in zones]
     seats = [
         (f"{zone}-{at}", zone)
-        for zone, count in zip(zones, trial.entries_each, strict=True)
+        for zone, count in zip(zones, trial.entries_per_zone, strict=True)
         for at in range(1, count + 1)
     ]
     return {
@@ -77,7 +77,7 @@
             name: service_row(name, f"{NET}.{100 + trial.number}.{10 * at}", zones)
             for at, name in enumerate(SERVICES, 1)
         },
-        "clients": {"default": "east", "blocks": {CLIENTS[name]: name for name in REGIONS}},
+        "clients": {"default": "east", "blocks": {CLIENT_BLOCKS[name]: name for name in REGIONS}},
         "rules": [_rule(region, other) for region, other in (("east", "west"), ("west", "east"))],
     }
 
@@ -93,7 +93,7 @@
 
 
 def service_row(name: str, host: str, zones: list[str]) -> dict[str, t.Any]:
-    """Return a service of the document with one upstream in each of `zones`."""
+    """Return the document's row of a service with one upstream in each of `zones`."""
     return {
         "prefix": f"/{name}",
         "priority": "normal",
@@ -120,8 +120,8 @@
     return {"name": f"near-{region}", "when": {"region": region}, "then": then}
 
 
-def with_edit(document: Document, service: str, percent: int) -> Document:
-    """Return the document with another retry percentage of one service."""
+def with_retry_percent(document: Document, service: str, percent: int) -> Document:
+    """Return a copy of the document in which one service has another retry percentage."""
     copy = json.loads(json.dumps(document))
     copy["services"][service]["retry_percent"] = percent
     return copy
@@ -129,7 +129,7 @@
 
 @contextlib.contextmanager
 def deployment(trial: Trial, document: Document) -> Iterator[Fleet]:
-    """Own a deployment whose entries all serve `document`."""
+    """Yield a running deployment in which every entry has applied `document`."""
     with running(document, BUILD / trial.name, trial.number, net=NET) as fleet:
         fleet.start_entries()
         fleet.apply(document, "trial")
@@ -137,24 +137,27 @@
         yield fleet
 
 
-# What is done to it
+# Load and faults
 
 
 def start_load(fleet: Fleet, seconds: float, **rates: float) -> None:
-    """Start the callers: idempotent requests, orders with repeats, orders under own ids."""
+    """Start the load: idempotent requests, streams, and orders with system and own operation ids.
+
+    `rates` overrides the requests per second of a kind.
+    """
     rate = {"menus": 40.0, "orders": 20.0, "own-orders": 2.0, "streams": 2.0, **rates}
     mix = []
-    # Many clients, so that every entry is named to some; each path has its own length of body, so
-    # that a mixed-up answer does not match.
+    # Look-ups of several clients name every entry. Each path has its own body length, so that an
+    # answer to another request is detected.
     for at, region in enumerate(REGIONS, 1):
-        for item in range(CLIENTS_EACH):
-            near = {"client": f"10.{at}.0.{item}", "deadline_ms": DEADLINE_MS}
-            each = {name: value / (2 * CLIENTS_EACH) for name, value in rate.items()}
-            menu = {**near, "name": "menus", "method": "PUT", "path": f"/menus/{region}-{item}"}
+        for item in range(CLIENTS_PER_REGION):
+            client = {"client": f"10.{at}.0.{item}", "deadline_ms": DEADLINE_MS}
+            each = {name: value / (2 * CLIENTS_PER_REGION) for name, value in rate.items()}
+            menu = {**client, "name": "menus", "method": "PUT", "path": f"/menus/{region}-{item}"}
             menu |= {"rate": each["menus"], "work_ms": 100.0, "body_bytes": 100 * at + item}
-            order = {**near, "method": "POST", "path": f"/orders/{region}-{item}"}
+            order = {**client, "method": "POST", "path": f"/orders/{region}-{item}"}
             order |= {"work_ms": 120.0, "repeat": 0.3, "body_bytes": 200 * at + item}
-            stream = {**near, "name": "streams", "method": "GET", "path": f"/menus/{region}-all"}
+            stream = {**client, "name": "streams", "method": "GET", "path": f"/menus/{region}-all"}
             stream |= {"rate": each["streams"], "answer_bytes": 200_000 + 10 * at + item}
             mix += [menu, stream]
             mix.append({**order, "name": "orders", "operation": "system", "rate": each["orders"]})
@@ -165,22 +168,22 @@
 
 
 def entries_of(fleet: Fleet, zone: str) -> list[str]:
-    """Return the seats of a zone."""
+    """Return the seats in a zone."""
     return [seat for seat, row in fleet.document["entries"].items() if row["zone"] == zone]
 
 
 def busiest(fleet: Fleet) -> tuple[str, int]:
-    """Return the entry with the most requests in flight, and how many."""
-    flights = {}
+    """Return the seat with the most requests in flight, and their number."""
+    in_flight = {}
     for seat in fleet.document["entries"]:
         rows = (fleet.status(seat) or {}).get("services", {}).values()
-        flights[seat] = sum(row["in_flight"] for row in rows)
-    seat = max(flights, key=lambda each: flights[each])
-    return seat, flights[seat]
+        in_flight[seat] = sum(row["in_flight"] for row in rows)
+    seat = max(in_flight, key=lambda each: in_flight[each])
+    return seat, in_flight[seat]
 
 
 def kill(fleet: Fleet, seats: Iterable[str]) -> None:
-    """Kill entries at the same time."""
+    """Kill the given entries at once."""
     procs = [fleet.processes[seat] for seat in seats]
     for proc in procs:
         proc.signal(signal.SIGKILL)
@@ -188,8 +191,8 @@
         proc.wait(5.0)
 
 
-def start_again(fleet: Fleet, seat: str, ready_s: float = 20.0) -> float:
-    """Start an ended entry in its seat and keep the former log; return the seconds to ready."""
+def restart_entry(fleet: Fleet, seat: str, ready_s: float = 20.0) -> float:
+    """Start an ended entry again, keeping its previous log; return the seconds until ready."""
     log = fleet.processes[seat].log
     log.replace(log.with_suffix(".former.log"))
     start = time.monotonic()
@@ -199,53 +202,53 @@
 
 
 def control_upstreams(fleet: Fleet, zone: str | None = None, **behaviour: t.Any) -> None:
-    """Change the behaviour of a zone's upstreams (all by default), also while they refuse."""
+    """Change the behaviour of the upstreams in a zone (default: all), also while they refuse."""
     control = json.loads(fleet.processes["upstreams"].lines()[0])["control"]
     for row in fleet.upstream_rows():
         if zone in (None, row["zone"]):
             put_json(f"http://{control}/{row['name']}/-/control", behaviour)
 
 
-def started(fleet: Fleet, zone: str) -> int:
-    """Return how many requests a zone's upstreams have begun to run."""
+def count_started(fleet: Fleet, zone: str) -> int:
+    """Return how many requests the upstreams of a zone have started to run."""
     rows = [row for row in fleet.upstream_rows() if row["zone"] == zone]
     return sum(get_json(f"http://{row['address']}/-/books")["started"] for row in rows)
 
 
-def apply(fleet: Fleet, document: Document, name: str, *args: str) -> tuple[int, Figures]:
-    """Run `cardamomctl apply` on a file of its own; return exit code and answer."""
+def apply(fleet: Fleet, document: Document, name: str, *args: str) -> tuple[int, Metrics]:
+    """Run `cardamomctl apply` on a new file; return its exit code and output."""
     path = fleet.folder / f"{name}.json"
     path.write_text(json.dumps(document))
     return fleet.ctl("apply", str(path), "--why", name, "--wait", "10", *args, timeout=45.0)
 
 
-def trail(fleet: Fleet) -> tuple[int, list[Figures]]:
-    """Verify the audit trail; return the exit code and its rows."""
+def read_audit_trail(fleet: Fleet) -> tuple[int, list[Metrics]]:
+    """Verify the audit trail; return the exit code and the newest rows."""
     code, answer = fleet.ctl("audit", "--last", "50", "--verify")
     return code, answer.get("entries", [])
 
 
-class Watch:
-    """Polls the status page of every entry and keeps each revision that it shows."""
+class RevisionPoller:
+    """Polls the status pages of all entries and records each decrease of the revision."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
-        self._over = threading.Event()
+        self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._poll)
         self.polls = 0
         self.went_back: list[str] = []
 
-    def __enter__(self) -> "Watch":
+    def __enter__(self) -> "RevisionPoller":
         self._thread.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._over.set()
+        self._stopped.set()
         self._thread.join()
 
     def _poll(self) -> None:
         highest: dict[str, int] = {}
-        while not self._over.wait(0.05):
+        while not self._stopped.wait(0.05):
             for seat in self._fleet.document["entries"]:
                 page = self._fleet.status(seat)
                 if page is None:
@@ -256,69 +259,79 @@
                 highest[seat] = page["revision"]
 
 
-class LookUps:
-    """Asks the other entries for look-ups and keeps until when one was told to use an entry."""
+class LookupPoller:
+    """Polls the look-ups of all other entries for answers that name a given entry.
+
+    Attributes
+    ----------
+    valid_until
+        Unix time at which the last answer that named the entry expires.
+    """
 
     def __init__(self, fleet: Fleet, seat: str) -> None:
         rows = fleet.document["entries"].items()
         self._others = [row["callers"] for name, row in rows if name != seat]
         self._seat = seat
-        self._over = threading.Event()
+        self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._poll)
         self.valid_until = 0.0
 
-    def __enter__(self) -> "LookUps":
+    def __enter__(self) -> "LookupPoller":
         self._thread.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._over.set()
+        self._stopped.set()
         self._thread.join()
 
     def _poll(self) -> None:
-        while not self._over.wait(0.02):
+        while not self._stopped.wait(0.02):
             for address in self._others:
-                asked = time.time()
+                requested_at = time.time()
                 answer = get_json(f"http://{address}/lookup?client=10.1.0.1")
                 if self._seat in [row["name"] for row in answer["entries"]]:
-                    until = asked + answer["valid_ms"] / 1000
+                    until = requested_at + answer["valid_ms"] / 1000
                     self.valid_until = max(self.valid_until, until)
 
 
-# Judging
+# Evaluation
 
 
-def judge(fleet: Fleet, seconds: float, again: tuple[int, float] | None = None) -> Verdict:
-    """Wait for the load and compare what callers were told with what the upstreams ran.
+def evaluate(
+    fleet: Fleet, seconds: float, recovery: tuple[int, float] | None = None
+) -> TrialResult:
+    """Wait for the load and compare the outcomes that callers saw with the upstreams' run counts.
 
     Parameters
     ----------
     again
-        From which second of the load on which part of the requests must be complete.
+        Second of the load from which on the given fraction of requests must be complete.
     """
     report = fleet.load_report("load", seconds + 20)
-    books = sum_up(fleet.books())
+    upstream_counts = summarize_counts(fleet.upstream_counts())
     counts = _outcomes(report["outcomes"], repeats=False)
     repeats = _outcomes(report["outcomes"], repeats=True)
-    figures: Figures = {"requests": sum(counts.values())}
-    figures |= {name: counts.get(name, 0) for name in OUTCOMES}
-    figures["errors"] = counts.get("error", 0) + repeats.get("error", 0)
-    figures["orders"] = len(report["tries"])
-    figures["repeats"] = repeats
-    figures |= _orders(report["tries"], books.runs)
-    figures["duplicate_runs"] = books.duplicate_runs
-    figures["slot_overshoot"] = books.slot_overshoot
-    figures["wrong_answers"] = report["wrong_answers"]
-    figures["cut_off"] = books.cut_off
-    figures["reasons"] = report["reasons"]
-    broken = [f"{name} is {figures[name]}" for name in NEVER if figures[name]]
-    if figures["errors"]:
-        broken.append("; ".join(report["last_errors"][-3:]))
-    if again is not None:
-        figures["complete_again"] = _complete_part(report, range(again[0], int(seconds)))
-        if figures["complete_again"] < again[1]:
-            broken.append(f"only {figures['complete_again']} complete from second {again[0]} on")
-    return Verdict(figures, broken)
+    metrics: Metrics = {"requests": sum(counts.values())}
+    metrics |= {name: counts.get(name, 0) for name in OUTCOMES}
+    metrics["errors"] = counts.get("error", 0) + repeats.get("error", 0)
+    metrics["orders"] = len(report["tries"])
+    metrics["repeats"] = repeats
+    metrics |= _orders(report["tries"], upstream_counts.runs)
+    metrics["duplicate_runs"] = upstream_counts.duplicate_runs
+    metrics["slot_overshoot"] = upstream_counts.slot_overshoot
+    metrics["wrong_answers"] = report["wrong_answers"]
+    metrics["cut_off"] = upstream_counts.cut_off
+    metrics["reasons"] = report["reasons"]
+    violations = [f"{name} is {metrics[name]}" for name in MUST_BE_ZERO if metrics[name]]
+    if metrics["errors"]:
+        violations.append("; ".join(report["last_errors"][-3:]))
+    if recovery is not None:
+        metrics["complete_again"] = _complete_fraction(report, range(recovery[0], int(seconds)))
+        if metrics["complete_again"] < recovery[1]:
+            violations.append(
+                f"only {metrics['complete_again']} complete from second {recovery[0]} on"
+            )
+    return TrialResult(metrics, violations)
 
 
 def _outcomes(rows: dict[str, dict[str, int]], *, repeats: bool) -> dict[str, int]:
@@ -330,8 +343,8 @@
     return total
 
 
-def _orders(tries: dict[str, list[str]], runs: dict[str, int]) -> Figures:
-    refused = [key for key, rows in tries.items() if {"refused"} <= set(rows) <= NOT_RUN]
+def _orders(tries: dict[str, list[str]], runs: dict[str, int]) -> Metrics:
+    refused = [key for key, rows in tries.items() if {"refused"} <= set(rows) <= NOT_RUN_OUTCOMES]
     complete = [key for key, rows in tries.items() if {"complete", "repeat-complete"} & set(rows)]
     return {
         "orders_refused": len(refused),
@@ -340,10 +353,10 @@
     }
 
 
-NOT_RUN = {"refused", "unreached"}
+NOT_RUN_OUTCOMES = {"refused", "unreached"}
 
 
-def _complete_part(report: Figures, window: range) -> float:
+def _complete_fraction(report: Metrics, window: range) -> float:
     counts = {"complete": 0, "other": 0}
     for name, rows in report["outcomes_by_second"].items():
         kind = "complete" if name.endswith(":complete") else "other"
@@ -351,7 +364,7 @@
     return round(counts["complete"] / max(1, sum(counts.values())), 3)
 
 
-def add(verdict: Verdict, promises: dict[str, bool], **figures: t.Any) -> Verdict:
-    """Add figures and the promises of one trial, named with whether they held."""
-    broken = [f"not so: {name}" for name, held in promises.items() if not held]
-    return Verdict({**figures, **verdict.figures}, verdict.broken + broken)
+def add_checks(result: TrialResult, checks: dict[str, bool], **metrics: t.Any) -> TrialResult:
+    """Return the result with further metrics and the violations among `checks`."""
+    violations = [f"not so: {name}" for name, held in checks.items() if not held]
+    return TrialResult({**metrics, **result.metrics}, result.violations + violations)
