--- a/scripts/slopes.py
+++ b/scripts/slopes.py
@@ -1,7 +1,7 @@
-"""Measure the slopes behind docs/CAPACITY.md and write its results, tables and plots.
+"""Measure how costs grow with size and write the results, tables and plots of docs/CAPACITY.md.
 
-The whole run stays below ten minutes and with ``--quick`` below one. A quick run has smaller
-sizes, prints what it found, and leaves the page alone.
+A full run takes less than ten minutes. With ``--quick``, sizes are smaller, the run takes less
+than a minute, and the results are printed but not written.
 """
 
 import json
@@ -58,7 +58,7 @@
 
 
 def constants() -> dict[str, float]:
-    """Return what the rows need from the code besides slopes; durations in seconds."""
+    """Return the settings and limits of the code that rows depend on; durations in seconds."""
     defaults = node._DEFAULTS
     return {
         "chunk_every_s": node.CHUNKS.total_seconds(),
@@ -83,7 +83,7 @@
 def run_subject(
     measure: Callable[..., Iterator[Series]], *, quick: bool
 ) -> tuple[list[Series], float]:
-    """Return a subject's series and how long they took; print each as it comes."""
+    """Measure a subject and print each series; return the series and the seconds taken."""
     start, found = time.monotonic(), []
     for series in measure(quick=quick):
         found.append(series._replace(points=tuple(map(_rounded, series.points))))
@@ -117,9 +117,9 @@
     Parameters
     ----------
     quick
-        Take small sizes, and write nothing.
+        Measure at small sizes and write nothing.
     page
-        Measure nothing: work the rows out anew from the results that are there.
+        Measure nothing: recompute the rows from the existing results file.
     """
     if page:
         write_results(json.loads(RESULTS.read_text()))
@@ -158,7 +158,7 @@
 
 
 def write_results(results: slopes_page.Results) -> None:
-    """Write the results file with its rows, the page's tables, and the plots."""
+    """Compute the rows, then write the results file, the page's tables and the plots."""
     results["rows"] = [row._asdict() for row in slopes_page.rows_of(results)]
     RESULTS.write_text(json.dumps(results, indent=1) + "\n")
     PAGE.write_text(slopes_page.put_parts(PAGE.read_text(), slopes_page.render(results)))
--- a/scripts/slopes_blocks.py
+++ b/scripts/slopes_blocks.py
@@ -1,4 +1,4 @@
-"""Slopes of the client-block map: against blocks, and against how many of them change."""
+"""Costs of the client-block map, by the number of blocks and by the number of changed blocks."""
 
 import json
 import pathlib
@@ -18,10 +18,10 @@
 
 _SIZES = (150_000, 300_000, 600_000, 1_200_000)
 _QUICK_SIZES = (1_000, 2_000, 4_000, 8_000)
-_CHANGES = (1, 10, 30, 100)
-_LOOK_UPS = 50_000
+_CHANGED_BLOCKS = (1, 10, 30, 100)
+_LOOKUPS = 50_000
 _CHILD_TIMEOUT_S = 120.0
-_MEASURED = {
+_UNITS = {
     "memory": "bytes",
     "look_up": "us",
     "chunks": "chunks",
@@ -37,13 +37,13 @@
 
 
 def measure(*, quick: bool) -> Iterator[Series]:
-    """Yield every series of the map."""
-    found: dict[str, list[tuple[float, float]]] = {name: [] for name in _MEASURED}
+    """Yield all series of the client-block map."""
+    found: dict[str, list[tuple[float, float]]] = {name: [] for name in _UNITS}
     for size in _QUICK_SIZES if quick else _SIZES:
         blocks, built, chunks = make_map(size)
         for name, value in _one_size(blocks, built, chunks).items():
             found[name].append((size, value))
-    for name, unit in _MEASURED.items():
+    for name, unit in _UNITS.items():
         scale = "log2" if name == "look_up" else "linear"
         yield Series(f"map.{name}", "blocks", unit, tuple(found[name]), scale)
     yield from _changes(blocks, built, chunks)
@@ -51,44 +51,44 @@
 
 def _one_size(blocks: dict[str, str], built: BlockMap, chunks: Sequence[Chunk]) -> dict[str, float]:
     rng = random.Random(len(blocks))
-    asked = [parse_block(text).network + 1 for text in rng.choices(list(blocks), k=_LOOK_UPS)]
+    addresses = [parse_block(text).network + 1 for text in rng.choices(list(blocks), k=_LOOKUPS)]
 
     def look_up() -> None:
-        for address in asked:
+        for address in addresses:
             built.site_of(address)
 
     data = [chunk.data for chunk in chunks]
-    at_once, stepwise = _load_in_child(data, "at-once"), _load_in_child(data, "stepwise")
+    bulk, stepwise = _load_in_child(data, "at-once"), _load_in_child(data, "stepwise")
     return {
         "memory": built.nbytes,
-        "look_up": cpu_ms(look_up) / _LOOK_UPS * 1000,
+        "look_up": cpu_ms(look_up) / _LOOKUPS * 1000,
         "chunks": len(chunks),
         "packed": sum(map(len, data)),
         "largest_chunk": max(map(len, data)),
-        "load": at_once.cpu_ms,
-        "load_rss": at_once.grown,
-        "load_peak": at_once.peak,
+        "load": bulk.cpu_ms,
+        "load_rss": bulk.rss_growth,
+        "load_peak": bulk.peak_growth,
         "stepwise_load": stepwise.cpu_ms,
-        "stepwise_rss": stepwise.grown,
-        "stepwise_peak": stepwise.peak,
+        "stepwise_rss": stepwise.rss_growth,
+        "stepwise_peak": stepwise.peak_growth,
     }
 
 
 class _Load(t.NamedTuple):
-    """What loading a map takes; `grown` and `peak` are bytes of resident memory."""
+    """Cost of loading a map; growth of resident memory and of its peak in bytes."""
 
     cpu_ms: float
-    grown: int
-    peak: int
+    rss_growth: int
+    peak_growth: int
 
 
-def _load_in_child(chunks: Sequence[bytes], way: str) -> _Load:
-    """Load the chunks in a fresh process; return by how much its memory and its peak grew."""
+def _load_in_child(chunks: Sequence[bytes], method: str) -> _Load:
+    """Load the chunks in a fresh process and return the cost."""
     with tempfile.TemporaryDirectory() as folder:
         for at, chunk in enumerate(chunks):
             pathlib.Path(folder, str(at)).write_bytes(chunk)
         done = subprocess.run(
-            [sys.executable, __file__, folder, way],
+            [sys.executable, __file__, folder, method],
             capture_output=True,
             check=True,
             timeout=_CHILD_TIMEOUT_S,
@@ -104,23 +104,23 @@
     raise AssertionError(f"no {field} in the process's status")
 
 
-def _child(folder: str, way: str) -> None:
+def _child(folder: str, method: str) -> None:
     files = sorted(pathlib.Path(folder).iterdir(), key=lambda path: int(path.name))
     chunks = [path.read_bytes() for path in files]
     before, start = _memory("VmRSS"), time.process_time()
-    loaded = _load_at_once(chunks) if way == "at-once" else _load_stepwise(chunks)
+    loaded = _load_bulk(chunks) if method == "at-once" else _load_stepwise(chunks)
     spent = 1000 * (time.process_time() - start)
     del chunks
     print(json.dumps([spent, _memory("VmRSS") - before, _memory("VmHWM") - before]))
     assert len(loaded) > 0
 
 
-def _load_at_once(chunks: Sequence[bytes]) -> BlockMap:
+def _load_bulk(chunks: Sequence[bytes]) -> BlockMap:
     return BlockMap.from_chunks("site-0", chunks).ok
 
 
 def _load_stepwise(chunks: Sequence[bytes]) -> BlockMap:
-    """Load one chunk at a time, as an entry can while it serves."""
+    """Load one chunk at a time, as an entry does while it serves."""
     loaded, digests = BlockMap("site-0"), []
     for chunk in chunks:
         digests.append(digest_of(chunk))
@@ -129,12 +129,12 @@
 
 
 def _changes(blocks: dict[str, str], built: BlockMap, chunks: Sequence[Chunk]) -> Iterator[Series]:
-    """Yield what a change of a few blocks of the largest map costs each entry."""
+    """Yield the cost of changing a few blocks of the largest map."""
     rng = random.Random(1)
     loaded = BlockMap.from_chunks("site-0", [chunk.data for chunk in chunks]).ok
     known = {chunk.digest for chunk in chunks}
     bytes_, load_ms, pack_ms = [], [], []
-    for count in _CHANGES:
+    for count in _CHANGED_BLOCKS:
         moved = {text: f"site-{rng.randrange(SITES)}" for text in rng.sample(list(blocks), count)}
         changed = built.replace(moved)
         start = time.process_time()
--- a/scripts/slopes_chunks.py
+++ b/scripts/slopes_chunks.py
@@ -1,4 +1,4 @@
-"""How long changed chunks of the client-block map take to reach every entry of a region."""
+"""Time until changed chunks of the client-block map have reached every entry of a region."""
 
 import random
 from collections.abc import Iterator
@@ -16,27 +16,27 @@
 _SEEDS = (1, 2, 3)
 _BLOCKS = 24_000
 _STEP = timedelta(milliseconds=25)
-_AT_MOST = timedelta(minutes=2)
+_MAX_DURATION = timedelta(minutes=2)
 
 
 def measure(*, quick: bool) -> Iterator[Series]:
-    """Yield the one series."""
+    """Yield the series of propagation times by the number of entries in the region."""
     chunks = {chunk.digest: chunk.data for chunk in make_map(_BLOCKS)[2]}
     changed = dict(list(chunks.items())[: TARGET.blocks_changed])
     seeds = _SEEDS[:1] if quick else _SEEDS
     points = [
-        (size, sum(_spread_s(size, seed, changed) for seed in seeds) / len(seeds))
+        (size, sum(_propagation_s(size, seed, changed) for seed in seeds) / len(seeds))
         for size in (_QUICK_SIZES if quick else _SIZES)
     ]
     against = "entries in the region"
     yield Series("chunks.spread", against, "s", tuple(points), "log2", "model run")
 
 
-def _spread_s(size: int, seed: int, chunks: dict[str, bytes]) -> float:
-    """Return the seconds until all have `chunks`, of which only the steward reads the store.
+def _propagation_s(size: int, seed: int, chunks: dict[str, bytes]) -> float:
+    """Return the seconds until all entries have `chunks` in a model without loss or latency.
 
-    All know of them at once, each asks at its own phase, and nothing is lost or takes time on its
-    way.
+    Only the steward reads the store. All entries learn of the chunks at the same time, and each
+    sends its requests at a random phase.
     """
     rng = random.Random(seed)
     loaders: dict[str, MapLoader] = {}
@@ -44,13 +44,13 @@
         loaders[f"e{at}"] = _loader(rng, chunks)
     for loader in loaders.values():
         loader.configure({"default": "site-0", "chunks": list(chunks)})
-    due = {seat: CHUNKS * rng.random() for seat in loaders}
+    next_request = {seat: CHUNKS * rng.random() for seat in loaders}
     now = timedelta(0)
-    while any(loader.missing for loader in loaders.values()) and now < _AT_MOST:
+    while any(loader.missing for loader in loaders.values()) and now < _MAX_DURATION:
         for seat, loader in loaders.items():
-            if now >= due[seat]:
-                due[seat] += CHUNKS
-                _ask(loaders, seat, loader)
+            if now >= next_request[seat]:
+                next_request[seat] += CHUNKS
+                _request_chunks(loaders, seat, loader)
         now += _STEP
     return now / timedelta(seconds=1)
 
@@ -60,7 +60,7 @@
     return loader
 
 
-def _ask(loaders: dict[str, MapLoader], seat: str, loader: MapLoader) -> None:
+def _request_chunks(loaders: dict[str, MapLoader], seat: str, loader: MapLoader) -> None:
     peers = [other for other in loaders if other != seat]
     for target, request in loader.next_requests(peers, from_store=seat == "e0"):
         assert isinstance(request, ChunkRequest)
--- a/scripts/slopes_configuration.py
+++ b/scripts/slopes_configuration.py
@@ -1,4 +1,4 @@
-"""Slopes of the configuration: its bytes, the time to put it in force, and hops to reach all."""
+"""Costs of the configuration by fleet size: bytes, time to apply it, and hops to reach all."""
 
 import json
 import random
@@ -18,19 +18,19 @@
 from cardamomloft.core.shares import Shares
 from cardamomloft.core.steering import Steering
 from slopes_document import Size, document_bytes, full_size, make_document
-from slopes_fit import Series, cpu_ms, held_bytes
+from slopes_fit import Series, cpu_ms, retained_bytes
 
 _SIZES = (100, 200, 400, 800, 1500)
 _QUICK_SIZES = (25, 50, 100, 200)
-_SPREAD_SIZES = (32, 64, 128, 256, 512)
-_QUICK_SPREAD_SIZES = (16, 32, 64, 128)
-_SPREAD_SEEDS = (1, 2, 3)
-_HOPS_AT_MOST = 200
+_HOP_SIZES = (32, 64, 128, 256, 512)
+_QUICK_HOP_SIZES = (16, 32, 64, 128)
+_HOP_SEEDS = (1, 2, 3)
+_MAX_HOPS = 200
 _EMPTY = Size(1, 1, 4)
 
 
 def measure(*, quick: bool) -> Iterator[Series]:
-    """Yield every series of the configuration."""
+    """Yield all series of the configuration."""
     found: dict[tuple[str, str], list[tuple[float, float]]] = {}
     for entries in _QUICK_SIZES if quick else _SIZES:
         document = make_document(full_size(entries))
@@ -39,8 +39,8 @@
     for (name, unit), points in found.items():
         yield Series(f"configuration.{name}", "entries", unit, tuple(points))
     hops = [
-        (entries, sum(_hops(entries, seed) for seed in _SPREAD_SEEDS) / len(_SPREAD_SEEDS))
-        for entries in (_QUICK_SPREAD_SIZES if quick else _SPREAD_SIZES)
+        (entries, sum(_hops(entries, seed) for seed in _HOP_SEEDS) / len(_HOP_SEEDS))
+        for entries in (_QUICK_HOP_SIZES if quick else _HOP_SIZES)
     ]
     yield Series(
         "configuration.hops", "entries", "messages in a row", tuple(hops), "log2", "model run"
@@ -63,14 +63,14 @@
         ("decode_record", "ms"): cpu_ms(lambda: decode_record(raw), repeat=2),
         ("unpack", "ms"): cpu_ms(lambda: unpack(packed), repeat=2),
         ("check", "ms"): cpu_ms(lambda: check_document(document), repeat=2),
-        ("put_in_force", "ms"): cpu_ms(_change_of(document), repeat=2),
-        ("memory", "bytes"): held_bytes(lambda: unpack(packed).ok),
+        ("put_in_force", "ms"): cpu_ms(_make_change(document), repeat=2),
+        ("memory", "bytes"): retained_bytes(lambda: unpack(packed).ok),
         ("vm_list", "bytes"): len(json.dumps(vms)),
     }
 
 
-def _change_of(document: Document) -> Callable[[], None]:
-    """Return an act that puts the next revision in force at one entry that has one already."""
+def _make_change(document: Document) -> Callable[[], None]:
+    """Return a function that puts the next revision in force at a configured entry."""
     seat, row = next(iter(document["entries"].items()))
     clock = ManualClock()
     shares = Shares(Incarnation(seat, "1"), clock)
@@ -90,7 +90,7 @@
 
 
 def _hops(entries: int, seed: int) -> int:
-    """Return how many messages in a row it takes until every replica has a new revision."""
+    """Return the number of sequential messages until every replica has a new revision."""
     roster = make_document(Size(entries, 8, 4))["entries"]
     first, second = ({"entries": roster, "turn": turn} for turn in (1, 2))
     clock, rng = ManualClock(), random.Random(seed)
@@ -103,22 +103,22 @@
         replica.tick()
     start = rng.choice(list(replicas))
     replicas[start].offer(2, pack(second))
-    flying = [(start, outgoing) for outgoing in replicas[start].tick()]
-    for hop in range(1, _HOPS_AT_MOST):
+    in_flight = [(start, outgoing) for outgoing in replicas[start].tick()]
+    for hop in range(1, _MAX_HOPS):
         clock.advance(timedelta(milliseconds=35))
-        arrived, flying = flying, []
+        arrived, in_flight = in_flight, []
         for sender, (seat, message) in arrived:
-            flying += [(seat, out) for out in _deliver(replicas[seat], sender, message)]
+            in_flight += [(seat, out) for out in _deliver(replicas[seat], sender, message)]
         for seat, replica in replicas.items():
-            flying += [(seat, out) for out in replica.tick()]
-        flying += _digests(replicas, rng) if hop % 28 == 0 else []
+            in_flight += [(seat, out) for out in replica.tick()]
+        in_flight += _digests(replicas, rng) if hop % 28 == 0 else []
         if all(replica.number == 2 for replica in replicas.values()):
             return hop
-    return _HOPS_AT_MOST
+    return _MAX_HOPS
 
 
 def _digests(replicas: dict[str, Replica], rng: random.Random) -> list[tuple[str, Outgoing]]:
-    """Return one digest of each entry to a random other, as once a second (28 hops of 35 ms)."""
+    """Return one digest from each entry to a random entry, as sent once per second (28 hops)."""
     seats = list(replicas)
     return [
         (seat, Outgoing(rng.choice(seats), _digest(replica.number)))
--- a/scripts/slopes_document.py
+++ b/scripts/slopes_document.py
@@ -1,4 +1,4 @@
-"""Documents and client-block maps of any size, drawn from a seed, for the slopes."""
+"""Synthetic configuration documents and client-block maps of any size, with fixed seeds."""
 
 import itertools
 import json
@@ -16,14 +16,14 @@
 SITES = 160
 SERVICES = ("menus", "checkout", "media", "loyalty")
 ENDPOINTS_PER_ENTRY = 50 / 12
-"""Upstream endpoints for each entry in the larger of today's deployments."""
+"""Ratio of upstream endpoints to entries."""
 
 RULES = 200
 _BLOCK_LENGTHS = (22, 23, 24, 24, 24, 25, 26)
 
 
 class Size(t.NamedTuple):
-    """What a document is made for."""
+    """Numbers of items in a generated document."""
 
     entries: int
     endpoints: int
@@ -34,21 +34,26 @@
 
 
 def full_size(entries: int) -> Size:
-    """Return a size in which everything but the rules grows with the entries."""
+    """Return a size whose endpoints grow with the entries and whose rules are fixed."""
     return Size(entries, round(entries * ENDPOINTS_PER_ENTRY), RULES)
 
 
 def make_document(size: Size) -> Document:
-    """Return a document of the given size, with loopback addresses."""
-    zones = [f"r{at % size.regions}-z{at}" for at in range(max(size.zones, size.regions))]
-    names = [f"r{at}" for at in range(size.regions)]
+    """Return a document of the given size with loopback addresses."""
+    zones = [f"r{index % size.regions}-z{index}" for index in range(max(size.zones, size.regions))]
+    names = [f"r{index}" for index in range(size.regions)]
     document = {
         "format": 1,
         "deployment": "slopes",
         "regions": {name: [z for z in zones if z.startswith(f"{name}-")] for name in names},
-        "entries": dict(_entry(at, zones) for at in range(size.entries)),
-        "services": {name: _service(name, at, size, zones) for at, name in enumerate(SERVICES)},
-        "clients": {"default": "site-0", "chunks": [f"{at:064x}" for at in range(size.chunks)]},
+        "entries": dict(_entry(index, zones) for index in range(size.entries)),
+        "services": {
+            name: _service(name, index, size, zones) for index, name in enumerate(SERVICES)
+        },
+        "clients": {
+            "default": "site-0",
+            "chunks": [f"{index:064x}" for index in range(size.chunks)],
+        },
         "rules": list(make_rules(size.rules, names)),
         "links": [
             {"origin": one, "target": two, "bytes_per_s": 25_000_000}
@@ -59,32 +64,32 @@
 
 
 def document_bytes(document: Document) -> int:
-    """Return the length of a document as the store keeps it."""
+    """Return the length of a document in the JSON encoding of the store."""
     return len(json.dumps(document, sort_keys=True, separators=(",", ":")))
 
 
-def _entry(at: int, zones: list[str]) -> tuple[str, dict[str, t.Any]]:
-    zone = zones[at % len(zones)]
-    host = f"127.2.{at // 250}.{at % 250 + 1}"
-    return f"entry-{zone}-{at}", {
+def _entry(index: int, zones: list[str]) -> tuple[str, dict[str, t.Any]]:
+    zone = zones[index % len(zones)]
+    host = f"127.2.{index // 250}.{index % 250 + 1}"
+    return f"entry-{zone}-{index}", {
         "zone": zone,
-        "site": f"site-{at % SITES}",
+        "site": f"site-{index % SITES}",
         "callers": f"{host}:8080",
         "peers": f"{host}:7400",
         "operators": f"{host}:8081",
     }
 
 
-def _service(name: str, turn: int, size: Size, zones: list[str]) -> dict[str, t.Any]:
-    numbers = range(turn, size.endpoints, len(SERVICES))
+def _service(name: str, offset: int, size: Size, zones: list[str]) -> dict[str, t.Any]:
+    numbers = range(offset, size.endpoints, len(SERVICES))
     upstreams = {
-        f"{name}-{at}": {
-            "zone": zones[at // len(SERVICES) % len(zones)],
-            "address": f"127.2.{100 + at // 250}.{at % 250 + 1}:9000",
+        f"{name}-{index}": {
+            "zone": zones[index // len(SERVICES) % len(zones)],
+            "address": f"127.2.{100 + index // 250}.{index % 250 + 1}:9000",
             "slots": 4,
             "connections": 360,
         }
-        for at in numbers
+        for index in numbers
     }
     return {
         "prefix": f"/{name}",
@@ -99,29 +104,29 @@
 
 
 def make_rules(count: int, regions: list[str]) -> Iterator[dict[str, t.Any]]:
-    """Yield rules on paths, headers and blocks, and a last one for the rest of each service."""
+    """Yield rules on paths, headers and blocks, then a catch-all rule for each service."""
     rng = random.Random(count)
-    for at in range(max(count - len(SERVICES), 0)):
-        service = SERVICES[at % len(SERVICES)]
+    for index in range(max(count - len(SERVICES), 0)):
+        service = SERVICES[index % len(SERVICES)]
         when: dict[str, t.Any] = {"service": service}
-        if at % 3 == 0:
-            when["path"] = f"/{service}/part-{at}"
-        elif at % 3 == 1:
-            when["headers"] = {"x-shop": f"shop-{at}"}
+        if index % 3 == 0:
+            when["path"] = f"/{service}/part-{index}"
+        elif index % 3 == 1:
+            when["headers"] = {"x-shop": f"shop-{index}"}
         else:
-            when["block"] = f"10.{at // 250 % 250}.{at % 250}.0/24"
-        yield _rule(f"rule-{at}", when, rng.sample(regions, min(3, len(regions))))
+            when["block"] = f"10.{index // 250 % 250}.{index % 250}.0/24"
+        yield _rule(f"rule-{index}", when, rng.sample(regions, min(3, len(regions))))
     for service in SERVICES:
         yield _rule(f"rest-{service}", {"service": service}, regions)
 
 
 def _rule(name: str, when: dict[str, t.Any], regions: list[str]) -> dict[str, t.Any]:
-    places = [{"region": region, "weight": 1 + at} for at, region in enumerate(regions)]
+    places = [{"region": region, "weight": 1 + index} for index, region in enumerate(regions)]
     return {"name": name, "when": when, "then": {"places": places, "attempts": 2}}
 
 
 def make_blocks(count: int) -> dict[str, str]:
-    """Return `count` client blocks in runs of neighbours, each run mostly at one of the sites."""
+    """Return the sites of `count` client blocks; adjacent blocks mostly belong to one site."""
     rng = random.Random(count)
     blocks: dict[str, str] = {}
     while len(blocks) < count:
@@ -135,7 +140,7 @@
 
 
 def make_map(count: int) -> tuple[dict[str, str], BlockMap, tuple[Chunk, ...]]:
-    """Return blocks, their map, and its chunks."""
+    """Return client blocks with their sites, the map of them, and its packed chunks."""
     blocks = make_blocks(count)
     built = BlockMap.from_blocks(blocks, "site-0")
     return blocks, built, built.pack()
--- a/scripts/slopes_fit.py
+++ b/scripts/slopes_fit.py
@@ -1,4 +1,4 @@
-"""Series of measurements and the straight lines through them."""
+"""Measured series, least-squares lines through them, and measuring helpers."""
 
 import gc
 import math
@@ -19,15 +19,15 @@
     name
         Subject and quantity, dotted.
     against
-        What the sizes count.
+        Meaning of the sizes.
     unit
         Unit of the values.
     points
-        Pairs of size and value, as measured.
+        Pairs of size and measured value.
     scale
-        ``log2`` if the line is drawn against the binary logarithm of the size, ``linear`` else.
+        ``log2`` if the line is fitted over the binary logarithm of the size, else ``linear``.
     source
-        Where the values come from: code run alone, a model run, or processes.
+        Kind of measurement: code run alone, a model run, or processes.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 class Fit(t.NamedTuple):
-    """A line by least squares; `r2` is the part of the variance it explains."""
+    """A least-squares line; `r2` is the fraction of the variance that it explains."""
 
     slope: float
     intercept: float
@@ -47,36 +47,35 @@
     scale: str
 
     def at(self, size: float) -> float:
-        """Return the value at a size; a line may go below zero, a quantity does not."""
+        """Return the value of the line at a size, at least 0."""
         return max(self.slope * float(_scaled([size], self.scale)[0]) + self.intercept, 0.0)
 
 
 def fit(series: Series) -> Fit:
-    """Return the line through a series.
+    """Return the least-squares line through a series.
 
     Raises
     ------
     ValueError
-        If it has fewer than `LEAST_SIZES` sizes.
+        If the series has fewer than `LEAST_SIZES` distinct sizes.
     """
     sizes = [size for size, _ in series.points]
     if len(set(sizes)) < LEAST_SIZES:
         raise ValueError(f"{series.name}: {len(set(sizes))} sizes, at least {LEAST_SIZES} needed")
     x = _scaled(sizes, series.scale)
     y = [Fraction(value) for _, value in series.points]
-    # Exact sums: rounded ones give another intercept with each kernel that numpy picks for the
-    # processor (7.21e-10 and 3.92e-10 for a line through the origin), and so another page.
-    middle_x, middle_y = sum(x) / len(x), sum(y) / len(y)
+    # Exact arithmetic makes the result, and thus the generated page, independent of the processor.
+    mean_x, mean_y = sum(x) / len(x), sum(y) / len(y)
     slope = _covariance(x, y) / _covariance(x, x)
-    spread = _covariance(y, y)
-    # Of values that do not differ there is nothing to explain.
-    r2 = slope * _covariance(x, y) / spread if spread else Fraction(1)
-    return Fit(float(slope), float(middle_y - slope * middle_x), float(r2), series.scale)
+    variation = _covariance(y, y)
+    # Constant values have no variance to explain.
+    r2 = slope * _covariance(x, y) / variation if variation else Fraction(1)
+    return Fit(float(slope), float(mean_y - slope * mean_x), float(r2), series.scale)
 
 
 def _covariance(x: Sequence[Fraction], y: Sequence[Fraction]) -> Fraction:
-    middle_x, middle_y = sum(x) / len(x), sum(y) / len(y)
-    products = ((one - middle_x) * (other - middle_y) for one, other in zip(x, y, strict=True))
+    mean_x, mean_y = sum(x) / len(x), sum(y) / len(y)
+    products = ((one - mean_x) * (other - mean_y) for one, other in zip(x, y, strict=True))
     return sum(products, Fraction(0))
 
 
@@ -84,26 +83,29 @@
     return [Fraction(math.log2(size) if scale == "log2" else size) for size in sizes]
 
 
-def cpu_ms(act: Callable[[], object], *, repeat: int = 3, loops: int = 1) -> float:
-    """Return the least processor time of `repeat` tries, in milliseconds for one call."""
+def cpu_ms(func: Callable[[], object], *, repeat: int = 3, loops: int = 1) -> float:
+    """Return the processor time of one call in milliseconds.
+
+    It is the minimum over `repeat` measurements of `loops` calls each.
+    """
     best = float("inf")
     for _ in range(repeat):
         gc.collect()
         start = time.process_time_ns()
         for _ in range(loops):
-            act()
+            func()
         best = min(best, time.process_time_ns() - start)
     return best / loops / 1e6
 
 
-def held_bytes(make: Callable[[], object]) -> int:
-    """Return the bytes that what `make` returns keeps allocated."""
+def retained_bytes(factory: Callable[[], object]) -> int:
+    """Return the bytes of memory that the result of `factory` keeps allocated."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    kept = make()
+    retained = factory()
     gc.collect()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del retained
     return after - before
--- a/scripts/slopes_fleet.py
+++ b/scripts/slopes_fleet.py
@@ -1,4 +1,4 @@
-"""Slopes of real processes on loopback: against peers, roster, look-ups, requests and changes."""
+"""Costs of real processes on loopback, by peers, roster size, look-ups, requests and changes."""
 
 import base64
 import contextlib
@@ -27,20 +27,20 @@
 _ENDPOINTS = 48
 _RULES = 20
 _REGIONS, _ZONES = 2, 4
-_MESH = (4, 8, 12, 16)
-_QUICK_MESH = (1, 2, 3, 4)
-_PEERS = (20, 24, 28, 32)
-_ROSTERS = (100, 400, 800, 1500)
-_REAL = 4
-_RATES = (0, 100, 200, 400)
+_MESH_SIZES = (4, 8, 12, 16)
+_QUICK_MESH_SIZES = (1, 2, 3, 4)
+_IDLE_SIZES = (20, 24, 28, 32)
+_ROSTER_SIZES = (100, 400, 800, 1500)
+_RUNNING_ENTRIES = 4
+_LOOKUP_RATES = (0, 100, 200, 400)
 _REQUEST_RATES = (0, 25, 50, 100)
-_CHANGES = (0, 2, 4, 8)
+_CHANGE_COUNTS = (0, 2, 4, 8)
 _CALLERS = 4
 _START_S = 60.0
 
 
 class _Times(t.NamedTuple):
-    """Seconds to wait and to measure, and how often what is timed once is repeated."""
+    """Seconds to settle and to measure, and repetitions of single timings."""
 
     settle: float
     window: float
@@ -52,7 +52,7 @@
 
 
 class _Sample(t.NamedTuple):
-    """Figures of one entry at one moment; processor seconds, bytes and counts since its start."""
+    """Counters of one entry: processor seconds, resident bytes, peer traffic since its start."""
 
     cpu: float
     rss: int
@@ -60,8 +60,8 @@
     peer_messages: int
 
 
-class _Use(t.NamedTuple):
-    """What an entry used on average: percent of a core, bytes, bytes/s and messages/s."""
+class _Usage(t.NamedTuple):
+    """Mean usage of an entry: percent of a core, resident bytes, bytes/s and messages/s."""
 
     cpu: float
     rss: float
@@ -70,42 +70,48 @@
 
 
 def measure(*, quick: bool) -> Iterator[Series]:
-    """Yield every series of real processes."""
+    """Yield all series of real processes."""
     times = _QUICK_TIMES if quick else _TIMES
     shutil.rmtree(BUILD, ignore_errors=True)
-    yield from _by_peers("mesh", _QUICK_MESH if quick else _MESH, times)
+    yield from _by_peers("mesh", _QUICK_MESH_SIZES if quick else _MESH_SIZES, times)
     if not quick:
-        yield from _by_peers("idle", _PEERS, times)
-        yield from _by_roster(_ROSTERS, times)
+        yield from _by_peers("idle", _IDLE_SIZES, times)
+        yield from _by_roster(_ROSTER_SIZES, times)
     yield from _by_load(times)
 
 
 @contextlib.contextmanager
-def _fleet(document: Document, name: str, real: int | None = None) -> Iterator[Fleet]:
-    """Own a fleet with the first `real` entries of the roster running and its document applied."""
+def _running_fleet(document: Document, name: str, count: int | None = None) -> Iterator[Fleet]:
+    """Yield a fleet that runs the first `count` entries (default: all) of the document."""
     fleet = Fleet(t.cast(dict[str, t.Any], document), BUILD / name, 1)
     fleet.store, fleet.vms = "127.2.200.1:8500", "127.2.200.2:8600"
-    seats = list(document["entries"])[:real]
+    seats = list(document["entries"])[:count]
     try:
         fleet.start_standins()
         record = next_record(None, document, "slopes", "2026-01-01T00:00:00+00:00", "", "change-0")
-        _swap(fleet, record, 0)
+        _write_record(fleet, record, 0)
         seeds = [document["entries"][seat]["peers"] for seat in seats]
         for seat in seats:
-            mine = document["entries"][seat]["peers"]
-            fleet.start_entry(seat, peer_seeds=[seed for seed in seeds if seed != mine])
+            own = document["entries"][seat]["peers"]
+            fleet.start_entry(seat, peer_seeds=[seed for seed in seeds if seed != own])
         fleet.wait_ready(seats, timeout=_START_S)
         yield fleet
     finally:
-        # A graceful stop takes seconds and nothing is measured in it.
+        # No measurement needs the entries any more, and a graceful stop would take seconds.
         for seat in seats:
             if seat in fleet.processes:
                 fleet.processes[seat].signal(signal.SIGKILL)
         fleet.close()
 
 
-def _swap(fleet: Fleet, record: t.Any, version: int) -> None:
-    """Write a record to the store; raise if it does not fit or another was quicker."""
+def _write_record(fleet: Fleet, record: t.Any, version: int) -> None:
+    """Write a configuration record to the store with compare-and-swap.
+
+    Raises
+    ------
+    RuntimeError
+        If the record is too large or the stored version is not `version`.
+    """
     raw = encode_record(record).default_value(b"")
     url = f"http://{fleet.store}/v1/kv/config/current?cas={version}"
     req = urllib.request.Request(url, data=raw, method="PUT")
@@ -132,13 +138,13 @@
     return _Sample(ticks / os.sysconf("SC_CLK_TCK"), rss, nbytes, sent + received)
 
 
-def _use(fleet: Fleet, seats: list[str], act: Callable[[], object]) -> list[_Use]:
-    """Return what each entry used while `act` ran."""
+def _measure_usage(fleet: Fleet, seats: list[str], act: Callable[[], object]) -> list[_Usage]:
+    """Return the mean usage of each entry while `act` runs."""
     start, before = time.monotonic(), [_sample(fleet, seat) for seat in seats]
     act()
     after, wall = [_sample(fleet, seat) for seat in seats], time.monotonic() - start
     return [
-        _Use(
+        _Usage(
             100 * (new.cpu - old.cpu) / wall,
             new.rss,
             (new.peer_bytes - old.peer_bytes) / wall,
@@ -148,12 +154,12 @@
     ]
 
 
-def _mean(uses: list[_Use]) -> _Use:
-    return _Use(*(sum(column) / len(uses) for column in zip(*uses, strict=True)))
+def _mean(usages: list[_Usage]) -> _Usage:
+    return _Usage(*(sum(column) / len(usages) for column in zip(*usages, strict=True)))
 
 
 def _start_s(fleet: Fleet, seat: str) -> float:
-    """Return the seconds from an entry's first log line to the one that says it is ready."""
+    """Return the seconds between an entry's log lines ``started`` and ``ready``."""
     stamps = {
         row["message_type"]: row["timestamp"]
         for row in map(json.loads, fleet.processes[seat].lines())
@@ -163,7 +169,7 @@
 
 
 def _command_cpu_ms(fleet: Fleet) -> float:
-    """Return the processor time of one ``cardamomctl status``, its start included."""
+    """Return the processor time of one ``cardamomctl status`` run in milliseconds."""
     before = resource.getrusage(resource.RUSAGE_CHILDREN)
     code, answer = fleet.ctl("status")
     after = resource.getrusage(resource.RUSAGE_CHILDREN)
@@ -183,23 +189,23 @@
 
 
 def _by_peers(name: str, sizes: tuple[int, ...], times: _Times) -> Iterator[Series]:
-    """Yield what idle entries use; up to 16 of them send digests to all, more to a few."""
-    uses, calls, ready, command, in_force = [], [], [], [], []
+    """Yield the usage of idle entries; above 16 entries, digests go to a few targets only."""
+    usages, calls, ready, command, in_force = [], [], [], [], []
     for size in sizes:
         document = make_document(Size(size, _ENDPOINTS, _RULES, _REGIONS, _ZONES))
-        with _fleet(document, f"peers-{size}") as fleet:
+        with _running_fleet(document, f"peers-{size}") as fleet:
             time.sleep(times.settle)
             ready.append((size, max(_start_s(fleet, seat) for seat in _running(fleet))))
             before, start = _store_calls(fleet), time.monotonic()
-            use = _mean(_use(fleet, _running(fleet), lambda: time.sleep(times.window)))
-            uses.append((size, use))
+            usage = _mean(_measure_usage(fleet, _running(fleet), lambda: time.sleep(times.window)))
+            usages.append((size, usage))
             calls.append((size, (_store_calls(fleet) - before) / (time.monotonic() - start)))
             if times.repeat > 1:
                 spent = min(_command_cpu_ms(fleet) for _ in range(times.repeat))
                 command.append((size, spent))
-            changed = sorted(_change(fleet, document) for _ in range(times.repeat))
+            changed = sorted(_apply_revision(fleet, document) for _ in range(times.repeat))
             in_force.append((size, changed[times.repeat // 2]))
-    yield from _series(name, "peers", uses)
+    yield from _series(name, "peers", usages)
     yield Series(f"{name}.ready_after", "peers", "s", tuple(ready), source=SOURCE)
     if command:
         yield Series(f"{name}.command_cpu", "peers", "ms", tuple(command), source=SOURCE)
@@ -208,54 +214,57 @@
 
 
 def _by_roster(sizes: tuple[int, ...], times: _Times) -> Iterator[Series]:
-    """Yield what an entry uses whose roster and VM list are long, though few of them run."""
-    uses, vms = [], []
+    """Yield the usage of entries with a long roster and VM list, of which only a few run."""
+    usages, vms = [], []
     for size in sizes:
         document = make_document(Size(size, _ENDPOINTS, _RULES))
-        with _fleet(document, f"roster-{size}", _REAL) as fleet:
+        with _running_fleet(document, f"roster-{size}", _RUNNING_ENTRIES) as fleet:
             time.sleep(times.settle)
             seats = _running(fleet)
-            use = _mean(_use(fleet, seats, lambda: time.sleep(times.window)))
-            uses.append((size, use))
+            usage = _mean(_measure_usage(fleet, seats, lambda: time.sleep(times.window)))
+            usages.append((size, usage))
             vms.append((size, _answer_bytes(fleet.vms, "/v1/vms")))
-    yield from _series("roster", "entries in the roster", uses)
+    yield from _series("roster", "entries in the roster", usages)
     yield Series("roster.vm_list", "entries in the roster", "bytes", tuple(vms), source=SOURCE)
 
 
-def _series(name: str, against: str, uses: list[tuple[int, _Use]]) -> Iterator[Series]:
+def _series(name: str, against: str, usages: list[tuple[int, _Usage]]) -> Iterator[Series]:
     units = {"cpu": "% of a core", "rss": "bytes", "peer_bytes": "bytes/s"}
     units["peer_messages"] = "messages/s"
     for field, unit in units.items():
-        points = tuple((size, getattr(use, field)) for size, use in uses)
+        points = tuple((size, getattr(usage, field)) for size, usage in usages)
         yield Series(f"{name}.{field}", against, unit, points, source=SOURCE)
 
 
 def _answer_bytes(address: str, path: str) -> int:
-    """Return the bytes of one request and its answer, heads included."""
+    """Return the bytes of one request and its response, headers included."""
     host, _, port = address.partition(":")
-    asked = f"GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n".encode()
+    request = f"GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n".encode()
     with socket.create_connection((host, int(port)), timeout=5.0) as conn:
-        conn.sendall(asked)
+        conn.sendall(request)
         received = 0
         while data := conn.recv(65536):
             received += len(data)
-    return len(asked) + received
+    return len(request) + received
 
 
 def _by_load(times: _Times) -> Iterator[Series]:
-    document = make_document(Size(_REAL, _ENDPOINTS, _RULES, _REGIONS, _ZONES))
-    with _fleet(document, "load") as fleet:
+    document = make_document(Size(_RUNNING_ENTRIES, _ENDPOINTS, _RULES, _REGIONS, _ZONES))
+    with _running_fleet(document, "load") as fleet:
         time.sleep(times.settle)
         seat = _running(fleet)[0]
         callers = document["entries"][seat]["callers"]
-        paths = {"look_ups": ("/lookup?client=10.0.0.9", _RATES), "requests": ("/menus/7", None)}
+        paths = {
+            "look_ups": ("/lookup?client=10.0.0.9", _LOOKUP_RATES),
+            "requests": ("/menus/7", None),
+        }
         for name, (path, rates) in paths.items():
             points = []
             for rate in rates or _REQUEST_RATES:
-                act = lambda r=rate, p=path: _ask(callers, p, r, times.window)  # noqa: E731
+                act = lambda r=rate, p=path: _send_load(callers, p, r, times.window)  # noqa: E731
                 done: list[int] = []
-                use = _use(fleet, [seat], lambda a=act, d=done: d.append(a()))[0]
-                points.append((done[0] / times.window, use.cpu))
+                usage = _measure_usage(fleet, [seat], lambda a=act, d=done: d.append(a()))[0]
+                points.append((done[0] / times.window, usage.cpu))
             yield Series(
                 f"load.{name}", f"{name} a second", "% of a core", tuple(points), source=SOURCE
             )
@@ -271,20 +280,20 @@
         yield from _by_changes(fleet, document, times)
 
 
-def _ask(address: str, path: str, rate: float, seconds: float) -> int:
-    """Ask at `rate` a second on a few open connections; return how many whole answers came."""
+def _send_load(address: str, path: str, rate: float, seconds: float) -> int:
+    """Send `rate` requests per second on a few connections; return the number with status 200."""
     done = [0] * _CALLERS
     end = time.monotonic() + seconds
 
     def caller(number: int) -> None:
         host, _, port = address.partition(":")
-        asked = f"GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
+        request = f"GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
         interval = _CALLERS / rate
         due = time.monotonic() + number / rate
         with socket.create_connection((host, int(port)), timeout=5.0) as conn:
             while due < end:
                 time.sleep(max(due - time.monotonic(), 0))
-                conn.sendall(asked)
+                conn.sendall(request)
                 done[number] += _read_answer(conn)
                 due += interval
 
@@ -300,7 +309,7 @@
 
 
 def _read_answer(conn: socket.socket) -> bool:
-    """Read one answer to its end; tell whether its status is 200."""
+    """Read one response; return whether its status is 200."""
     data = b""
     while b"\r\n\r\n" not in data:
         data += conn.recv(65536)
@@ -319,35 +328,35 @@
 def _by_changes(fleet: Fleet, document: Document, times: _Times) -> Iterator[Series]:
     seats = _running(fleet)
     cpu, nbytes = [], []
-    for count in _CHANGES:
+    for count in _CHANGE_COUNTS:
 
         def act(count: int = count) -> None:
             start = time.monotonic()
             for turn in range(count):
-                _change(fleet, document)
+                _apply_revision(fleet, document)
                 due = start + (turn + 1) * times.window / count
                 time.sleep(max(due - time.monotonic(), 0))
             time.sleep(max(start + times.window - time.monotonic(), 0))
 
         start = time.monotonic()
-        use = _mean(_use(fleet, seats, act))
+        usage = _mean(_measure_usage(fleet, seats, act))
         rate = count / (time.monotonic() - start)
-        cpu.append((rate, use.cpu))
-        nbytes.append((rate, use.peer_bytes))
+        cpu.append((rate, usage.cpu))
+        nbytes.append((rate, usage.peer_bytes))
     against = "changes a second"
     yield Series("changes.cpu", against, "% of a core", tuple(cpu), source=SOURCE)
     yield Series("changes.peer_bytes", against, "bytes/s", tuple(nbytes), source=SOURCE)
 
 
-def _change(fleet: Fleet, document: Document) -> float:
-    """Record the same document under the next number; return the seconds until all have it."""
+def _apply_revision(fleet: Fleet, document: Document) -> float:
+    """Record the document as the next revision; return the seconds until it is in force."""
     url = f"http://{fleet.store}/v1/kv/config/current"
     row = get_json(url)[0]
     current = decode_record(base64.b64decode(row["Value"])).ok
     record = next_record(
         current, document, "slopes", "2026-01-01T00:00:00+00:00", "", str(uuid.uuid4())
     )
-    _swap(fleet, record, row["ModifyIndex"])
+    _write_record(fleet, record, row["ModifyIndex"])
     seats = _running(fleet)
 
     def in_force() -> bool:
--- a/scripts/slopes_gateway.py
+++ b/scripts/slopes_gateway.py
@@ -1,6 +1,6 @@
-"""Measures what a gateway's own work grows with; prints one JSON object.
+"""Measure how a gateway's processing time and memory grow; print one JSON object.
 
-Run ``.venv/bin/python scripts/slopes_gateway.py``; it takes some seconds and starts nothing.
+Run ``.venv/bin/python scripts/slopes_gateway.py``. It takes a few seconds and starts no processes.
 """
 
 import base64
@@ -29,7 +29,7 @@
 
 
 def registration(number: int) -> Registration:
-    """Return one of many registrations, spread over all zones."""
+    """Return the registration with this number; consecutive numbers are in different zones."""
     address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:80"
     return Registration(
         f"i-{number:08x}", "menus", address, f"z-{number % ZONES}", SLOTS, False, ZERO
@@ -37,69 +37,69 @@
 
 
 def selector(endpoints: int) -> Selector:
-    """Return a selector over `endpoints` of one service."""
-    book = UpstreamTable({f"z-{zone}": f"r-{zone % REGIONS}" for zone in range(ZONES)})
+    """Return a selector over the given number of endpoints of one service."""
+    table = UpstreamTable({f"z-{zone}": f"r-{zone % REGIONS}" for zone in range(ZONES)})
     for number in range(endpoints):
-        book.register(registration(number), NOW)
-    return Selector(book, "e-0", "z-0", ColdLimit(1.5, 5), Preferences())
+        table.register(registration(number), NOW)
+    return Selector(table, "e-0", "z-0", ColdLimit(1.5, 5), Preferences())
 
 
-def micros(act: t.Callable[[], object], times: int) -> float:
-    """Return how long one of `times` calls takes, in microseconds."""
+def mean_us(func: t.Callable[[], object], times: int) -> float:
+    """Return the mean duration of a call in microseconds, over `times` calls."""
     start = time.perf_counter()
     for _ in range(times):
-        act()
+        func()
     return (time.perf_counter() - start) / times * 1e6
 
 
-def choice(endpoints: int) -> tuple[float, float]:
-    """Return the time of a choice for a new key and for a known one, in microseconds."""
+def choose_us(endpoints: int) -> tuple[float, float]:
+    """Return the times of a choice for a new and for a known affinity key, in microseconds."""
     chooser = selector(endpoints)
     until = NOW + timedelta(seconds=1)
     keys = iter([str(number) for number in range(KEYS)])
-    new = micros(lambda: chooser.choose(RULE, "menus", next(keys), (), until, NOW), KEYS)
-    known = micros(lambda: chooser.choose(RULE, "menus", "7", (), until, NOW), KEYS * ROUNDS)
+    new = mean_us(lambda: chooser.choose(RULE, "menus", next(keys), (), until, NOW), KEYS)
+    known = mean_us(lambda: chooser.choose(RULE, "menus", "7", (), until, NOW), KEYS * ROUNDS)
     return new, known
 
 
-def division(endpoints: int) -> float:
-    """Return the time to divide the endpoints by service after a change, in microseconds."""
-    book = UpstreamTable({f"z-{zone}": f"r-{zone % REGIONS}" for zone in range(ZONES)})
+def group_us(endpoints: int) -> float:
+    """Return the time to group endpoints by service after a registration, in microseconds."""
+    table = UpstreamTable({f"z-{zone}": f"r-{zone % REGIONS}" for zone in range(ZONES)})
     for number in range(endpoints):
-        book.register(registration(number), NOW)
+        table.register(registration(number), NOW)
 
     def change() -> None:
-        row = registration(0)
-        book.register(row._replace(slots=3 - book.all()[0].registration.slots % 2), NOW)
-        book.of_service("menus")
+        changed = registration(0)
+        table.register(changed._replace(slots=3 - table.all()[0].registration.slots % 2), NOW)
+        table.of_service("menus")
 
-    return micros(change, ROUNDS)
+    return mean_us(change, ROUNDS)
 
 
-def lookup(entries: int) -> float:
-    """Return the time to name the entries for a client among as many, in microseconds."""
+def lookup_us(entries: int) -> float:
+    """Return the time of a look-up among the given number of entries, in microseconds."""
     regions = {f"z-{zone}": f"r-{zone % REGIONS}" for zone in range(ZONES)}
     rows = [
         EntryRecord(f"e-{n}", f"10.0.0.1:{n}", f"z-{n % ZONES}", f"r-{n % ZONES % REGIONS}", "")
         for n in range(entries)
     ]
-    return micros(lambda: entries_for(rows, "z-0", "r-0", frozenset(), regions), ROUNDS)
+    return mean_us(lambda: entries_for(rows, "z-0", "r-0", frozenset(), regions), ROUNDS)
 
 
-def memory(endpoints: int) -> tuple[float, float]:
-    """Return bytes for each endpoint, and for each known key over all its endpoints."""
+def memory_bytes(endpoints: int) -> tuple[float, float]:
+    """Return the bytes per endpoint, and the bytes per known key over all endpoints."""
     tracemalloc.start()
     chooser = selector(endpoints)
-    book = tracemalloc.get_traced_memory()[0]
+    table_bytes = tracemalloc.get_traced_memory()[0]
     for number in range(KEYS):
         chooser.choose(RULE, "menus", str(number), (), NOW + timedelta(seconds=1), NOW)
-    ranks = tracemalloc.get_traced_memory()[0] - book
+    rank_bytes = tracemalloc.get_traced_memory()[0] - table_bytes
     tracemalloc.stop()
-    return book / endpoints, ranks / KEYS
+    return table_bytes / endpoints, rank_bytes / KEYS
 
 
-def row() -> tuple[int, float]:
-    """Return the bytes of one registration in a list, and the time to check it."""
+def registration_cost() -> tuple[int, float]:
+    """Return the bytes of a registration in a listing, and the microseconds to validate it."""
     value = json.dumps(
         {"service": "menus", "address": "10.128.0.9:8080", "zone": "kgn-hall-a", "slots": 4},
         separators=(",", ":"),
@@ -113,21 +113,21 @@
         "LockIndex": 0,
     }
     size = len(json.dumps(listed, separators=(",", ":"))) + 1
-    return size, micros(lambda: load_registration(value, "i-7f3a91c2"), KEYS * ROUNDS)
+    return size, mean_us(lambda: load_registration(value, "i-7f3a91c2"), KEYS * ROUNDS)
 
 
 def main() -> None:
-    """Measure everything and print it."""
-    row_bytes, row_us = row()
+    """Run all measurements and print the results."""
+    row_bytes, row_us = registration_cost()
     result: dict[str, t.Any] = {"row_bytes": row_bytes, "row_us": round(row_us, 1)}
     for size in SIZES:
-        new, known = choice(size)
-        per_endpoint, per_key = memory(size)
+        new, known = choose_us(size)
+        per_endpoint, per_key = memory_bytes(size)
         result[str(size)] = {
             "new_key_us": round(new, 1),
             "known_key_us": round(known, 1),
-            "division_us": round(division(size)),
-            "lookup_us": round(lookup(size)),
+            "division_us": round(group_us(size)),
+            "lookup_us": round(lookup_us(size)),
             "bytes_per_endpoint": round(per_endpoint),
             "bytes_per_key": round(per_key),
         }
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -1,4 +1,4 @@
-"""Slopes of the shares: memory, ticks and configuration, against the limits of the document."""
+"""Costs of the shares (memory, ticks and configuration) by entries and by limits held."""
 
 import json
 import typing as t
@@ -14,30 +14,30 @@
 from cardamomloft.entry import status
 from cardamomloft.operators.fleet import read_status
 from slopes_document import ENDPOINTS_PER_ENTRY, Size, full_size, make_document
-from slopes_fit import Series, cpu_ms, held_bytes
+from slopes_fit import Series, cpu_ms, retained_bytes
 
 _ENTRIES = (100, 200, 400, 800, 1500)
 _QUICK_ENTRIES = (25, 50, 100, 200)
-_HELD_ENTRIES = 100
-_HELD_FACTORS = (1, 2, 4, 8)
+_FIXED_ENTRIES = 100
+_ENDPOINT_FACTORS = (1, 2, 4, 8)
 _TICKS = 20
 
 
 def measure(*, quick: bool) -> Iterator[Series]:
-    """Yield every series of the shares."""
+    """Yield all series of the shares."""
     yield from _by_entries(_QUICK_ENTRIES if quick else _ENTRIES)
     yield from _by_limits_held()
 
 
 def _settle(shares: Shares) -> None:
-    """Have every partner report the revision as settled."""
+    """Deliver a digest from every partner that reports the revision as settled."""
     digest = Digest(1, 1, "ready", "", 0)
     for seat in sorted(shares.partners):
         shares.on_digest(Incarnation(seat, "1"), digest)
 
 
 def _page(shares: Shares) -> str:
-    """Return a status page with nothing but the limits on it."""
+    """Return a status page that contains only limits."""
     limits = [status._limit(row) for row in shares.rows()]
     known = {"seat": "a", "incarnation": "1", "zone": "z", "region": "r", "state": "ready"}
     numbers = {"revision": 1, "settled": 1, "ready": True, "services": {}, "drains": []}
@@ -45,7 +45,7 @@
 
 
 def _by_entries(sizes: tuple[int, ...]) -> Iterator[Series]:
-    partners, held, most, derive, take = [], [], [], [], []
+    partners, held, most, derive, configure = [], [], [], [], []
     for entries in sizes:
         document = make_document(full_size(entries))
         limits = limits_of(document)
@@ -58,7 +58,7 @@
         held.append((entries, holding.total() / entries))
         most.append((entries, most_held))
         derive.append((entries, cpu_ms(lambda d=document: limits_of(d), repeat=2)))
-        take.append(
+        configure.append(
             (
                 entries,
                 cpu_ms(lambda m=me, x=limits: Shares(m, ManualClock()).configure(1, x), repeat=2),
@@ -68,13 +68,13 @@
     yield Series("limits.held", "entries", "limits", tuple(held))
     yield Series("limits.most_held", "entries", "limits", tuple(most))
     yield Series("limits.derive", "entries", "ms", tuple(derive))
-    yield Series("limits.configure", "entries", "ms", tuple(take))
+    yield Series("limits.configure", "entries", "ms", tuple(configure))
 
 
 def _by_limits_held() -> Iterator[Series]:
     found: dict[tuple[str, str], list[tuple[float, float]]] = {}
-    for factor in _HELD_FACTORS:
-        size = Size(_HELD_ENTRIES, round(_HELD_ENTRIES * ENDPOINTS_PER_ENTRY * factor / 4), 8)
+    for factor in _ENDPOINT_FACTORS:
+        size = Size(_FIXED_ENTRIES, round(_FIXED_ENTRIES * ENDPOINTS_PER_ENTRY * factor / 4), 8)
         document = make_document(size)
         limits = limits_of(document)
         me = Incarnation(next(iter(document["entries"])), "1")
@@ -93,7 +93,7 @@
 
         page = _page(shares)
         values = {
-            ("limits.memory", "bytes"): held_bytes(make),
+            ("limits.memory", "bytes"): retained_bytes(make),
             ("limits.tick_open", "us"): 1000 * cpu_ms(tick, loops=_TICKS),
             ("operator.page", "bytes"): len(page),
             ("operator.read_page", "ms"): cpu_ms(
--- a/scripts/slopes_members.py
+++ b/scripts/slopes_members.py
@@ -1,4 +1,4 @@
-"""Slopes of the membership: its work against the roster, and what digests let an entry know."""
+"""Costs of the membership by roster size, and how many entries gossip makes known."""
 
 import json
 import random
@@ -15,27 +15,27 @@
 from cardamomloft.entry.lookups import ENTRIES as LOOKUP_ENTRIES
 from cardamomloft.store.vms import parse_vms
 from slopes_document import SITES, Size, full_size, make_document
-from slopes_fit import Series, cpu_ms, held_bytes
+from slopes_fit import Series, cpu_ms, retained_bytes
 
 _SIZES = (100, 200, 400, 800, 1500)
 _QUICK_SIZES = (25, 50, 100, 200)
-_KNOWN_SIZES = (64, 128, 256, 512)
-_QUICK_KNOWN_SIZES = (32, 64, 96, 128)
-_KNOWN_SECONDS = 60
-_QUICK_KNOWN_SECONDS = 10
-_ASKED = 10
+_GOSSIP_SIZES = (64, 128, 256, 512)
+_QUICK_GOSSIP_SIZES = (32, 64, 96, 128)
+_GOSSIP_SECONDS = 60
+_QUICK_GOSSIP_SECONDS = 10
+_SAMPLES = 10
 _TARGET_CALLS = 20
 _DIGEST = Digest(1, 1, "ready", "p" * 60, 10_000_000)
 
 
 def measure(*, quick: bool) -> Iterator[Series]:
-    """Yield every series of the membership."""
-    yield from _work(_QUICK_SIZES if quick else _SIZES)
-    seconds = _QUICK_KNOWN_SECONDS if quick else _KNOWN_SECONDS
-    yield from _known(_QUICK_KNOWN_SIZES if quick else _KNOWN_SIZES, seconds)
+    """Yield all series of the membership."""
+    yield from _costs(_QUICK_SIZES if quick else _SIZES)
+    seconds = _QUICK_GOSSIP_SECONDS if quick else _GOSSIP_SECONDS
+    yield from _knowledge(_QUICK_GOSSIP_SIZES if quick else _GOSSIP_SIZES, seconds)
 
 
-def _work(sizes: tuple[int, ...]) -> Iterator[Series]:
+def _costs(sizes: tuple[int, ...]) -> Iterator[Series]:
     found: dict[tuple[str, str], list[tuple[float, float]]] = {}
     for entries in sizes:
         document = make_document(Size(entries, 8, 4))
@@ -49,7 +49,7 @@
     seats = list(document["entries"])
     clock = ManualClock()
     rng = random.Random(len(seats))
-    members = _full(document, clock)
+    members = _full_membership(document, clock)
     rows = [VmRow(seat, "live", datetime(2026, 1, 1, tzinfo=UTC)) for seat in seats]
     listed = json.dumps(
         [{"name": row.name, "state": row.state, "at": row.at.isoformat()} for row in rows]
@@ -69,12 +69,12 @@
         ("on_vms", "ms"): cpu_ms(lambda: members.on_vm_list(rows)),
         ("parse_vms", "ms"): cpu_ms(lambda: parse_vms(listed)),
         ("look_up_groups", "ms"): cpu_ms(all_sites),
-        ("memory", "bytes"): held_bytes(lambda: _full(document, clock)),
+        ("memory", "bytes"): retained_bytes(lambda: _full_membership(document, clock)),
     }
 
 
-def _full(document: Document, clock: ManualClock) -> Membership:
-    """Return a membership that has heard of everyone."""
+def _full_membership(document: Document, clock: ManualClock) -> Membership:
+    """Return a membership that has received a digest from every other entry."""
     seats = list(document["entries"])
     members = Membership(Incarnation(seats[0], "1"), clock)
     members.configure(document)
@@ -83,40 +83,40 @@
     return members
 
 
-def _known(sizes: tuple[int, ...], seconds: int) -> Iterator[Series]:
-    usable, near = [], []
+def _knowledge(sizes: tuple[int, ...], seconds: int) -> Iterator[Series]:
+    known, in_region = [], []
     for entries in sizes:
         document = make_document(full_size(entries))
-        members = _gossiped(document, seconds)
-        asked = members[:: max(1, entries // _ASKED)]
+        members = _run_gossip(document, seconds)
+        sampled = members[:: max(1, entries // _SAMPLES)]
         seats = list(document["entries"])
-        counts = [sum(one.revision_of(seat) is not None for seat in seats) for one in asked]
-        usable.append((entries, sum(counts) / len(counts)))
-        near.append((entries, 100 * _named_near(document, asked)))
+        counts = [sum(member.revision_of(seat) is not None for seat in seats) for member in sampled]
+        known.append((entries, sum(counts) / len(counts)))
+        in_region.append((entries, 100 * _fraction_in_region(document, sampled)))
     model = "model run"
-    yield Series("members.heard_of", "entries", "entries", tuple(usable), "log2", model)
-    yield Series("members.named_in_region", "entries", "%", tuple(near), source=model)
+    yield Series("members.heard_of", "entries", "entries", tuple(known), "log2", model)
+    yield Series("members.named_in_region", "entries", "%", tuple(in_region), source=model)
 
 
-def _gossiped(document: Document, seconds: int) -> list[Membership]:
-    """Let every entry of a fleet send its digests for some seconds without loss."""
+def _run_gossip(document: Document, seconds: int) -> list[Membership]:
+    """Simulate gossip among all entries without loss; return their memberships."""
     clock, rng = ManualClock(), random.Random(len(document["entries"]))
     names = {seat: Incarnation(seat, "1") for seat in document["entries"]}
     members = {seat: Membership(name, clock) for seat, name in names.items()}
     partners = _partners(document)
-    for seat, one in members.items():
-        one.configure(document, partners[seat])
+    for seat, member in members.items():
+        member.configure(document, partners[seat])
     for _ in range(seconds):
         clock.advance(timedelta(seconds=1))
-        for seat, one in members.items():
-            one.set_own_digest(_DIGEST)
-            for target in one.gossip_targets(rng, gossip.TARGETS):
+        for seat, member in members.items():
+            member.set_own_digest(_DIGEST)
+            for target in member.gossip_targets(rng, gossip.TARGETS):
                 members[target].on_digest(names[seat], _DIGEST)
     return list(members.values())
 
 
 def _partners(document: Document) -> dict[str, set[str]]:
-    """Return the seats that share a limit with each seat."""
+    """Return the seats that hold a limit together with each seat."""
     found: dict[str, set[str]] = {seat: set() for seat in document["entries"]}
     for limit in limits_of(document).values():
         for seat in limit.holders:
@@ -124,16 +124,16 @@
     return found
 
 
-def _named_near(document: Document, asked: list[Membership]) -> float:
-    """Return the part of look-ups whose first entry is in the region of the client's site."""
+def _fraction_in_region(document: Document, sampled: list[Membership]) -> float:
+    """Return the fraction of look-ups whose first entry is in a region of the client's site."""
     region_of = {zone: name for name, zones in document["regions"].items() for zone in zones}
     rows = document["entries"]
-    homes: dict[str, set[str]] = {}
+    regions_of_site: dict[str, set[str]] = {}
     for row in rows.values():
-        homes.setdefault(row["site"], set()).add(region_of[row["zone"]])
+        regions_of_site.setdefault(row["site"], set()).add(region_of[row["zone"]])
     hits = [
-        region_of[rows[one.entries_for(site, LOOKUP_ENTRIES)[0]]["zone"]] in regions
-        for one in asked
-        for site, regions in homes.items()
+        region_of[rows[member.entries_for(site, LOOKUP_ENTRIES)[0]]["zone"]] in regions
+        for member in sampled
+        for site, regions in regions_of_site.items()
     ]
     return sum(hits) / len(hits)
--- a/scripts/slopes_messages.py
+++ b/scripts/slopes_messages.py
@@ -1,6 +1,6 @@
-"""Slopes of the traffic between entries: processor time and memory, against size and peers.
+"""Processor time and memory of the traffic between entries, by payload size and peers.
 
-The nodes live in a child process, so that the reactor and ZeroMQ's threads are its own.
+The nodes run in a child process, which isolates the reactor and ZeroMQ's threads.
 """
 
 import json
@@ -27,11 +27,11 @@
 _A, _B = Incarnation("entry-r0-z0-1000", "9f3ac81e22d04b17"), Incarnation("entry-r1-z1-1", "7" * 16)
 _DIGEST = Digest(1234, 1234, "ready", "entry-r0-z0-1000.9f3ac81e22d04b17.12345." + "m" * 22, 9000)
 DIGEST_BYTES = len(encode(Envelope(_A, _B, _DIGEST)))
-"""A digest on the wire, without the headers of TCP and IP."""
+"""Encoded size of a digest, without TCP and IP headers."""
 
 
 def measure(*, quick: bool) -> Iterator[Series]:
-    """Yield every series of the messages."""
+    """Yield all series of the messages."""
     coded = [(size, _code_us(size)) for size in _PAYLOADS]
     yield Series("messages.code", "payload bytes", "us", tuple(coded))
     count = _QUICK_MESSAGES if quick else _MESSAGES
@@ -68,25 +68,25 @@
 
 
 class _Exchange:
-    """One node that sends to `peers` others, each of which answers with the same message."""
+    """A hub that exchanges messages with `peers` nodes, each of which echoes them."""
 
     def __init__(self, reactor: t.Any, peers: int, messages: int, size: int) -> None:
         from cardamomloft.peers.node import PeerNode
 
         self._reactor = reactor
         self._message = DocumentReply(7, bytes(size)) if size else _DIGEST
-        self._left = messages
+        self._remaining = messages
         self._total = messages
         self._hub = PeerNode(reactor, Incarnation("hub", "1"), "127.2.0.1:0", self._on_answer)
         self._nodes = {
             f"peer-{at}": PeerNode(
-                reactor, Incarnation(f"peer-{at}", "1"), f"127.2.0.{at + 2}:0", self._answer(at)
+                reactor, Incarnation(f"peer-{at}", "1"), f"127.2.0.{at + 2}:0", self._echo(at)
             )
             for at in range(peers)
         }
         self._before = _rss()
 
-    def _answer(self, at: int) -> t.Callable[[Incarnation, t.Any], None]:
+    def _echo(self, at: int) -> t.Callable[[Incarnation, t.Any], None]:
         def answer(_sender: Incarnation, message: t.Any) -> None:
             self._nodes[f"peer-{at}"].send(self._hub.address, message)
 
@@ -100,10 +100,10 @@
             self._hub.send(self._nodes[name].address, self._message)
 
     def _on_answer(self, sender: Incarnation, _message: t.Any) -> None:
-        self._left -= 1
-        if self._left > 0:
+        self._remaining -= 1
+        if self._remaining > 0:
             self._hub.send(self._nodes[sender.seat].address, self._message)
-        elif self._left == 0:
+        elif self._remaining == 0:
             self._finish()
 
     def _finish(self) -> None:
--- a/scripts/slopes_page.py
+++ b/scripts/slopes_page.py
@@ -1,4 +1,4 @@
-"""The generated parts of docs/CAPACITY.md and the plots of the series."""
+"""Rendering of the generated sections of docs/CAPACITY.md and of the plots."""
 
 import pathlib
 import re
@@ -9,7 +9,7 @@
 from slopes_roles import ROLES, Plan, Row, over_ranges, rows
 
 Results = dict[str, t.Any]
-"""What docs/capacity.json holds: series, constants, plan, rows and where it was measured."""
+"""Content of docs/capacity.json: series, constants, plan, rows and details of the run."""
 
 _MARK = "<!-- {edge}: {part} -->"
 _SIZES = (("GB", 1e9), ("MB", 1e6), ("KB", 1e3))
@@ -21,7 +21,7 @@
 
 
 def series_of(results: Results) -> list[Series]:
-    """Return the measured series of a results file."""
+    """Return the series of a results file."""
     return [
         Series(**{**row, "points": tuple((size, value) for size, value in row["points"])})
         for row in results["series"]
@@ -29,17 +29,17 @@
 
 
 def fits_of(results: Results) -> dict[str, Fit]:
-    """Return the line through each series of a results file."""
+    """Return the fitted line of each series of a results file, by name."""
     return {series.name: fit(series) for series in series_of(results)}
 
 
 def rows_of(results: Results) -> list[Row]:
-    """Work the rows out anew from a results file's series and constants."""
+    """Compute the rows from the series, constants and plan of a results file."""
     return rows(fits_of(results), results["constants"], Plan(**results["plan"]))
 
 
 def render(results: Results) -> dict[str, str]:
-    """Return the generated parts of the page by name."""
+    """Return the generated sections of the page by name."""
     return {
         "run": _run(results),
         "roles": "\n\n".join(_role_table(role, results) for role in ROLES),
@@ -49,12 +49,12 @@
 
 
 def put_parts(page: str, parts: Mapping[str, str]) -> str:
-    """Return the page with each part between its marks.
+    """Return the page with the text between the markers of each part replaced.
 
     Raises
     ------
     ValueError
-        If the marks of a part are not there.
+        If the page has no markers for a part.
     """
     for name, text in parts.items():
         begin, end = (_MARK.format(edge=edge, part=name) for edge in ("begin", "end"))
@@ -66,7 +66,7 @@
 
 
 def shown(value: float, unit: str) -> str:
-    """Return a value with its unit, to three digits."""
+    """Format a value with its unit to three significant digits."""
     if unit.startswith("bytes"):
         rate = unit.removeprefix("bytes")
         for name, size in _SIZES:
@@ -109,13 +109,11 @@
 
 def _role_line(row: Row, size: str) -> str:
     limit = "" if row.limit is None else shown(row.limit, row.unit)
-    worked = shown(row.value, row.unit)
+    value = shown(row.value, row.unit)
     if row.over:
-        worked = f"**OVER: {worked}**"
+        value = f"**OVER: {value}**"
     names = ", ".join(f"`{name}`" for name in row.series) or "the plan"
-    return (
-        f"| {row.aspect} | {row.what} | {worked} | {limit} | {size} | {row.mechanism} | {names} |"
-    )
+    return f"| {row.aspect} | {row.what} | {value} | {limit} | {size} | {row.mechanism} | {names} |"
 
 
 def _range_text(found: tuple[int, int | None]) -> str:
@@ -154,7 +152,7 @@
 
 
 def subjects(all_series: Sequence[Series]) -> dict[str, list[Series]]:
-    """Return the series by subject, the first part of their names."""
+    """Group the series by subject, which is their name up to the first dot."""
     found: dict[str, list[Series]] = {}
     for series in all_series:
         found.setdefault(series.name.partition(".")[0], []).append(series)
@@ -162,7 +160,7 @@
 
 
 def draw(all_series: Sequence[Series], folder: pathlib.Path) -> None:
-    """Write one plot a subject: the points of each series and the line through them."""
+    """Write one plot per subject with the points and the fitted line of each series."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/scripts/slopes_rules.py
+++ b/scripts/slopes_rules.py
@@ -1,4 +1,4 @@
-"""Slopes of the rules: building the index and matching, against the number of rules."""
+"""Costs of building and matching the rule index by the number of rules."""
 
 import random
 from collections.abc import Iterator
@@ -7,19 +7,19 @@
 from cardamomloft.core.model import Priority, Request
 from cardamomloft.core.rules import RuleSet
 from slopes_document import SERVICES, Size, document_bytes, make_document
-from slopes_fit import Series, cpu_ms, held_bytes
+from slopes_fit import Series, cpu_ms, retained_bytes
 
 _SIZES = (50, 100, 200, 400, 800)
 _QUICK_SIZES = (25, 50, 100, 200)
 _REQUESTS = 2_000
-_SMALL = 8
+_ENTRIES = 8
 
 
 def measure(*, quick: bool) -> Iterator[Series]:
-    """Yield every series of the rules."""
+    """Yield all series of the rules."""
     found: dict[str, list[tuple[float, float]]] = {}
     for size in _QUICK_SIZES if quick else _SIZES:
-        document = make_document(Size(_SMALL, _SMALL, size))
+        document = make_document(Size(_ENTRIES, _ENTRIES, size))
         rules = RuleSet(document)
         requests = list(_requests(size))
 
@@ -28,11 +28,11 @@
                 rules.match(req, "r0-z0", "r0")
 
         match()
-        empty = document_bytes(make_document(Size(_SMALL, _SMALL, len(SERVICES))))
+        empty = document_bytes(make_document(Size(_ENTRIES, _ENTRIES, len(SERVICES))))
         values = {
             ("compile", "ms"): cpu_ms(lambda d=document: RuleSet(d)),
             ("match", "us"): cpu_ms(match) / _REQUESTS * 1000,
-            ("memory", "bytes"): held_bytes(lambda d=document: RuleSet(d)),
+            ("memory", "bytes"): retained_bytes(lambda d=document: RuleSet(d)),
             ("json", "bytes"): document_bytes(document) - empty,
         }
         for (name, unit), value in values.items():
--- a/scripts/slopes_store.py
+++ b/scripts/slopes_store.py
@@ -1,4 +1,4 @@
-"""Slopes of our use of the store: a model of the stewardship of regions."""
+"""Rate of store calls, from a simulation of the stewardship of regions."""
 
 import random
 from collections.abc import Iterator
@@ -27,7 +27,7 @@
 
 
 class _Region:
-    """A lease at the store, the entries that try for it, and the count of their calls."""
+    """Simulated region: the lease in the store, the entries, and a count of their store calls."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.clock = ManualClock()
@@ -45,30 +45,30 @@
         end = self.clock.monotonic() + timedelta(seconds=seconds)
         while self.clock.monotonic() < end:
             self.clock.advance(_STEP)
-            self._turn(self.clock.monotonic())
+            self._tick(self.clock.monotonic())
 
-    def _turn(self, now: timedelta) -> None:
+    def _tick(self, now: timedelta) -> None:
         if now >= self._until:
             self._holder = None
         for name, entry in self.entries.items():
             if name in self._watches and (not self._holder or now >= self._watches[name]):
                 del self._watches[name]
-                self._perform(name, self._report(entry))
+                self._run_steps(name, self._report_lease(entry))
             if entry.peer_to_probe() and self._holder:
                 entry.record_message(self._holder)
-            self._perform(name, entry.tick())
+            self._run_steps(name, entry.tick())
             if entry.watches_configuration and now >= self._config_watches.get(name, now):
                 self.calls += 1
                 self._config_watches[name] = now + WATCH_WAIT
 
-    def _report(self, entry: Stewardship) -> list[Step]:
+    def _report_lease(self, entry: Stewardship) -> list[Step]:
         return entry.lease_held(self._holder) if self._holder else entry.lease_free()
 
-    def _perform(self, name: str, steps: list[Step]) -> None:
+    def _run_steps(self, name: str, steps: list[Step]) -> None:
         for step in steps:
-            # A try for the lease is two calls: one makes it, one acquires the key.
+            # Trying for the lease takes two calls: create the session, then acquire the key.
             self.calls += 2 if isinstance(step, TryLease) else 1
-            self._perform(name, self._answer(name, self.entries[name], step))
+            self._run_steps(name, self._answer(name, self.entries[name], step))
 
     def _answer(self, name: str, entry: Stewardship, step: Step) -> list[Step]:
         now = self.clock.monotonic()
@@ -76,7 +76,7 @@
             self._watches[name] = now + WATCH_WAIT
             return []
         if isinstance(step, WatchLease | ReadLease):
-            return self._report(entry)
+            return self._report_lease(entry)
         if isinstance(step, TryLease) and self._holder not in (None, name):
             return entry.lease_refused()
         if isinstance(step, Renew) and self._holder != name:
@@ -86,15 +86,15 @@
 
 
 def measure(*, quick: bool) -> Iterator[Series]:
-    """Yield every series of the store's use."""
+    """Yield all series of the calls to the store."""
     sizes = _QUICK_REGION_SIZES if quick else _REGION_SIZES
     by_size = tuple((size, _calls_per_s(size, 1)) for size in sizes)
     yield Series(
         "store.region_calls", "entries in the region", "calls/s", by_size, source="model run"
     )
-    each = 12
+    region_size = 12
     by_regions = tuple(
-        (count, sum(_calls_per_s(each, seed) for seed in range(count))) for count in _REGIONS
+        (count, sum(_calls_per_s(region_size, seed) for seed in range(count))) for count in _REGIONS
     )
     yield Series("store.calls", "regions", "calls/s", by_regions, source="model run")
 
