--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -1,7 +1,7 @@
-"""Measure the system on real processes against plain ways, and print a table.
+"""Benchmark the system on real processes against baselines and print a table.
 
-Writes ``build/bench.json``: an object from name to value, unit, baseline and aim. Ratios compare
-figures of one run only.
+Writes ``build/bench.json``, an object that maps each name to value, unit, baseline and target.
+Ratios compare measurements of the same run only.
 """
 
 import importlib
@@ -13,7 +13,7 @@
 
 import bench_kit as kit
 import defopt
-from bench_kit import Figure, Sizes
+from bench_kit import Measurement, RunScale
 
 GROUPS = {
     "overload": "bench_overload",
@@ -29,64 +29,68 @@
 
 
 def bench(*, quick: bool = False, only: list[str] | None = None) -> int:
-    """Run the experiments.
+    """Run groups of benchmarks and write their results.
 
     Parameters
     ----------
     quick
-        Run fewer and shorter experiments, in less than a minute.
+        Run fewer and shorter benchmarks, in less than a minute.
     only
-        The groups to run; all by default.
+        Groups to run; overrides the default selection.
     """
     shutil.rmtree(kit.BUILD, ignore_errors=True)
     kit.BUILD.mkdir(parents=True)
     start = time.monotonic()
-    chosen = only or (QUICK if quick else tuple(GROUPS))
-    figures: list[Figure] = []
+    selected = only or (QUICK if quick else tuple(GROUPS))
+    measurements: list[Measurement] = []
     failed: dict[str, str] = {}
-    for group in chosen:
-        began = time.monotonic()
+    for group in selected:
+        group_start = time.monotonic()
         try:
-            figures += importlib.import_module(GROUPS[group]).run(Sizes(quick))
+            measurements += importlib.import_module(GROUPS[group]).run(RunScale(quick))
         except (OSError, RuntimeError, TimeoutError, ValueError) as exc:
             failed[group] = f"{type(exc).__name__}: {exc}"
-        kit.say(f"{group}: took {time.monotonic() - began:.1f} s {failed.get(group, '')}")
-    _write(figures)
-    _show(figures, failed, [group for group in GROUPS if group not in chosen])
+        kit.print_progress(
+            f"{group}: took {time.monotonic() - group_start:.1f} s {failed.get(group, '')}"
+        )
+    _write_results(measurements)
+    _print_table(measurements, failed, [group for group in GROUPS if group not in selected])
     print(f"whole run: {time.monotonic() - start:.1f} s")
     return 1 if failed else 0
 
 
-def _row(figure: Figure) -> dict[str, t.Any]:
+def _row(measurement: Measurement) -> dict[str, t.Any]:
     row: dict[str, t.Any] = {
-        "value": figure.value,
-        "unit": figure.unit,
-        "baseline": figure.baseline,
-        "baseline_name": figure.baseline_name,
+        "value": measurement.value,
+        "unit": measurement.unit,
+        "baseline": measurement.baseline,
+        "baseline_name": measurement.baseline_name,
     }
-    if figure.aim is not None:
-        row |= {"aim": str(figure.aim), "met": figure.aim.met(figure.value)}
-    return row | ({"note": figure.note} if figure.note else {})
+    if measurement.target is not None:
+        row |= {"aim": str(measurement.target), "met": measurement.target.is_met(measurement.value)}
+    return row | ({"note": measurement.note} if measurement.note else {})
 
 
-def _write(figures: list[Figure]) -> None:
-    rows = {figure.name: _row(figure) for figure in figures}
+def _write_results(measurements: list[Measurement]) -> None:
+    rows = {measurement.name: _row(measurement) for measurement in measurements}
     path = kit.BUILD.parent / "bench.json"
     path.write_text(json.dumps(rows, indent=2) + "\n")
 
 
-def _show(figures: list[Figure], failed: dict[str, str], left_out: list[str]) -> None:
+def _print_table(
+    measurements: list[Measurement], failed: dict[str, str], skipped: list[str]
+) -> None:
     print(f"{'figure':40} {'value':>11} {'unit':10} {'aim':>8} {'':6} baseline")
-    for figure in figures:
-        aim = str(figure.aim or "")
-        met = "" if figure.aim is None else "met" if figure.aim.met(figure.value) else "MISSED"
-        base = "" if figure.baseline is None else f"{figure.baseline:.4g} ({figure.baseline_name})"
-        line = f"{figure.name:40} {figure.value:11.4g} {figure.unit:10} {aim:>8} {met:6} {base}"
-        print(f"{line}  {figure.note}".rstrip())
+    for row in measurements:
+        target = str(row.target or "")
+        met = "" if row.target is None else "met" if row.target.is_met(row.value) else "MISSED"
+        base = "" if row.baseline is None else f"{row.baseline:.4g} ({row.baseline_name})"
+        line = f"{row.name:40} {row.value:11.4g} {row.unit:10} {target:>8} {met:6} {base}"
+        print(f"{line}  {row.note}".rstrip())
     for group, text in failed.items():
         print(f"FAILED {group}: {text}")
-    if left_out:
-        print("not run:", ", ".join(left_out))
+    if skipped:
+        print("not run:", ", ".join(skipped))
 
 
 if __name__ == "__main__":
--- a/scripts/bench_baselines.py
+++ b/scripts/bench_baselines.py
@@ -1,11 +1,11 @@
-"""The plain ways that figures are compared with: a forwarder without the system's decisions.
+"""Baselines of the benchmarks: a forwarder without steering, loans or priorities.
 
 Run as a process with a settings file. Three modes:
 
-- ``pass``: klein to treq, one endpoint after the other, nothing else.
-- ``queue``: the same, but each process owns fixed slots and queues without a bound: no admission.
-- ``static``: fixed slots and a queue that refuses what cannot finish by its deadline. This is the
-  static division of slots by entry, without loans, steering or priorities.
+- ``pass``: forward with klein and treq, round robin over the endpoints.
+- ``queue``: each process owns a fixed set of slots and an unbounded queue; no admission control.
+- ``static``: like ``queue``, but refuse requests that can't finish by their deadline. This is a
+  static division of slots among the entries.
 """
 
 import itertools
@@ -24,11 +24,11 @@
 from twisted.web.iweb import IRequest
 from twisted.web.server import Site
 
-_PASSED = (b"x-work-ms", b"x-answer-bytes", b"idempotency-key")
+_FORWARDED_HEADERS = (b"x-work-ms", b"x-answer-bytes", b"idempotency-key")
 
 
 class Settings(t.TypedDict):
-    """One baseline process; `slots` names an endpoint for every slot that it owns."""
+    """Settings of a baseline process; `slots` has an endpoint's address for each owned slot."""
 
     listen: str
     mode: t.Literal["pass", "queue", "static"]
@@ -37,14 +37,14 @@
 
 
 class Forwarder:
-    """A bare forwarder."""
+    """HTTP forwarder of one baseline process."""
 
     app = Klein()
 
     def __init__(self, cfg: Settings) -> None:
         self._cfg = cfg
-        self._free = deque(cfg["slots"])
-        self._turns = itertools.cycle(cfg["slots"])
+        self._free_slots = deque(cfg["slots"])
+        self._endpoint_cycle = itertools.cycle(cfg["slots"])
         self._waiting: deque[defer.Deferred[str]] = deque()
         pool = HTTPConnectionPool(reactor, persistent=True)
         pool.maxPersistentPerHost = 64
@@ -52,42 +52,44 @@
 
     @app.route("/", branch=True)
     async def forward(self, request: IRequest) -> bytes:
-        """Forward one request."""
+        """Forward or refuse one request according to the mode."""
         if self._cfg["mode"] == "pass":
-            return await self._send(request, next(self._turns))
+            return await self._send(request, next(self._endpoint_cycle))
         deadline = time.monotonic() + float(request.getHeader("x-deadline-ms") or 1e6) / 1000
-        if self._cfg["mode"] == "static" and not self._fits(deadline):
+        if self._cfg["mode"] == "static" and not self._meets_deadline(deadline):
             return _refuse(request)
-        address = await self._take()
+        address = await self._acquire_slot()
         try:
-            if self._cfg["mode"] == "static" and self._left(deadline) < 0:
+            if self._cfg["mode"] == "static" and self._slack_s(deadline) < 0:
                 return _refuse(request)
             return await self._send(request, address)
         finally:
-            self._give(address)
+            self._release_slot(address)
 
-    def _left(self, deadline: float) -> float:
+    def _slack_s(self, deadline: float) -> float:
         return deadline - time.monotonic() - self._cfg["work_ms"] / 1000
 
-    def _fits(self, deadline: float) -> bool:
-        rounds = (len(self._waiting) + 1) / len(self._cfg["slots"]) if not self._free else 0
-        return self._left(deadline) >= rounds * self._cfg["work_ms"] / 1000
+    def _meets_deadline(self, deadline: float) -> bool:
+        rounds = (len(self._waiting) + 1) / len(self._cfg["slots"]) if not self._free_slots else 0
+        return self._slack_s(deadline) >= rounds * self._cfg["work_ms"] / 1000
 
-    async def _take(self) -> str:
-        if self._free:
-            return self._free.popleft()
-        turn: defer.Deferred[str] = defer.Deferred()
-        self._waiting.append(turn)
-        return await turn
+    async def _acquire_slot(self) -> str:
+        if self._free_slots:
+            return self._free_slots.popleft()
+        slot: defer.Deferred[str] = defer.Deferred()
+        self._waiting.append(slot)
+        return await slot
 
-    def _give(self, address: str) -> None:
+    def _release_slot(self, address: str) -> None:
         if self._waiting:
             self._waiting.popleft().callback(address)
         else:
-            self._free.append(address)
+            self._free_slots.append(address)
 
     async def _send(self, request: IRequest, address: str) -> bytes:
-        headers = {name: request.getHeader(name) for name in _PASSED if request.getHeader(name)}
+        headers = {
+            name: request.getHeader(name) for name in _FORWARDED_HEADERS if request.getHeader(name)
+        }
         resp = await treq.request(
             request.method.decode(),
             f"http://{address}{request.uri.decode()}",
@@ -111,14 +113,14 @@
 def start_baselines(
     fleet: Fleet, plan: Plan, mode: str, work_ms: float, count: int | None = None
 ) -> list[str]:
-    """Start as many baseline processes as there are entries; return their addresses.
+    """Start baseline processes, by default one per entry; return their addresses.
 
-    Slots are dealt out in turn, so that each process has its equal part of them.
+    Slots are assigned round robin, so that each process owns an equal share.
     """
     count = count or plan.entries
     addresses = [row["address"] for row in fleet.upstream_rows() for _ in range(plan.slots)]
-    listens = [f"127.1.{plan.number}.{100 + at}:8080" for at in range(count)]
-    for at, listen in enumerate(listens):
+    listen_addresses = [f"127.1.{plan.number}.{100 + at}:8080" for at in range(count)]
+    for at, listen in enumerate(listen_addresses):
         path = fleet.folder / f"{mode}-{at}.json"
         cfg = {"listen": listen, "mode": mode, "slots": addresses[at::count], "work_ms": work_ms}
         path.write_text(json.dumps(cfg))
@@ -126,17 +128,17 @@
     for at in range(count):
         proc = fleet.processes[f"{mode}-{at}"]
         wait_until(proc.name, lambda proc=proc: "listening" in proc.lines())
-    return listens
+    return listen_addresses
 
 
 def stop_baselines(fleet: Fleet, mode: str) -> None:
-    """End the baseline processes of one mode."""
+    """End all baseline processes of a mode."""
     names = [n for n in fleet.processes if n.removeprefix(f"{mode}-").isdecimal()]
     fleet.end(names)
 
 
 def main() -> None:
-    """Run one baseline process."""
+    """Serve as a baseline process with the settings file given on the command line."""
     with open(sys.argv[1], encoding="utf-8") as file:
         cfg: Settings = json.load(file)
     host, _, port = cfg["listen"].rpartition(":")
--- a/scripts/bench_config.py
+++ b/scripts/bench_config.py
@@ -1,4 +1,4 @@
-"""How soon a recorded configuration is in force at every entry, a steward killed meanwhile."""
+"""Time until a recorded configuration is in force at every entry, also when a steward is killed."""
 
 import copy
 import json
@@ -8,33 +8,33 @@
 from datetime import datetime
 
 import bench_kit as kit
-from bench_kit import Aim, Figure, Plan, Sizes
+from bench_kit import Measurement, Plan, RunScale, Target
 from fleet import Fleet, get_json, percentile, wait_until
 
 PLAN = Plan(number=13)
 
 
-def run(sizes: Sizes) -> list[Figure]:
-    """Apply several revisions; before every third one the steward is killed."""
-    applies = int(sizes.pick(9, 3))
-    calm: list[float] = []
-    killed: list[float] = []
+def run(scale: RunScale) -> list[Measurement]:
+    """Apply several revisions and kill the steward before every third one."""
+    applies = int(scale.pick(9, 3))
+    steward_up: list[float] = []
+    steward_killed: list[float] = []
     with kit.deployment(PLAN) as fleet:
-        for turn in range(applies):
-            victim = _kill_steward(fleet) if turn % 3 == 2 else None
-            (killed if victim else calm).extend(_apply(fleet, turn, victim))
+        for index in range(applies):
+            victim = _kill_steward(fleet) if index % 3 == 2 else None
+            (steward_killed if victim else steward_up).extend(_measure_apply(fleet, index, victim))
             if victim:
                 fleet.set_vms({})
                 fleet.start_entry(victim)
                 fleet.wait_ready([victim])
     name = "config.in_force_p99_s"
-    both = calm + killed
+    both = steward_up + steward_killed
     note = f"{applies} applies at {PLAN.entries} entries, steward killed before every third"
     return [
-        Figure(name, percentile(both, 99), "s", Aim("<=", 1), note=note),
-        Figure("config.in_force_p50_s", percentile(both, 50), "s"),
-        Figure("config.in_force_between_kills_max_s", max(calm), "s"),
-        Figure("config.in_force_steward_killed_max_s", max(killed, default=0.0), "s"),
+        Measurement(name, percentile(both, 99), "s", Target("<=", 1), note=note),
+        Measurement("config.in_force_p50_s", percentile(both, 50), "s"),
+        Measurement("config.in_force_between_kills_max_s", max(steward_up), "s"),
+        Measurement("config.in_force_steward_killed_max_s", max(steward_killed, default=0.0), "s"),
     ]
 
 
@@ -52,27 +52,29 @@
     return next((s for s, page in statuses.items() if page and page["steward"]), None)
 
 
-def _apply(fleet: Fleet, turn: int, victim: str | None) -> list[float]:
-    """Apply a small change; return for each live entry the seconds from its record."""
+def _measure_apply(fleet: Fleet, index: int, victim: str | None) -> list[float]:
+    """Apply a small change; return the seconds from record to in force for each live entry."""
     document = copy.deepcopy(fleet.document)
-    document["services"][kit.SERVICE]["deadline_ms"] = 1000 + turn
+    document["services"][kit.SERVICE]["deadline_ms"] = 1000 + index
     number = fleet.apply(document, "benchmark", wait=20.0)["revision"]
-    recorded = _when(fleet, number)
+    recorded = _recorded_at(fleet, number)
     live = [seat for seat in fleet.document["entries"] if seat != victim]
-    found: dict[str, float] = {}
+    in_force_at: dict[str, float] = {}
 
     def all_in_force() -> bool:
-        found.update({seat: at for seat in live if (at := _in_force(fleet, seat, number))})
-        return len(found) == len(live)
+        in_force_at.update({seat: at for seat in live if (at := _in_force_at(fleet, seat, number))})
+        return len(in_force_at) == len(live)
 
     wait_until(f"revision {number} in force", all_in_force)
-    late = max(found, key=found.__getitem__)
-    kit.say(f"revision {number}: last at {late} after {found[late] - recorded:.3f} s, {victim=}")
-    return [at - recorded for at in found.values()]
+    late = max(in_force_at, key=in_force_at.__getitem__)
+    kit.print_progress(
+        f"revision {number}: last at {late} after {in_force_at[late] - recorded:.3f} s, {victim=}"
+    )
+    return [at - recorded for at in in_force_at.values()]
 
 
-def _when(fleet: Fleet, number: int) -> float:
-    """Return the record's own time, which is taken just before it is written."""
+def _recorded_at(fleet: Fleet, number: int) -> float:
+    """Return the timestamp in the record, which is taken just before the write."""
     row = get_json(f"http://{fleet.store}/v1/kv/config/current")[0]
     record = json.loads(b64decode(row["Value"]))
     if record["number"] != number:
@@ -80,8 +82,8 @@
     return datetime.fromisoformat(record["when"]).timestamp()
 
 
-def _in_force(fleet: Fleet, seat: str, number: int) -> float | None:
-    """Return when the entry logged that it put the revision, or a later one, in force."""
+def _in_force_at(fleet: Fleet, seat: str, number: int) -> float | None:
+    """Return when the entry logged its latest revision in force, or None if it is older."""
     for line in reversed(fleet.processes[seat].lines()):
         if '"cardamomloft:in-force"' in line:
             row = json.loads(line)
--- a/scripts/bench_control.py
+++ b/scripts/bench_control.py
@@ -1,4 +1,4 @@
-"""What an idle entry costs: store calls by size of the fleet, processor, memory, messages."""
+"""Costs of idle entries: store calls by fleet size, processor time, memory and peer messages."""
 
 import os
 import pathlib
@@ -10,29 +10,29 @@
 from contextlib import ExitStack
 
 import bench_kit as kit
-from bench_kit import Aim, Figure, Plan, Sizes
+from bench_kit import Measurement, Plan, RunScale, Target
 from fleet import Fleet
 
-SIZES = (4, 8, 12)
-PLANS = {size: Plan(number=14 + at, entries=size) for at, size in enumerate(SIZES)}
+FLEET_SIZES = (4, 8, 12)
+PLANS = {size: Plan(number=14 + at, entries=size) for at, size in enumerate(FLEET_SIZES)}
 SETTLE_S = 3.0
-LIBRARIES = (
+IMPORTED_LIBRARIES = (
     "twisted.web.server, twisted.web.client, klein, treq, zmq, eliot, msgspec, automat,"
     " expression, hdrh.histogram, pydantic, defopt, twisted.internet.reactor"
 )
 
 
 class Usage(t.NamedTuple):
-    """Processor seconds, resident megabytes and bytes sent and received of entries."""
+    """Mean processor seconds, resident megabytes and peer bytes in both directions per entry."""
 
     cpu_s: float
     rss_mb: float
     peer_bytes: float
 
 
-def run(sizes: Sizes) -> list[Figure]:
-    """Let fleets of three sizes idle at the same time, and look at the largest one's entries."""
-    seconds = sizes.pick(20, 8)
+def run(scale: RunScale) -> list[Measurement]:
+    """Run idle fleets of three sizes at once; measure the entries of the largest one."""
+    seconds = scale.pick(20, 8)
     with ExitStack() as stack:
         with ThreadPoolExecutor() as pool:
             opened = pool.map(
@@ -40,7 +40,7 @@
             )
             fleets = dict(zip(PLANS, opened, strict=True))
         time.sleep(SETTLE_S)
-        kit.say(f"idle: {seconds:g} s")
+        kit.print_progress(f"idle: {seconds:g} s")
         calls = {size: sum(fleet.store_calls().values()) for size, fleet in fleets.items()}
         before, start = _usage(fleets[12]), time.monotonic()
         time.sleep(seconds)
@@ -49,21 +49,25 @@
             size: (sum(fleet.store_calls().values()) - calls[size]) / elapsed
             for size, fleet in fleets.items()
         }
-    return [*_store_figures(rates), *_usage_figures(before, after, elapsed)]
+    return [*_store_measurements(rates), *_usage_measurements(before, after, elapsed)]
 
 
-def _store_figures(rates: dict[int, float]) -> list[Figure]:
+def _store_measurements(rates: dict[int, float]) -> list[Measurement]:
     slope = (rates[12] - rates[4]) / 8
-    own = [Figure(f"store.calls_per_s_{n}", rate, "calls/s") for n, rate in rates.items()]
-    return [*own, Figure("store.calls_per_s_per_entry", slope, "calls/s", Aim("<=", 0.05))]
+    own = [Measurement(f"store.calls_per_s_{n}", rate, "calls/s") for n, rate in rates.items()]
+    return [*own, Measurement("store.calls_per_s_per_entry", slope, "calls/s", Target("<=", 0.05))]
 
 
 def _usage(fleet: Fleet) -> Usage:
     pids = [fleet.processes[seat].popen.pid for seat in fleet.document["entries"]]
     metrics = [fleet.metrics(seat) for seat in fleet.document["entries"]]
-    moved = sum(m.get("peers_sent_bytes", 0) + m.get("peers_received_bytes", 0) for m in metrics)
+    transferred = sum(
+        m.get("peers_sent_bytes", 0) + m.get("peers_received_bytes", 0) for m in metrics
+    )
     count = len(pids)
-    return Usage(sum(map(_cpu_s, pids)) / count, sum(map(_rss_mb, pids)) / count, moved / count)
+    return Usage(
+        sum(map(_cpu_s, pids)) / count, sum(map(_rss_mb, pids)) / count, transferred / count
+    )
 
 
 def _cpu_s(pid: int) -> float:
@@ -79,8 +83,8 @@
 
 
 def _libraries_mb() -> float:
-    """Return the resident memory of a bare process that imports the same libraries."""
-    code = f"import sys, {LIBRARIES}; print('ready', flush=True); sys.stdin.read()"
+    """Return the resident memory of a Python process that only imports the same libraries."""
+    code = f"import sys, {IMPORTED_LIBRARIES}; print('ready', flush=True); sys.stdin.read()"
     argv = [sys.executable, "-c", code]
     with subprocess.Popen(argv, stdin=subprocess.PIPE, stdout=subprocess.PIPE) as proc:
         proc.stdout.readline()
@@ -89,14 +93,16 @@
     return found
 
 
-def _usage_figures(before: Usage, after: Usage, elapsed: float) -> list[Figure]:
-    bare = _libraries_mb()
+def _usage_measurements(before: Usage, after: Usage, elapsed: float) -> list[Measurement]:
+    baseline_mb = _libraries_mb()
     name = "bare process, same libraries"
     cpu = 100 * (after.cpu_s - before.cpu_s) / elapsed
     rate = (after.peer_bytes - before.peer_bytes) / elapsed
     return [
-        Figure("control.cpu_percent", cpu, "percent", note="of one core, idle entry among 12"),
-        Figure("control.rss_mb", after.rss_mb, "MB", None, bare, name),
-        Figure("control.own_rss_mb", after.rss_mb - bare, "MB", Aim("<=", 64), None, ""),
-        Figure("control.bytes_per_s", rate, "B/s", note="peers' messages, both ways"),
+        Measurement("control.cpu_percent", cpu, "percent", note="of one core, idle entry among 12"),
+        Measurement("control.rss_mb", after.rss_mb, "MB", None, baseline_mb, name),
+        Measurement(
+            "control.own_rss_mb", after.rss_mb - baseline_mb, "MB", Target("<=", 64), None, ""
+        ),
+        Measurement("control.bytes_per_s", rate, "B/s", note="peers' messages, both ways"),
     ]
--- a/scripts/bench_kit.py
+++ b/scripts/bench_kit.py
@@ -1,4 +1,4 @@
-"""What every group of experiments needs: figures, generated documents, fleets and loads."""
+"""Shared parts of the benchmarks: measurements, generated documents, deployments and loads."""
 
 import contextlib
 import pathlib
@@ -14,51 +14,51 @@
 SERVICE = "jobs"
 REGION = "region-1"
 ZONES = ("region-1-a", "region-1-b")
-GRACE_S = 30.0
+REPORT_TIMEOUT_S = 30.0
 
 Mix = list[dict[str, t.Any]]
 
 
-class Aim(t.NamedTuple):
-    """What a figure should be: at most or at least `bound`."""
+class Target(t.NamedTuple):
+    """Target of a measurement: at most or at least `bound`."""
 
     sign: t.Literal["<=", ">="]
     bound: float
 
-    def met(self, value: float) -> bool:
-        """Tell whether `value` keeps to the bound."""
+    def is_met(self, value: float) -> bool:
+        """Return whether `value` is within the bound."""
         return value <= self.bound if self.sign == "<=" else value >= self.bound
 
     def __str__(self) -> str:
         return f"{self.sign} {self.bound:g}"
 
 
-class Figure(t.NamedTuple):
-    """One measured figure; `baseline` is that of the named plain way in the same run."""
+class Measurement(t.NamedTuple):
+    """One measured value; `baseline` is the value of the named baseline in the same run."""
 
     name: str
     value: float
     unit: str
-    aim: Aim | None = None
+    target: Target | None = None
     baseline: float | None = None
     baseline_name: str = ""
     note: str = ""
 
 
-class Sizes(t.NamedTuple):
-    """How long the experiments are; a quick run has fewer and shorter ones."""
+class RunScale(t.NamedTuple):
+    """Selects the extent of a run: full, or quick with fewer and shorter benchmarks."""
 
     quick: bool
 
     def pick(self, full: float, quick: float) -> float:
-        """Return the size for this kind of run."""
+        """Return the value for this kind of run."""
         return quick if self.quick else full
 
 
 class Plan(t.NamedTuple):
-    """A deployment of one region with two zones.
+    """Deployment of one region with two zones.
 
-    `number` keeps addresses of deployments that run at the same time apart.
+    `number` selects the addresses; it must be unique among deployments that run at once.
     """
 
     number: int
@@ -72,12 +72,12 @@
 
     @property
     def capacity(self) -> int:
-        """The slots of all upstreams."""
+        """Total number of slots of all upstreams."""
         return self.upstreams * self.slots
 
 
 def make_document(plan: Plan) -> Document:
-    """Generate the configuration document of a deployment."""
+    """Return the configuration document of a deployment."""
     places = [{"zone": zone, "weight": 1} for zone in plan.places]
     places = places or [{"region": REGION, "weight": 1}]
     return {
@@ -132,30 +132,35 @@
 
 @contextlib.contextmanager
 def deployment(plan: Plan, behaviour: dict[str, t.Any] | None = None) -> Iterator[Fleet]:
-    """Own a deployment whose entries all serve the generated document."""
+    """Yield a running deployment in which every entry has applied the generated document."""
     document = make_document(plan)
     folder = BUILD / f"fleet-{plan.number}"
     with running(document, folder, plan.number, {SERVICE: behaviour or {}}, NET) as fleet:
         fleet.start_entries()
         fleet.apply(document, "benchmark")
         fleet.wait_ready()
-        waiting = Waiting({name: proc.popen.pid for name, proc in fleet.processes.items()})
+        cpu_wait = CpuWait({name: proc.popen.pid for name, proc in fleet.processes.items()})
         yield fleet
-        say(f"{folder.name}: {waiting.ratio():.2f} s of waiting for a core in each second of work")
+        print_progress(
+            f"{folder.name}: {cpu_wait.ratio():.2f} s of waiting for a core in each second of work"
+        )
 
 
 class LoadResult(t.NamedTuple):
-    """Reports of the load processes that ran at the same time, and the window to look at."""
+    """Reports of concurrent load processes, and the seconds of the load to evaluate."""
 
     reports: list[dict[str, t.Any]]
     window: range
 
     def rate(self, table: str, prefix: str = "") -> float:
-        """Return events per second of a by-second table within the window."""
+        """Return the events per second of a by-second table within the window."""
         return self.count(table, prefix) / len(self.window)
 
     def count(self, table: str, prefix: str = "") -> int:
-        """Return the events of a by-second table within the window."""
+        """Return the number of events of a by-second table within the window.
+
+        Only rows whose name starts with `prefix` count.
+        """
         return sum(
             count
             for report in self.reports
@@ -166,16 +171,16 @@
         )
 
     def latencies(self, name: str) -> list[float]:
-        """Return the latencies of complete requests of one kind, over the whole run."""
+        """Return latencies in seconds of the complete requests called `name`, over the whole run."""
         return [x for report in self.reports for x in report["latencies"].get(name, [])]
 
     def total(self, outcome: str) -> int:
-        """Return the requests of any kind that ended in `outcome`, over the whole run."""
+        """Return the number of requests with this outcome, over the whole run."""
         rows = [kind for report in self.reports for kind in report["outcomes"].values()]
         return sum(row.get(outcome, 0) for row in rows)
 
     def reasons(self) -> dict[str, int]:
-        """Return the refusals by reason, over the whole run."""
+        """Return the number of refusals by reason, over the whole run."""
         total: dict[str, int] = {}
         for report in self.reports:
             for name, count in report["reasons"].items():
@@ -186,33 +191,33 @@
 def start_loads(
     fleet: Fleet, name: str, mix: Mix, seconds: float, *, processes: int = 1, **cfg: t.Any
 ) -> list[str]:
-    """Start load processes that share the rates of `mix`; return their names."""
+    """Start load processes that divide the rates of `mix` equally; return their names."""
     names = [f"{name}-{number}" for number in range(processes)]
     shared = [{**row, "rate": row["rate"] / processes} for row in mix]
-    for number, each in enumerate(names):
+    for number, load_name in enumerate(names):
         settings = {"entries": fleet.addresses(), "seed": number + 1, "duration_s": seconds}
-        fleet.start_load(each, {**settings, "grace_s": 6.0, "mix": shared, **cfg})
+        fleet.start_load(load_name, {**settings, "grace_s": 6.0, "mix": shared, **cfg})
     return names
 
 
-def finish_loads(fleet: Fleet, names: list[str], seconds: float, warm: int = 3) -> LoadResult:
-    """Wait for load processes; the window leaves out the first `warm` seconds."""
-    reports = [fleet.load_report(name, seconds + GRACE_S) for name in names]
-    return LoadResult(reports, range(warm, int(seconds)))
+def finish_loads(fleet: Fleet, names: list[str], seconds: float, warm_up_s: int = 3) -> LoadResult:
+    """Wait for load processes; the window excludes the first `warm_up_s` seconds."""
+    reports = [fleet.load_report(name, seconds + REPORT_TIMEOUT_S) for name in names]
+    return LoadResult(reports, range(warm_up_s, int(seconds)))
 
 
 def run_loads(
     fleet: Fleet, name: str, mix: Mix, seconds: float, *, processes: int = 1, **cfg: t.Any
 ) -> LoadResult:
-    """Run load processes to their end."""
+    """Start load processes and wait for their result."""
     names = start_loads(fleet, name, mix, seconds, processes=processes, **cfg)
     return finish_loads(fleet, names, seconds)
 
 
-class Waiting:
-    """How long processes wait for a core, for each second that they run (from the scheduler).
+class CpuWait:
+    """Measures the run-queue delay of processes per second of processor time.
 
-    A figure taken while this is far above 0 says more of the machine than of the system.
+    Measurements taken while the ratio is far above 0 reflect an overloaded machine.
     """
 
     def __init__(self, pids: dict[str, int]) -> None:
@@ -220,40 +225,40 @@
         self._before = self._read()
 
     def ratio(self) -> float:
-        """Return the ratio since the start."""
+        """Return waiting time divided by running time since construction."""
         after = self._read()
         both = self._before.keys() & after.keys()
-        ran = sum(after[n][0] - self._before[n][0] for n in both)
-        waited = sum(after[n][1] - self._before[n][1] for n in both)
-        return waited / ran if ran else 0.0
+        run_ns = sum(after[n][0] - self._before[n][0] for n in both)
+        wait_ns = sum(after[n][1] - self._before[n][1] for n in both)
+        return wait_ns / run_ns if run_ns else 0.0
 
     def _read(self) -> dict[str, tuple[int, int]]:
         rows = {}
         for name, pid in self._pids.items():
             with contextlib.suppress(OSError):
-                ran, waited, _ = pathlib.Path(f"/proc/{pid}/schedstat").read_text().split()
-                rows[name] = (int(ran), int(waited))
+                run_ns, wait_ns, _ = pathlib.Path(f"/proc/{pid}/schedstat").read_text().split()
+                rows[name] = (int(run_ns), int(wait_ns))
         return rows
 
 
-def overshoot(fleet: Fleet) -> int:
-    """Return by how many requests any upstream was ever beyond its slots."""
+def slot_overshoot(fleet: Fleet) -> int:
+    """Return the maximum number of requests by which an upstream exceeded its slots."""
     upstream_counts = fleet.upstream_counts().values()
     return max(
         (max(0, counts["most_running"] - counts["slots"]) for counts in upstream_counts), default=0
     )
 
 
-def sent_messages(fleet: Fleet) -> float:
-    """Return the messages that all entries have sent to peers."""
+def sent_peer_messages(fleet: Fleet) -> float:
+    """Return the number of messages that all entries have sent to peers."""
     return sum(fleet.metrics(seat).get("peers_sent", 0) for seat in fleet.document["entries"])
 
 
-def milliseconds(values: list[float], percent: float) -> float:
-    """Return a percentile of latencies in milliseconds."""
+def percentile_ms(values: list[float], percent: float) -> float:
+    """Return a percentile of latencies, given in seconds, in milliseconds."""
     return 1000 * percentile(values, percent)
 
 
-def say(text: str) -> None:
-    """Print a line of progress."""
+def print_progress(text: str) -> None:
+    """Print a progress line with the time of day."""
     print(f"[{time.strftime('%H:%M:%S')}] {text}", flush=True)
--- a/scripts/bench_lookup.py
+++ b/scripts/bench_lookup.py
@@ -1,4 +1,4 @@
-"""Look-ups: rate of one entry against a bare resource, and the map of client blocks."""
+"""Look-up rate of one entry against a bare twisted.web resource, and the client-block map."""
 
 import json
 import random
@@ -11,20 +11,20 @@
 from statistics import median
 
 import bench_kit as kit
-from bench_kit import Aim, Figure, Plan, Sizes
+from bench_kit import Measurement, Plan, RunScale, Target
 from cardamomloft.core.addresses import format_address, parse_block
 from cardamomloft.core.blocks import BlockMap
 from fleet import wait_until
 
 PLAN = Plan(number=17, entries=3, upstreams=2)
-BARE = "127.1.17.100:8080"
+BASELINE_ADDRESS = "127.1.17.100:8080"
 CONNECTIONS = 4
 DRIVERS = 2
 ROUNDS = 3
 BLOCKS = 1_200_000
 SITES = 160
 
-_BARE_CODE = """
+_BASELINE_CODE = """
 import sys
 from twisted.internet import reactor
 from twisted.web.resource import Resource
@@ -47,59 +47,59 @@
 """
 
 
-def run(sizes: Sizes) -> list[Figure]:
-    """Measure the rates in turn, a few times each, then the map."""
-    return [*_rates(sizes), *_map(sizes)]
+def run(scale: RunScale) -> list[Measurement]:
+    """Measure both rates in alternating rounds, then the client-block map."""
+    return [*_rates(scale), *_map(scale)]
 
 
-def _rates(sizes: Sizes) -> list[Figure]:
-    seconds = sizes.pick(3, 1)
+def _rates(scale: RunScale) -> list[Measurement]:
+    seconds = scale.pick(3, 1)
     with kit.deployment(PLAN) as fleet:
         address = fleet.addresses()[0]
         url = f"http://{address}/lookup?client=10.0.0.1"
         with urllib.request.urlopen(url, timeout=2) as resp:
             body = resp.read().decode()
-        fleet.start("bare", [sys.executable, "-c", _BARE_CODE, BARE, body])
-        bare = fleet.processes["bare"]
-        wait_until("bare resource", lambda: "listening" in bare.lines())
-        own, plain = [], []
-        for _ in range(1 if sizes.quick else ROUNDS):
+        fleet.start("bare", [sys.executable, "-c", _BASELINE_CODE, BASELINE_ADDRESS, body])
+        baseline_process = fleet.processes["bare"]
+        wait_until("bare resource", lambda: "listening" in baseline_process.lines())
+        own, baseline = [], []
+        for _ in range(1 if scale.quick else ROUNDS):
             own.append(_drive(address, seconds))
-            plain.append(_drive(BARE, seconds))
-    ratio = median(a / b for a, b in zip(own, plain, strict=True))
-    kit.say(f"lookup: {own} against {plain}")
+            baseline.append(_drive(BASELINE_ADDRESS, seconds))
+    ratio = median(a / b for a, b in zip(own, baseline, strict=True))
+    kit.print_progress(f"lookup: {own} against {baseline}")
     name = "bare twisted.web resource"
     return [
-        Figure("lookup.rate", median(own), "1/s", None, median(plain), name),
-        Figure("lookup.rate_ratio", ratio, "ratio", Aim(">=", 0.6), 1.0, name),
+        Measurement("lookup.rate", median(own), "1/s", None, median(baseline), name),
+        Measurement("lookup.rate_ratio", ratio, "ratio", Target(">=", 0.6), 1.0, name),
     ]
 
 
 def _drive(address: str, seconds: float) -> float:
-    """Return the answers per second that driver processes get together."""
+    """Return the total responses per second over all driver processes."""
     argv = [sys.executable, __file__, address, str(seconds)]
     drivers = [subprocess.Popen(argv, stdout=subprocess.PIPE, text=True) for _ in range(DRIVERS)]
     return sum(float(driver.communicate(timeout=seconds + 20)[0]) for driver in drivers)
 
 
-def _map(sizes: Sizes) -> list[Figure]:
-    count = int(sizes.pick(BLOCKS, BLOCKS / 16))
+def _map(scale: RunScale) -> list[Measurement]:
+    count = int(scale.pick(BLOCKS, BLOCKS / 16))
     rng = random.Random(5)
     blocks = _blocks(count, rng)
     built = BlockMap.from_blocks(blocks, "site-000")
-    inside = [parse_block(text).network for text in rng.sample(sorted(blocks), 50_000)]
-    best = min(_decide_us(built, inside) for _ in range(3))
+    addresses = [parse_block(text).network for text in rng.sample(sorted(blocks), 50_000)]
+    best = min(_lookup_us(built, addresses) for _ in range(3))
     changes = [_change_ms(built, text) for text in rng.sample(sorted(blocks), 20)]
     note = f"{count} blocks"
     return [
-        Figure("lookup.decide_us", best, "us", Aim("<=", 5), note=note),
-        Figure("lookup.map_mb", built.nbytes / 1e6, "MB", Aim("<=", 10), note=note),
-        Figure("lookup.change_one_block_ms", median(changes), "ms", note=note),
+        Measurement("lookup.decide_us", best, "us", Target("<=", 5), note=note),
+        Measurement("lookup.map_mb", built.nbytes / 1e6, "MB", Target("<=", 10), note=note),
+        Measurement("lookup.change_one_block_ms", median(changes), "ms", note=note),
     ]
 
 
 def _blocks(count: int, rng: random.Random) -> dict[str, str]:
-    """Draw distinct blocks of 24 bits, each with one of the sites."""
+    """Return random distinct /24 blocks with a random site each."""
     networks = rng.sample(range(1 << 16, 224 << 16), count)
     return {
         f"{format_address(network << 8)}/24": f"site-{rng.randrange(SITES):03}"
@@ -107,7 +107,7 @@
     }
 
 
-def _decide_us(blocks: BlockMap, addresses: list[int]) -> float:
+def _lookup_us(blocks: BlockMap, addresses: list[int]) -> float:
     start = time.perf_counter()
     for address in addresses:
         blocks.site_of(address)
@@ -121,25 +121,25 @@
 
 
 def drive(address: str, seconds: float) -> float:
-    """Ask over a few kept connections, the next question after each answer."""
+    """Send requests on persistent connections, one at a time each; return responses per second."""
     host, _, port = address.rpartition(":")
-    question = b"GET /lookup?client=10.0.0.1 HTTP/1.1\r\nHost: bench\r\n\r\n"
+    request = b"GET /lookup?client=10.0.0.1 HTTP/1.1\r\nHost: bench\r\n\r\n"
     conns = [socket.create_connection((host, int(port))) for _ in range(CONNECTIONS)]
-    size = _answer_size(conns[0], question)
+    size = _response_size(conns[0], request)
     count, end = 0, time.monotonic() + seconds
     start = time.monotonic()
     for conn in conns:
-        conn.sendall(question)
+        conn.sendall(request)
     while time.monotonic() < end:
         for conn in conns:
-            _read(conn, size)
-            conn.sendall(question)
+            _read_response(conn, size)
+            conn.sendall(request)
         count += len(conns)
     return count / (time.monotonic() - start)
 
 
-def _answer_size(conn: socket.socket, question: bytes) -> int:
-    conn.sendall(question)
+def _response_size(conn: socket.socket, request: bytes) -> int:
+    conn.sendall(request)
     data = b""
     while b"\r\n\r\n" not in data:
         data += conn.recv(65536)
@@ -151,18 +151,18 @@
     return len(head) + 4 + length
 
 
-def _read(conn: socket.socket, size: int) -> None:
-    """Read one answer; its size may vary by a few bytes, so look at what has come."""
-    left = size - 8
-    while left > 0:
+def _read_response(conn: socket.socket, size: int) -> None:
+    """Read one response of roughly `size` bytes; its length may vary by a few bytes."""
+    remaining = size - 8
+    while remaining > 0:
         data = conn.recv(65536)
         if not data:
             raise RuntimeError("the connection was closed")
-        left -= len(data)
+        remaining -= len(data)
 
 
 def main(argv: t.Sequence[str]) -> None:
-    """Run as one driver process."""
+    """Run as a driver process and print the rate."""
     print(json.dumps(drive(argv[0], float(argv[1]))))
 
 
--- a/scripts/bench_overload.py
+++ b/scripts/bench_overload.py
@@ -1,48 +1,50 @@
-"""Overload, skew and the store's outage: how much of the capacity ends in answers in time."""
+"""Goodput under overload, skewed load and a store outage, relative to the capacity."""
 
 import signal
 import typing as t
 
 import bench_kit as kit
 from bench_baselines import start_baselines, stop_baselines
-from bench_kit import Aim, Figure, LoadResult, Plan, Sizes
+from bench_kit import LoadResult, Measurement, Plan, RunScale, Target
 from fleet import Fleet
 
-WORK_MS = 600.0
+SERVICE_TIME_MS = 600.0
 DEADLINE_MS = 4000
-ORDERS = 0.3
-LOADS = {2: 1, 5: 2}
+ORDER_FRACTION = 0.3
+LOAD_PROCESSES = {2: 1, 5: 2}
 
 PLAN = Plan(number=10, deadline_ms=DEADLINE_MS, max_deadline_ms=8000)
 
 
-def run(sizes: Sizes) -> list[Figure]:
-    """Run all experiments on one deployment, then the baselines on the same upstreams."""
-    figures: list[Figure] = []
+def run(scale: RunScale) -> list[Measurement]:
+    """Run all experiments on one deployment, then the baselines against the same upstreams."""
+    measurements: list[Measurement] = []
     with kit.deployment(PLAN) as fleet:
-        times = [2] if sizes.quick else [2, 5]
-        found = {n: _overload(fleet, f"over-{n}", n, sizes.pick(14, 6)) for n in times}
-        skewed = _skew(fleet, sizes)
-        figures.append(
-            Figure("overload.slot_overshoot", kit.overshoot(fleet), "slots", Aim("<=", 0))
+        factors = [2] if scale.quick else [2, 5]
+        found = {n: _overload(fleet, f"over-{n}", n, scale.pick(14, 6)) for n in factors}
+        skewed = _skew(fleet, scale)
+        measurements.append(
+            Measurement(
+                "overload.slot_overshoot", kit.slot_overshoot(fleet), "slots", Target("<=", 0)
+            )
         )
-        if not sizes.quick:
-            figures += _outage(fleet, sizes)
+        if not scale.quick:
+            measurements += _outage(fleet, scale)
         fleet.end(fleet.document["entries"], timeout=0.1)
-        modes = ["static"] if sizes.quick else ["queue", "static"]
-        base = {mode: _baseline(fleet, mode, times, sizes) for mode in modes}
-        static_skew = None if sizes.quick else _static_skew(fleet, sizes)
-    for n in times:
-        queue = base["queue"][n] if "queue" in base else None
-        figures += _overload_figures(n, found[n], queue, base["static"][n])
-    figures += _skew_figures(skewed, static_skew)
-    return figures
-
-
-def _mix(capacity_per_s: float, times: float, work_ms: float) -> kit.Mix:
-    orders = min(ORDERS, times) * capacity_per_s
-    rest = (times * capacity_per_s - orders) / 2
-    common = {"path": "/jobs/a", "deadline_ms": DEADLINE_MS, "work_ms": work_ms}
+        modes = ["static"] if scale.quick else ["queue", "static"]
+        baselines = {mode: _baseline(fleet, mode, factors, scale) for mode in modes}
+        static_skew = None if scale.quick else _static_skew(fleet, scale)
+    for n in factors:
+        queue = baselines["queue"][n] if "queue" in baselines else None
+        measurements += _overload_measurements(n, found[n], queue, baselines["static"][n])
+    measurements += _skew_measurements(skewed, static_skew)
+    return measurements
+
+
+def _mix(capacity_per_s: float, load_factor: float, service_time_ms: float) -> kit.Mix:
+    orders = min(ORDER_FRACTION, load_factor) * capacity_per_s
+    lower_rate = (load_factor * capacity_per_s - orders) / 2
+    common = {"path": "/jobs/a", "deadline_ms": DEADLINE_MS, "work_ms": service_time_ms}
     return [
         {
             "name": "orders",
@@ -51,28 +53,32 @@
             "body_bytes": 100,
             **common,
         },
-        {"name": "normal", "method": "GET", "rate": rest, "priority": "normal", **common},
-        {"name": "bulk", "method": "GET", "rate": rest, "priority": "bulk", **common},
+        {"name": "normal", "method": "GET", "rate": lower_rate, "priority": "normal", **common},
+        {"name": "bulk", "method": "GET", "rate": lower_rate, "priority": "bulk", **common},
     ]
 
 
-def _per_s(work_ms: float) -> float:
-    return PLAN.capacity * 1000 / work_ms
+def _capacity_per_s(service_time_ms: float) -> float:
+    return PLAN.capacity * 1000 / service_time_ms
 
 
-def _overload(fleet: Fleet, name: str, times: int, seconds: float, **cfg: t.Any) -> LoadResult:
-    kit.say(f"{name}: {times} times the capacity for {seconds:g} s")
-    mix = _mix(_per_s(WORK_MS), times, WORK_MS)
+def _overload(
+    fleet: Fleet, name: str, load_factor: int, seconds: float, **cfg: t.Any
+) -> LoadResult:
+    kit.print_progress(f"{name}: {load_factor} times the capacity for {seconds:g} s")
+    mix = _mix(_capacity_per_s(SERVICE_TIME_MS), load_factor, SERVICE_TIME_MS)
     settings = {"direct": True, **cfg}
-    return kit.run_loads(fleet, name, mix, seconds, processes=LOADS[times], **settings)
+    return kit.run_loads(
+        fleet, name, mix, seconds, processes=LOAD_PROCESSES[load_factor], **settings
+    )
 
 
-def _goodput(result: LoadResult, work_ms: float) -> float:
-    return result.rate("in_time_by_second") / _per_s(work_ms)
+def _goodput(result: LoadResult, service_time_ms: float) -> float:
+    return result.rate("in_time_by_second") / _capacity_per_s(service_time_ms)
 
 
-def _loss(result: LoadResult) -> int:
-    """Return the orders refused while lower classes were served."""
+def _priority_loss(result: LoadResult) -> int:
+    """Return the number of orders refused in seconds in which lower priorities were served."""
     lost = 0
     for second in result.window:
         one = result._replace(window=range(second, second + 1))
@@ -81,72 +87,72 @@
     return lost
 
 
-def _overload_figures(
-    times: int, own: LoadResult, queue: LoadResult | None, static: LoadResult
-) -> list[Figure]:
-    kit.say(f"overload x{times}: refused for {own.reasons()}")
-    goodput, name = _goodput(own, WORK_MS), f"overload.goodput_ratio_x{times}"
+def _overload_measurements(
+    load_factor: int, own: LoadResult, queue: LoadResult | None, static: LoadResult
+) -> list[Measurement]:
+    kit.print_progress(f"overload x{load_factor}: refused for {own.reasons()}")
+    goodput, name = _goodput(own, SERVICE_TIME_MS), f"overload.goodput_ratio_x{load_factor}"
     orders = own.count("outcomes_by_second", "orders:")
     return [
-        Figure(
+        Measurement(
             name,
             goodput,
             "ratio",
-            Aim(">=", 0.95),
-            queue and _goodput(queue, WORK_MS),
+            Target(">=", 0.95),
+            queue and _goodput(queue, SERVICE_TIME_MS),
             "no admission",
         ),
-        Figure(
+        Measurement(
             f"{name}_static",
             goodput,
             "ratio",
-            Aim(">=", 0.95),
-            _goodput(static, WORK_MS),
+            Target(">=", 0.95),
+            _goodput(static, SERVICE_TIME_MS),
             "static division",
         ),
-        Figure(
-            f"overload.priority_loss_x{times}",
-            _loss(own),
+        Measurement(
+            f"overload.priority_loss_x{load_factor}",
+            _priority_loss(own),
             "orders",
-            Aim("<=", 0),
-            _loss(static),
+            Target("<=", 0),
+            _priority_loss(static),
             "static division",
             f"of {orders} orders",
         ),
     ]
 
 
-def _skew(fleet: Fleet, sizes: Sizes) -> "_Skewed":
-    seconds = sizes.pick(16, 6)
-    kit.say(f"skew: all callers at one entry for {seconds:g} s")
-    before = kit.sent_messages(fleet)
-    mix = _mix(_per_s(WORK_MS), 1.5, WORK_MS)
+def _skew(fleet: Fleet, scale: RunScale) -> "_SkewResult":
+    seconds = scale.pick(16, 6)
+    kit.print_progress(f"skew: all callers at one entry for {seconds:g} s")
+    before = kit.sent_peer_messages(fleet)
+    mix = _mix(_capacity_per_s(SERVICE_TIME_MS), 1.5, SERVICE_TIME_MS)
     cfg = {"entries": fleet.addresses()[:1], "direct": True}
     result = kit.run_loads(fleet, "skew", mix, seconds, **cfg)
-    return _Skewed(result, kit.sent_messages(fleet) - before)
+    return _SkewResult(result, kit.sent_peer_messages(fleet) - before)
 
 
-class _Skewed(t.NamedTuple):
-    """The load at one entry, and the messages between all entries meanwhile."""
+class _SkewResult(t.NamedTuple):
+    """Result of a load on one entry, and the messages that all entries sent to peers meanwhile."""
 
     result: LoadResult
     messages: float
 
 
-def _skew_figures(skewed: _Skewed, static: LoadResult | None) -> list[Figure]:
+def _skew_measurements(skewed: _SkewResult, static: LoadResult | None) -> list[Measurement]:
     result = skewed.result
-    kit.say(f"skew: refused for {result.reasons()}")
+    kit.print_progress(f"skew: refused for {result.reasons()}")
     requests = sum(sum(kind.values()) for r in result.reports for kind in r["outcomes"].values())
     return [
-        Figure(
+        Measurement(
             "skew.utilisation",
-            _goodput(result, WORK_MS),
+            _goodput(result, SERVICE_TIME_MS),
             "ratio",
-            Aim(">=", 0.95),
-            static and _goodput(static, WORK_MS),
+            Target(">=", 0.95),
+            static and _goodput(static, SERVICE_TIME_MS),
             "static division",
         ),
-        Figure(
+        Measurement(
             "skew.messages_per_request",
             skewed.messages / max(1, requests),
             "messages",
@@ -155,51 +161,61 @@
     ]
 
 
-def _baseline(fleet: Fleet, mode: str, times: list[int], sizes: Sizes) -> dict[int, LoadResult]:
+def _baseline(
+    fleet: Fleet, mode: str, factors: list[int], scale: RunScale
+) -> dict[int, LoadResult]:
     fleet.set_upstreams(shed=True)
-    addresses = start_baselines(fleet, PLAN, mode, WORK_MS)
+    addresses = start_baselines(fleet, PLAN, mode, SERVICE_TIME_MS)
     found = {}
-    for n in times:
+    for n in factors:
         name = f"{mode}-over-{n}"
-        found[n] = _overload(fleet, name, n, sizes.pick(12, 5), entries=addresses)
+        found[n] = _overload(fleet, name, n, scale.pick(12, 5), entries=addresses)
     stop_baselines(fleet, mode)
     return found
 
 
-def _static_skew(fleet: Fleet, sizes: Sizes) -> LoadResult:
-    addresses = start_baselines(fleet, PLAN, "static", WORK_MS)
-    mix = _mix(_per_s(WORK_MS), 1.5, WORK_MS)
-    seconds = sizes.pick(12, 5)
+def _static_skew(fleet: Fleet, scale: RunScale) -> LoadResult:
+    addresses = start_baselines(fleet, PLAN, "static", SERVICE_TIME_MS)
+    mix = _mix(_capacity_per_s(SERVICE_TIME_MS), 1.5, SERVICE_TIME_MS)
+    seconds = scale.pick(12, 5)
     found = kit.run_loads(fleet, "static-skew", mix, seconds, entries=addresses[:1], direct=True)
     stop_baselines(fleet, "static")
     return found
 
 
-def _outage(fleet: Fleet, sizes: Sizes) -> list[Figure]:
-    """Measure at twice the capacity with the store down, then with an entry dead as well."""
-    seconds = sizes.pick(14, 6)
-    up = _overload(fleet, "store-up", 2, seconds)
+def _outage(fleet: Fleet, scale: RunScale) -> list[Measurement]:
+    """Measure goodput at twice the capacity with the store down, then also with a killed entry."""
+    seconds = scale.pick(14, 6)
+    store_up = _overload(fleet, "store-up", 2, seconds)
     fleet.set_store(down="hang")
-    down = _overload(fleet, "store-down", 2, seconds)
+    store_down = _overload(fleet, "store-down", 2, seconds)
     seat = list(fleet.document["entries"])[3]
     fleet.processes[seat].signal(signal.SIGKILL)
     fleet.set_vms({seat: "gone"})
     alive = [a for a in fleet.addresses() if a != fleet.document["entries"][seat]["callers"]]
-    dead = _overload(fleet, "entry-dead", 2, seconds, entries=alive)
-    later = _overload(fleet, "entry-dead-later", 2, seconds, entries=alive)
+    entry_dead = _overload(fleet, "entry-dead", 2, seconds, entries=alive)
+    entry_dead_later = _overload(fleet, "entry-dead-later", 2, seconds, entries=alive)
     fleet.set_store(down=False)
-    base = _goodput(up, WORK_MS)
-    figures = [
-        ("outage.goodput_ratio", down, Aim(">=", 0.95), ""),
-        ("outage.entry_dead_goodput_ratio", dead, None, "0 to 14 s after the death"),
+    baseline = _goodput(store_up, SERVICE_TIME_MS)
+    measurements = [
+        ("outage.goodput_ratio", store_down, Target(">=", 0.95), ""),
+        ("outage.entry_dead_goodput_ratio", entry_dead, None, "0 to 14 s after the death"),
         (
             "outage.entry_dead_later_goodput_ratio",
-            later,
-            Aim(">=", 0.95),
+            entry_dead_later,
+            Target(">=", 0.95),
             "14 to 28 s after the death",
         ),
     ]
     return [
-        Figure(name, _goodput(result, WORK_MS), "ratio", aim, base, "store up, all alive", note)
-        for name, result, aim, note in figures
+        Measurement(
+            name,
+            _goodput(result, SERVICE_TIME_MS),
+            "ratio",
+            target,
+            baseline,
+            "store up, all alive",
+            note,
+        )
+        for name, result, target, note in measurements
     ]
--- a/scripts/experiment.py
+++ b/scripts/experiment.py
@@ -1,4 +1,4 @@
-"""Plays a seeded load on modelled endpoints under the product's placement and under others."""
+"""Simulate a seeded load on modelled endpoints under the product's and other placement policies."""
 
 from pathlib import Path
 
@@ -17,7 +17,7 @@
     plays: int = 1,
     plots: Path | None = None,
 ) -> None:
-    """Play scenarios and print what callers got under each policy.
+    """Simulate scenarios and print the callers' results under each policy.
 
     Parameters
     ----------
@@ -25,27 +25,27 @@
         Scenarios: calm, burst, loss, hot, roomy, fleet, fleet-drain, fleet-loss, crowd, crowd-slow,
         crowd-heavy; all if none.
     policies
-        Policies to play; all if none is named.
+        Policies to simulate; all if none is given.
     use
-        Load in parts of what all slots can do when every object is at hand.
+        Load as a fraction of the capacity of all slots when every key is cached.
     seed
-        Of what is drawn; the same seed gives the same figures.
+        Random seed; equal seeds give equal results.
     plays
-        Plays of each, with this seed and those after it; the figures are medians.
+        Runs of each scenario with this seed and the following ones; results are medians.
     plots
-        Folder for one plot of each scenario.
+        Directory for one plot per scenario.
     """
     for name in names or NAMES:
-        played = scenario(name, use)
+        selected = scenario(name, use)
         outcomes = {
-            policy: [World(played, POLICIES[policy], seed + n).run() for n in range(plays)]
+            policy: [World(selected, POLICIES[policy], seed + n).run() for n in range(plays)]
             for policy in policies or POLICIES
         }
         print(f"{name}, load {use}, seed {seed}, plays {plays}")
-        print(table({policy: spread([*map(summarize, of)]) for policy, of in outcomes.items()}))
+        print(table({policy: spread([*map(summarize, runs)]) for policy, runs in outcomes.items()}))
         if plots is not None:
             plots.mkdir(parents=True, exist_ok=True)
-            first = {policy: of[0] for policy, of in outcomes.items()}
+            first = {policy: runs[0] for policy, runs in outcomes.items()}
             plot(first, f"{name}, load {use} of the warm capacity", plots / f"{name}.png")
 
 
--- a/scripts/pages.py
+++ b/scripts/pages.py
@@ -1,13 +1,13 @@
-"""Run the commands of a page as they are written and compare what they print.
+"""Run the shell commands of a documentation page and compare their output with the page.
 
     .venv/bin/python scripts/pages.py docs/first-deployment.md
 
 The fenced `sh` blocks of the page run in order, in one shell, from the repository's root. A `text`
-block directly after one is what it should print; `...` stands for anything within a line, and on a
-line of its own for any lines. The first command that fails ends the run. Everything the page has
-started is ended at the end.
+block that directly follows is the expected output, in which `...` matches any text within a line
+and, on a line of its own, any number of lines. The run ends at the first failing command. All
+processes that the page has started are ended.
 
-This is for people: it takes real ports on loopback, so it is no part of the tests.
+It is not part of the tests, because it uses fixed ports on loopback.
 """
 
 import argparse
@@ -25,24 +25,24 @@
 from collections.abc import Iterator
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-BLOCK_S = 60.0
-CLOSE_S = 5.0
+BLOCK_TIMEOUT_S = 60.0
+CLOSE_TIMEOUT_S = 5.0
 
 _FENCE = re.compile(r"^```(?P<info>[^\n`]*)\n(?P<text>.*?)^```$", re.MULTILINE | re.DOTALL)
-_END = "end-of-block-7c1f"
+_END_MARKER = "end-of-block-7c1f"
 
 
 class Block(t.NamedTuple):
-    """One fenced block; `line` counts from 1 and `gap` is the prose before it."""
+    """One fenced block; `line` counts from 1 and `preceding` is the prose before it."""
 
     info: str
     text: str
     line: int
-    gap: str
+    preceding: str
 
 
 class Step(t.NamedTuple):
-    """Commands to run together, and what they should print if the page says so."""
+    """Commands of one block, and the expected output if the page shows it."""
 
     commands: str
     expected: str | None
@@ -50,7 +50,7 @@
 
 
 def blocks(page: str) -> list[Block]:
-    """Return the fenced blocks of a page in order."""
+    """Return the fenced blocks of a page in document order."""
     found = []
     end = 0
     for match in _FENCE.finditer(page):
@@ -61,20 +61,20 @@
 
 
 def steps(page: str) -> list[Step]:
-    """Return the commands of a page, each with the output block that directly follows."""
+    """Return the `sh` blocks of a page with the output blocks that directly follow them."""
     found: list[Step] = []
     previous = ""
     for block in blocks(page):
         if block.info == "sh":
             found.append(Step(block.text, None, block.line))
-        elif block.info == "text" and previous == "sh" and not block.gap.strip():
+        elif block.info == "text" and previous == "sh" and not block.preceding.strip():
             found[-1] = found[-1]._replace(expected=block.text)
         previous = block.info
     return found
 
 
 def matches(expected: str, printed: str) -> bool:
-    """Tell whether `printed` is what the page shows."""
+    """Return whether `printed` matches the expected output with its `...` wildcards."""
     parts = []
     for line in expected.strip("\n").split("\n"):
         if line.strip() == "...":
@@ -85,7 +85,7 @@
 
 
 class Shell:
-    """One `sh -e` that runs block after block; see :func:`open_shell`."""
+    """One `sh -e` process that runs blocks in order; see :func:`open_shell`."""
 
     def __init__(self, popen: subprocess.Popen[str]) -> None:
         self._popen = popen
@@ -98,16 +98,16 @@
         self._lines.put(None)
 
     def run(self, commands: str, timeout: float) -> tuple[bool, str]:
-        """Run commands; return whether all succeeded in time, and what they printed."""
+        """Run commands; return whether all succeeded within `timeout` seconds, and their output."""
         stdin = t.cast(t.IO[str], self._popen.stdin)
         end = time.monotonic() + timeout
         printed: list[str] = []
         try:
-            # What was printed may lack its last newline.
-            stdin.write(f"{commands}\nprintf '\\n%s\\n' {_END}\n")
+            # The output of the commands may lack a final newline.
+            stdin.write(f"{commands}\nprintf '\\n%s\\n' {_END_MARKER}\n")
             stdin.flush()
             while (line := self._lines.get(timeout=max(0.0, end - time.monotonic()))) is not None:
-                if line.strip() == _END:
+                if line.strip() == _END_MARKER:
                     return True, "".join(printed).removesuffix("\n")
                 printed.append(line)
         except BrokenPipeError:
@@ -119,7 +119,7 @@
 
 @contextlib.contextmanager
 def open_shell() -> Iterator[Shell]:
-    """Own a shell in a process group of its own, and end the whole group after the block."""
+    """Yield a shell in a new process group; end the whole group when the block exits."""
     path = f"{ROOT / '.venv' / 'bin'}:{os.environ['PATH']}"
     popen = subprocess.Popen(
         ["sh", "-e"],
@@ -141,8 +141,8 @@
     with contextlib.suppress(ProcessLookupError):
         os.killpg(popen.pid, signal.SIGTERM)
     with contextlib.suppress(subprocess.TimeoutExpired):
-        popen.wait(CLOSE_S)
-    end = time.monotonic() + CLOSE_S
+        popen.wait(CLOSE_TIMEOUT_S)
+    end = time.monotonic() + CLOSE_TIMEOUT_S
     with contextlib.suppress(ProcessLookupError):
         while time.monotonic() < end:
             os.killpg(popen.pid, 0)
@@ -152,7 +152,7 @@
 
 
 def run_page(path: pathlib.Path, timeout: float, *, show: bool = False) -> bool:
-    """Run one page, saying of each block how it went; return whether all went well."""
+    """Run one page and print the verdict of each block; return whether all succeeded."""
     found = steps(path.read_text(encoding="utf-8"))
     with open_shell() as shell:
         for step in found:
@@ -170,14 +170,16 @@
 
 
 def main() -> int:
-    """Run the pages named on the command line."""
+    """Run the pages given on the command line."""
     parser = argparse.ArgumentParser(description="Run the commands of pages as written.")
     parser.add_argument("pages", nargs="+", type=pathlib.Path)
-    parser.add_argument("--timeout", type=float, default=BLOCK_S, help="seconds for each block")
+    parser.add_argument(
+        "--timeout", type=float, default=BLOCK_TIMEOUT_S, help="seconds for each block"
+    )
     parser.add_argument("--show", action="store_true", help="print what each block printed")
     args = parser.parse_args()
-    went_well = [run_page(page, args.timeout, show=args.show) for page in args.pages]
-    return 0 if all(went_well) else 1
+    succeeded = [run_page(page, args.timeout, show=args.show) for page in args.pages]
+    return 0 if all(succeeded) else 1
 
 
 if __name__ == "__main__":
--- a/scripts/rules_reference.py
+++ b/scripts/rules_reference.py
@@ -1,6 +1,6 @@
-"""Write docs/rules-reference.md from the types of the configuration document.
+"""Generate docs/rules-reference.md from the types of the configuration document.
 
-Run it after a change of ``cardamomloft.core.document``; a test compares the page with the types.
+Run it after every change of ``cardamomloft.core.document``; a test checks that the page is current.
 """
 
 import inspect
@@ -21,8 +21,8 @@
 Durations are in milliseconds, sizes in bytes.
 """
 
-_PLAIN = {str: "text", int: "whole number", float: "number", bool: "true or false"}
-_NAMED = {
+_TYPE_NAMES = {str: "text", int: "whole number", float: "number", bool: "true or false"}
+_ALIAS_NAMES = {
     document.Name: "name",
     document.Address: "IPv4 address and port",
     document.Percent: "number, 0 to 100",
@@ -30,7 +30,7 @@
 
 
 def page() -> str:
-    """Return the text of the page."""
+    """Return the generated page."""
     parts = [_HEAD, *map(_section, _sections(document.Document))]
     names = document.Name.__metadata__[0].metadata[0].pattern
     parts.append(f"## Names\n\nA name matches `{names}`.\n")
@@ -38,7 +38,7 @@
 
 
 def _sections(root: type) -> list[type]:
-    """Return `root` and the types that it is made of, each once, in the order of their use."""
+    """Return `root` and all types nested in it, without repetition, in order of first use."""
     found = [root]
     for section in found:
         for hint in _hints(section).values():
@@ -71,8 +71,8 @@
 
 
 def _describe(hint: t.Any) -> str:
-    if hint in _NAMED:
-        return _NAMED[hint]
+    if hint in _ALIAS_NAMES:
+        return _ALIAS_NAMES[hint]
     if is_typeddict(hint):
         return f"[{hint.__name__}](#{hint.__name__.lower()})"
     args = t.get_args(hint)
@@ -85,7 +85,7 @@
         return f"list of: {_describe(args[0])}"
     if origin is dict:
         return f"object, by {_describe(args[0])}: {_describe(args[1])}"
-    return _PLAIN[hint]
+    return _TYPE_NAMES[hint]
 
 
 def _limits(info: FieldInfo) -> str:
