--- a/scripts/bench_baselines.py
+++ b/scripts/bench_baselines.py
@@ -119,14 +119,14 @@
     """
     count = count or plan.entries
     addresses = [row["address"] for row in fleet.upstream_rows() for _ in range(plan.slots)]
-    listen_addresses = [f"127.1.{plan.number}.{100 + at}:8080" for at in range(count)]
-    for at, listen in enumerate(listen_addresses):
-        path = fleet.folder / f"{mode}-{at}.json"
-        cfg = {"listen": listen, "mode": mode, "slots": addresses[at::count], "work_ms": work_ms}
+    listen_addresses = [f"127.1.{plan.number}.{100 + index}:8080" for index in range(count)]
+    for index, listen in enumerate(listen_addresses):
+        path = fleet.folder / f"{mode}-{index}.json"
+        cfg = {"listen": listen, "mode": mode, "slots": addresses[index::count], "work_ms": work_ms}
         path.write_text(json.dumps(cfg))
-        fleet.start(f"{mode}-{at}", [sys.executable, __file__, str(path)])
-    for at in range(count):
-        proc = fleet.processes[f"{mode}-{at}"]
+        fleet.start(f"{mode}-{index}", [sys.executable, __file__, str(path)])
+    for index in range(count):
+        proc = fleet.processes[f"{mode}-{index}"]
         wait_until(proc.name, lambda proc=proc: "listening" in proc.lines())
     return listen_addresses
 
--- a/scripts/bench_control.py
+++ b/scripts/bench_control.py
@@ -14,7 +14,7 @@
 from fleet import Fleet
 
 FLEET_SIZES = (4, 8, 12)
-PLANS = {size: Plan(number=14 + at, entries=size) for at, size in enumerate(FLEET_SIZES)}
+PLANS = {size: Plan(number=14 + index, entries=size) for index, size in enumerate(FLEET_SIZES)}
 SETTLE_S = 3.0
 IMPORTED_LIBRARIES = (
     "twisted.web.server, twisted.web.client, klein, treq, zmq, eliot, msgspec, automat,"
--- a/scripts/bench_drain.py
+++ b/scripts/bench_drain.py
@@ -51,12 +51,18 @@
     common = {"method": "GET", "path": "/jobs/a", "deadline_ms": 4000}
     clients = 4
     return [
-        {**common, "name": name, "rate": rate / clients, "work_ms": work, "client": f"10.0.0.{at}"}
+        {
+            **common,
+            "name": name,
+            "rate": rate / clients,
+            "work_ms": work,
+            "client": f"10.0.0.{index}",
+        }
         for name, rate, work in (
             ("short", per_slot * 1000 / SHORT_REQUEST_MS, SHORT_REQUEST_MS),
             ("long", per_slot * 1000 / LONG_REQUEST_MS, LONG_REQUEST_MS),
         )
-        for at in range(1, clients + 1)
+        for index in range(1, clients + 1)
     ]
 
 
--- a/scripts/bench_kit.py
+++ b/scripts/bench_kit.py
@@ -84,7 +84,9 @@
         "format": 1,
         "deployment": f"bench-{plan.number}",
         "regions": {REGION: list(ZONES)},
-        "entries": {f"entry-{at:02}": _entry_row(plan, at) for at in range(1, plan.entries + 1)},
+        "entries": {
+            f"entry-{index:02}": _entry_row(plan, index) for index in range(1, plan.entries + 1)
+        },
         "services": {SERVICE: _service_row(plan)},
         "clients": {"default": REGION},
         "rules": [
@@ -98,10 +100,10 @@
     }
 
 
-def _entry_row(plan: Plan, at: int) -> dict[str, t.Any]:
-    host = f"{NET}.{plan.number}.{at}"
+def _entry_row(plan: Plan, index: int) -> dict[str, t.Any]:
+    host = f"{NET}.{plan.number}.{index}"
     return {
-        "zone": ZONES[at % 2],
+        "zone": ZONES[index % 2],
         "site": REGION,
         "callers": f"{host}:8080",
         "peers": f"{host}:7400",
@@ -119,13 +121,13 @@
         "shift_cap_percent_per_s": plan.cap_percent_per_s,
         "retry_percent": 20,
         "upstreams": {
-            f"work-{at:02}": {
-                "zone": ZONES[at % 2],
-                "address": f"{NET}.{plan.number + 100}.{at}:9000",
+            f"work-{index:02}": {
+                "zone": ZONES[index % 2],
+                "address": f"{NET}.{plan.number + 100}.{index}:9000",
                 "slots": plan.slots,
                 "connections": 360,
             }
-            for at in range(1, plan.upstreams + 1)
+            for index in range(1, plan.upstreams + 1)
         },
     }
 
@@ -171,7 +173,7 @@
         )
 
     def latencies(self, name: str) -> list[float]:
-        """Return latencies in seconds of the complete requests called `name`, over the whole run."""
+        """Return the latencies in seconds of the complete requests called `name`."""
         return [x for report in self.reports for x in report["latencies"].get(name, [])]
 
     def total(self, outcome: str) -> int:
--- a/scripts/slopes_blocks.py
+++ b/scripts/slopes_blocks.py
@@ -85,8 +85,8 @@
 def _load_in_child(chunks: Sequence[bytes], method: str) -> _Load:
     """Load the chunks in a fresh process and return the cost."""
     with tempfile.TemporaryDirectory() as folder:
-        for at, chunk in enumerate(chunks):
-            pathlib.Path(folder, str(at)).write_bytes(chunk)
+        for index, chunk in enumerate(chunks):
+            pathlib.Path(folder, str(index)).write_bytes(chunk)
         done = subprocess.run(
             [sys.executable, __file__, folder, method],
             capture_output=True,
--- a/scripts/slopes_chunks.py
+++ b/scripts/slopes_chunks.py
@@ -40,8 +40,8 @@
     """
     rng = random.Random(seed)
     loaders: dict[str, MapLoader] = {}
-    for at in range(size):
-        loaders[f"e{at}"] = _loader(rng, chunks)
+    for index in range(size):
+        loaders[f"e{index}"] = _loader(rng, chunks)
     for loader in loaders.values():
         loader.configure({"default": "site-0", "chunks": list(chunks)})
     next_request = {seat: CHUNKS * rng.random() for seat in loaders}
--- a/scripts/slopes_ledger.py
+++ b/scripts/slopes_ledger.py
@@ -25,9 +25,9 @@
 
 def _make_ledger(count: int) -> Ledger:
     ledger = Ledger(ManualClock(), max_operations=count, max_bytes=_MAX_BYTES)
-    for at in range(count):
-        operation = f"entry-r0-z0-1.{at:016x}.{at:040x}"
-        ledger.begin(operation, f"{at:064x}", timedelta(minutes=15))
-        body = f"{at:0{_ANSWER_BYTES}}".encode()
+    for index in range(count):
+        operation = f"entry-r0-z0-1.{index:016x}.{index:040x}"
+        ledger.begin(operation, f"{index:064x}", timedelta(minutes=15))
+        body = f"{index:0{_ANSWER_BYTES}}".encode()
         ledger.finish(operation, KeptAnswer(200, (("content-type", "text/plain"),), body))
     return ledger
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -45,7 +45,7 @@
 
 
 def _by_entries(sizes: tuple[int, ...]) -> Iterator[Series]:
-    partners, held, most, derive, configure = [], [], [], [], []
+    partners, held, max_held, derive, configure = [], [], [], [], []
     for entries in sizes:
         document = make_document(full_size(entries))
         limits = limits_of(document)
@@ -56,7 +56,7 @@
         shares.configure(1, limits)
         partners.append((entries, len(shares.partners)))
         held.append((entries, holding.total() / entries))
-        most.append((entries, most_held))
+        max_held.append((entries, most_held))
         derive.append((entries, cpu_ms(lambda d=document: limits_of(d), repeat=2)))
         configure.append(
             (
@@ -66,7 +66,7 @@
         )
     yield Series("limits.partners", "entries", "seats", tuple(partners))
     yield Series("limits.held", "entries", "limits", tuple(held))
-    yield Series("limits.most_held", "entries", "limits", tuple(most))
+    yield Series("limits.most_held", "entries", "limits", tuple(max_held))
     yield Series("limits.derive", "entries", "ms", tuple(derive))
     yield Series("limits.configure", "entries", "ms", tuple(configure))
 
--- a/scripts/slopes_messages.py
+++ b/scripts/slopes_messages.py
@@ -79,16 +79,19 @@
         self._total = messages
         self._hub = PeerNode(reactor, Incarnation("hub", "1"), "127.2.0.1:0", self._on_answer)
         self._nodes = {
-            f"peer-{at}": PeerNode(
-                reactor, Incarnation(f"peer-{at}", "1"), f"127.2.0.{at + 2}:0", self._echo(at)
+            f"peer-{index}": PeerNode(
+                reactor,
+                Incarnation(f"peer-{index}", "1"),
+                f"127.2.0.{index + 2}:0",
+                self._echo(index),
             )
-            for at in range(peers)
+            for index in range(peers)
         }
         self._before = _rss()
 
-    def _echo(self, at: int) -> t.Callable[[Incarnation, t.Any], None]:
+    def _echo(self, index: int) -> t.Callable[[Incarnation, t.Any], None]:
         def answer(_sender: Incarnation, message: t.Any) -> None:
-            self._nodes[f"peer-{at}"].send(self._hub.address, message)
+            self._nodes[f"peer-{index}"].send(self._hub.address, message)
 
         return answer
 
--- a/scripts/slopes_roles.py
+++ b/scripts/slopes_roles.py
@@ -30,17 +30,17 @@
     """
     found: list[list[tuple[int, int | None]]] = [[] for _ in rows(fits, constants)]
     open_since: dict[int, int] = {}
-    last = least = 4
-    size = float(least)
+    last = min_entries = 4
+    size = float(min_entries)
     while size <= max_entries:
         entries = round(size)
-        for at, row in enumerate(rows(fits, constants, TARGET.scaled(entries))):
+        for index, row in enumerate(rows(fits, constants, TARGET.scaled(entries))):
             if row.over:
-                open_since.setdefault(at, entries)
-            elif at in open_since:
-                found[at].append((open_since.pop(at), last))
+                open_since.setdefault(index, entries)
+            elif index in open_since:
+                found[index].append((open_since.pop(index), last))
         last = entries
         size = max(size * 1.02, entries + 1)
-    for at, since in open_since.items():
-        found[at].append((since, None))
+    for index, since in open_since.items():
+        found[index].append((since, None))
     return found
--- a/scripts/slopes_rules.py
+++ b/scripts/slopes_rules.py
@@ -45,15 +45,15 @@
 def _requests(rules: int) -> Iterator[Request]:
     rng = random.Random(rules)
     for _ in range(_REQUESTS):
-        at = rng.randrange(rules)
-        service = SERVICES[at % len(SERVICES)]
+        index = rng.randrange(rules)
+        service = SERVICES[index % len(SERVICES)]
         yield Request(
             service=service,
             method="GET",
-            path=f"/{service}/part-{at}/menu?shop={at}",
+            path=f"/{service}/part-{index}/menu?shop={index}",
             client=(10 << 24) + rng.randrange(1 << 24),
             site=None,
-            headers={"x-shop": f"shop-{at}"},
+            headers={"x-shop": f"shop-{index}"},
             priority=Priority.NORMAL,
             idempotent=True,
             deadline=timedelta(seconds=1),
--- a/scripts/slopes_store.py
+++ b/scripts/slopes_store.py
@@ -32,9 +32,9 @@
     def __init__(self, size: int, seed: int) -> None:
         self.clock = ManualClock()
         rng = random.Random(seed)
-        self.entries = {f"e{at}": Stewardship("r", self.clock, rng) for at in range(size)}
-        for at, entry in enumerate(self.entries.values()):
-            entry.set_role(standby=at < STANDBYS_PER_REGION, size=size)
+        self.entries = {f"e{index}": Stewardship("r", self.clock, rng) for index in range(size)}
+        for index, entry in enumerate(self.entries.values()):
+            entry.set_role(standby=index < STANDBYS_PER_REGION, size=size)
         self.calls = 0
         self._holder: str | None = None
         self._until = timedelta(0)
--- a/scripts/trials.py
+++ b/scripts/trials.py
@@ -126,16 +126,16 @@
     time.sleep(2.0)
     codes: list[int] = []
     lost: list[int] = []
-    for at, max_lost in enumerate(MAX_LOST_WRITES):
-        document = with_retry_percent(fleet.document, "menus", 30 + at)
+    for index, max_lost in enumerate(MAX_LOST_WRITES):
+        document = with_retry_percent(fleet.document, "menus", 30 + index)
         with losing_writes(
-            fleet, "lose_answers" if at % 2 == 0 else "lose_requests", max_lost, lost
+            fleet, "lose_answers" if index % 2 == 0 else "lose_requests", max_lost, lost
         ):
-            code, answer = apply(fleet, document, f"lost-{at}")
+            code, answer = apply(fleet, document, f"lost-{index}")
         codes.append(code)
         if code == 6:
             args = ["--change", answer["change"]]
-            codes.append(apply(fleet, document, f"lost-{at}", *args)[0])
+            codes.append(apply(fleet, document, f"lost-{index}", *args)[0])
     verified, rows = read_audit_trail(fleet)
     # Exit code 5 means that nothing was written, so these changes must not be recorded.
     checks = {
@@ -188,12 +188,12 @@
     start_load(fleet, 16)
     codes: list[list[int]] = []
     with RevisionPoller(fleet) as poller, ThreadPoolExecutor(2) as pool:
-        for at in range(5):
+        for index in range(5):
             base = max((fleet.status(seat) or {}).get("revision", 0) for seat in _seats(fleet))
-            edits = [with_retry_percent(fleet.document, name, 40 + at) for name in SERVICES]
-            args = ["--base", str(base)] if at % 2 else []
+            edits = [with_retry_percent(fleet.document, name, 40 + index) for name in SERVICES]
+            args = ["--base", str(base)] if index % 2 else []
             pair = [
-                pool.submit(apply, fleet, edit, f"round-{at}-{name}", *args)
+                pool.submit(apply, fleet, edit, f"round-{index}-{name}", *args)
                 for edit, name in zip(edits, SERVICES, strict=True)
             ]
             ended = [future.result()[0] for future in pair]
@@ -321,13 +321,13 @@
         fleet.processes["upstreams"].signal(signal.SIGSTOP)
         time.sleep(UPLOAD_PAUSE_S)
         stopped_early = future.done()
-        most = resident_mb(pid)
+        peak_during = resident_mb(pid)
         fleet.processes["upstreams"].signal(signal.SIGCONT)
         while not future.done():
-            most = max(most, resident_mb(pid))
+            peak_during = max(peak_during, resident_mb(pid))
             time.sleep(0.01)
         seconds = time.monotonic() - start
-    growth = round(max(most - before, resident_mb(pid, "VmHWM") - peak), 1)
+    growth = round(max(peak_during - before, resident_mb(pid, "VmHWM") - peak), 1)
     checks = {
         "the answer is complete and shows every byte": future.result(),
         "the upload waited for the upstream": not stopped_early,
--- a/scripts/trials_kit.py
+++ b/scripts/trials_kit.py
@@ -61,21 +61,21 @@
     """Return a document of two regions with two zones, and one upstream per service and zone."""
     zones = [zone for zones in REGIONS.values() for zone in zones]
     seats = [
-        (f"{zone}-{at}", zone)
+        (f"{zone}-{index}", zone)
         for zone, count in zip(zones, trial.entries_per_zone, strict=True)
-        for at in range(1, count + 1)
+        for index in range(1, count + 1)
     ]
     return {
         "format": 1,
         "deployment": f"trial-{trial.name}",
         "regions": REGIONS,
         "entries": {
-            seat: _entry_row(f"{NET}.{10 + trial.number}.{at}", zone)
-            for at, (seat, zone) in enumerate(seats, 1)
+            seat: _entry_row(f"{NET}.{10 + trial.number}.{index}", zone)
+            for index, (seat, zone) in enumerate(seats, 1)
         },
         "services": {
-            name: service_row(name, f"{NET}.{100 + trial.number}.{10 * at}", zones)
-            for at, name in enumerate(SERVICES, 1)
+            name: service_row(name, f"{NET}.{100 + trial.number}.{10 * index}", zones)
+            for index, name in enumerate(SERVICES, 1)
         },
         "clients": {"default": "east", "blocks": {CLIENT_BLOCKS[name]: name for name in REGIONS}},
         "rules": [_rule(region, other) for region, other in (("east", "west"), ("west", "east"))],
@@ -105,11 +105,11 @@
         "upstreams": {
             f"{name}-{zone}": {
                 "zone": zone,
-                "address": f"{host}{at}:9000",
+                "address": f"{host}{index}:9000",
                 "slots": SLOTS,
                 "connections": 360,
             }
-            for at, zone in enumerate(zones)
+            for index, zone in enumerate(zones)
         },
     }
 
@@ -149,16 +149,16 @@
     mix = []
     # Look-ups of several clients name every entry. Each path has its own body length, so that an
     # answer to another request is detected.
-    for at, region in enumerate(REGIONS, 1):
+    for index, region in enumerate(REGIONS, 1):
         for item in range(CLIENTS_PER_REGION):
-            client = {"client": f"10.{at}.0.{item}", "deadline_ms": DEADLINE_MS}
+            client = {"client": f"10.{index}.0.{item}", "deadline_ms": DEADLINE_MS}
             each = {name: value / (2 * CLIENTS_PER_REGION) for name, value in rate.items()}
             menu = {**client, "name": "menus", "method": "PUT", "path": f"/menus/{region}-{item}"}
-            menu |= {"rate": each["menus"], "work_ms": 100.0, "body_bytes": 100 * at + item}
+            menu |= {"rate": each["menus"], "work_ms": 100.0, "body_bytes": 100 * index + item}
             order = {**client, "method": "POST", "path": f"/orders/{region}-{item}"}
-            order |= {"work_ms": 120.0, "repeat": 0.3, "body_bytes": 200 * at + item}
+            order |= {"work_ms": 120.0, "repeat": 0.3, "body_bytes": 200 * index + item}
             stream = {**client, "name": "streams", "method": "GET", "path": f"/menus/{region}-all"}
-            stream |= {"rate": each["streams"], "answer_bytes": 200_000 + 10 * at + item}
+            stream |= {"rate": each["streams"], "answer_bytes": 200_000 + 10 * index + item}
             mix += [menu, stream]
             mix.append({**order, "name": "orders", "operation": "system", "rate": each["orders"]})
             own = {"name": "own-orders", "operation": "own", "rate": each["own-orders"]}
