--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -31,7 +31,7 @@
 from cardamomloft.gateway.status import GatewayStatus
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.control import ControlApp
-from cardamomloft.runtime.lifecycle import make_life_cycle
+from cardamomloft.runtime.lifecycle import make_lifecycle
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.runtime.timers import Timers
@@ -114,7 +114,7 @@
         self._bounds = parse_bounds(cfg)
         self.metrics = Metrics()
         self.stopped: Deferred[None] = Deferred()
-        self.lifecycle = make_life_cycle(self)
+        self.lifecycle = make_lifecycle(self)
         self._timers = Timers(reactor, self._on_fault)
         self._port: IListeningPort | None = None
         self.pages: IListeningPort | None = None
--- a/packages/gateway/src/cardamomloft/gateway/storeview.py
+++ b/packages/gateway/src/cardamomloft/gateway/storeview.py
@@ -30,7 +30,7 @@
 from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.feed.changetable import FactKey, is_same, key_of
 from cardamomloft.gateway.control import Listing
-from cardamomloft.runtime.logs import Known, log
+from cardamomloft.runtime.logs import ReportedProblems, log
 from cardamomloft.runtime.metrics import Metrics
 
 MAX_UNCONFIRMED_LOGGED = 20
@@ -85,7 +85,7 @@
         self._close_idle = close_idle
         self._on_plan = on_plan
         self._metrics = metrics
-        self._unreadable = Known()
+        self._unreadable = ReportedProblems()
         self._era: int | None = None
         self._unconfirmed: dict[FactKey, _UnconfirmedFact] = {}
         self.listed = False
