--- a/scripts/losses.py
+++ b/scripts/losses.py
@@ -27,7 +27,7 @@
     fields: dict[str, t.Any]
 
 
-def read(lines: Iterable[str]) -> Iterator[Line]:
+def parse_lines(lines: Iterable[str]) -> Iterator[Line]:
     """Yield the gateway's log lines and skip all others.
 
     A prefix before the JSON object of a line is ignored.
@@ -72,7 +72,7 @@
     return "no room" if detail.startswith("no endpoint has room") else detail[:24]
 
 
-def by_cause(lines: Iterable[Line]) -> dict[str, Counter[str]]:
+def count_causes(lines: Iterable[Line]) -> dict[str, Counter[str]]:
     """Count the logged requests by service and cause."""
     found: dict[str, Counter[str]] = {}
     for line in lines:
@@ -82,7 +82,7 @@
     return found
 
 
-def by_time(lines: Iterable[Line], begin: float) -> dict[float, Counter[str]]:
+def sum_counters(lines: Iterable[Line], begin: float) -> dict[float, Counter[str]]:
     """Sum the counter increments of each time window over all services.
 
     Keys are the seconds from `begin` to the start of the window.
@@ -122,11 +122,11 @@
         Gateway log files; standard input if none is given.
     """
     texts = (text for path in files for text in path.open()) if files else sys.stdin
-    lines = list(read(texts))
+    lines = list(parse_lines(texts))
     if not lines:
         raise SystemExit("there is no log line of a gateway in the input")
-    _print_causes(by_cause(lines))
-    _print_windows(by_time(lines, min(line.timestamp for line in lines)))
+    _print_causes(count_causes(lines))
+    _print_windows(sum_counters(lines, min(line.timestamp for line in lines)))
 
 
 if __name__ == "__main__":
--- a/scripts/slopes.py
+++ b/scripts/slopes.py
@@ -153,7 +153,7 @@
     write_results(results)
     for row in slopes_page.rows_of(results):
         mark = "OVER" if row.over else "    "
-        print(f"{mark} {row.role:26} {row.what:60} {slopes_page.shown(row.value, row.unit)}")
+        print(f"{mark} {row.role:26} {row.what:60} {slopes_page.format_value(row.value, row.unit)}")
     return 0
 
 
@@ -161,7 +161,7 @@
     """Compute the rows, then write the results file, the page's tables and the plots."""
     results["rows"] = [row._asdict() for row in slopes_page.rows_of(results)]
     RESULTS.write_text(json.dumps(results, indent=1) + "\n")
-    PAGE.write_text(slopes_page.put_parts(PAGE.read_text(), slopes_page.render(results)))
+    PAGE.write_text(slopes_page.fill_parts(PAGE.read_text(), slopes_page.render(results)))
     PLOTS.mkdir(exist_ok=True)
     slopes_page.draw(slopes_page.series_of(results), PLOTS)
 
