--- a/packages/callers/src/cardamomloft/callers/__init__.py
+++ b/packages/callers/src/cardamomloft/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' HTTP interface: look-ups and requests."""
+"""HTTP server for callers: entry look-ups and forwarded requests."""
--- a/packages/callers/src/cardamomloft/callers/app.py
+++ b/packages/callers/src/cardamomloft/callers/app.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: look-ups and requests, routed by klein."""
+"""The HTTP application for callers: entry look-ups and requests, routed by klein."""
 
 import socket
 import typing as t
@@ -20,7 +20,7 @@
 from .body import RequestBody
 from .channel import HeadLimits
 from .delivery import AnswerWriter
-from .exchange import Answer, Delivery, RequestHead, broken, to_answer
+from .exchange import Answer, Delivery, RequestHead, internal_error, to_answer
 from .factory import CallerFactory, Meter
 from .request import CallerRequest
 from .waiting import Waiters
@@ -28,25 +28,25 @@
 BACKLOG = 1024
 """Connections that may wait to be accepted.
 
-With the default of 50, callers that all come back at once after an entry's start overflow it: their
-opening packets are dropped and sent again after a second, longer than they wait.
+Twisted's default of 50 overflows when all callers reconnect after a restart; the kernel then drops
+their SYN packets, which are retransmitted only after a second.
 """
 
 _CLIENT_QUERY = b"client="
 
 SAFE_METHODS = frozenset({"GET", "HEAD"})
-"""Methods that are only read (RFC 9110, section 9.2.1) and that callers pipeline."""
+"""Safe methods (RFC 9110, section 9.2.1); such requests may be handled concurrently."""
 
 
 class LookupEntry(t.TypedDict):
-    """One entry that the client may use."""
+    """One entry that the client may connect to."""
 
     name: str
     address: str
 
 
 class LookupAnswer(t.TypedDict):
-    """Which entries a client should use, and how to begin its operation ids."""
+    """The entries that a client should use, and the prefix of its operation ids."""
 
     site: str
     entries: list[LookupEntry]
@@ -61,29 +61,28 @@
 
 
 class CallersApp:
-    """Serves callers with two functions.
+    """Serves callers' look-ups and requests with the functions `lookup` and `handle`.
 
     Parameters
     ----------
     lookup
-        Given a client's IPv4 address, returns the entries to use, or a refusal. None if look-ups
-        are answered elsewhere: then every path is a request's.
+        Given a client's IPv4 address, returns the entries to use, or a refusal. With None, the path
+        ``/lookup`` is handled like any other.
     handle
-        Given the head, the body and a result that fires if the caller goes away, returns the
-        answer. It should catch its own faults: to an exception, the caller gets 500 with the
-        outcome ``unknown``.
+        Given the head, the body and a Deferred that fires if the caller disconnects, returns the
+        answer. If it raises, the caller gets status 500 with the outcome ``unknown``.
     on_fault
-        Told of exceptions in `lookup` and `handle`.
+        Called with the exceptions of `lookup` and `handle`.
     may_overlap
-        Given a head, tells whether the request may run beside others of its connection, before or
-        after them; those with a body never do.
+        Given a head, returns whether the request may be handled concurrently with others of its
+        connection. Requests with a body never are.
     meter
-        Where counts and durations go, or None.
+        Records counters and durations, or None.
 
     Attributes
     ----------
     in_flight
-        How many requests are being handled or answered.
+        Number of requests that are being handled or answered.
     """
 
     def __init__(
@@ -99,7 +98,7 @@
         self._handle = handle
         self._on_fault = on_fault or (lambda failure: None)
         self._may_overlap = may_overlap
-        self._meter = meter or _NoMeter()
+        self._meter = meter or _NullMeter()
         self._closing = False
         self._factory: CallerFactory | None = None
         self._drained = Waiters(lambda: not self.in_flight)
@@ -109,7 +108,7 @@
         self._klein.route("/", strict_slashes=False)(self._answer_request)
 
     def factory(self, reactor: t.Any) -> CallerFactory:
-        """Return the factory of the callers' connections."""
+        """Return the protocol factory of the callers' connections."""
         if self._factory is None:
             look_up = None if self._lookup is None else self._look_up
             self._factory = CallerFactory(
@@ -124,34 +123,34 @@
         return self._factory
 
     def keep_idle(self, duration: timedelta) -> None:
-        """Keep idle connections for `duration` from now on; callers may count on it."""
+        """Set how long an idle connection is kept open."""
         if self._factory is not None:
             self._factory.timeOut = duration.total_seconds()
 
     def bound_heads(self, size: int, duration: timedelta) -> None:
-        """Hold heads on new connections to `size` bytes of header lines and to `duration`."""
+        """Limit request heads on new connections to `size` bytes of header lines and `duration`."""
         if self._factory is not None:
             self._factory.head_limits = HeadLimits(size, duration.total_seconds())
 
     def closing(self) -> None:
-        """Answer with ``Connection: close`` from now on."""
+        """Send ``Connection: close`` with all further answers."""
         self._closing = True
         if self._factory is not None:
             self._factory.closing = True
 
     def drained(self) -> "Deferred[None]":
-        """Return a result that fires when no request is in flight."""
+        """Return a Deferred that fires when no request is in flight."""
         return self._drained.wait()
 
     def disconnect(self) -> "Deferred[None]":
-        """Close the connections, idle ones too; fires when all that was written has been sent.
+        """Close all connections; the Deferred fires when they have sent their data and closed.
 
-        Call it after `drained`, since it ends answers that are still streaming, and with a limit
-        of time, since a caller may never read.
+        Call it after `drained`, since it ends answers that are still being streamed, and with a
+        timeout, since a caller may never read its data.
         """
         return succeed(None) if self._factory is None else self._factory.disconnect()
 
-    # Look-ups.
+    # Entry look-ups.
 
     def _answer_lookup(self, request: CallerRequest) -> bytes:
         answer = self._look_up(request)
@@ -159,13 +158,13 @@
         return t.cast(bytes, answer.body)
 
     def _look_up(self, request: CallerRequest) -> Answer:
-        client = _client_of(request)
-        found = self._lookup(client) if client is not None else _BAD_CLIENT
-        if isinstance(found, Refusal):
-            return to_answer(found)
-        age = found["valid_ms"] // 1000
+        client = _client_address(request)
+        result = self._lookup(client) if client is not None else _INVALID_CLIENT
+        if isinstance(result, Refusal):
+            return to_answer(result)
+        age = result["valid_ms"] // 1000
         headers = (*_LOOKUP_HEADERS, ("Cache-Control", f"max-age={age}"))
-        return Answer(HTTPStatus.OK, headers, msgspec.json.encode(found))
+        return Answer(HTTPStatus.OK, headers, msgspec.json.encode(result))
 
     # Requests.
 
@@ -173,58 +172,58 @@
         return _RequestResource(self)
 
     def start(self, request: CallerRequest) -> None:
-        """Handle one request; called by its resource."""
-        fault = _fault_of(request)
-        if fault is not None:
-            request.answer_in_turn(to_answer(Refusal(RefusalReason.BAD_REQUEST, fault)))
+        """Check and handle one request; called by its klein resource."""
+        error = _request_error(request)
+        if error is not None:
+            request.write_answer_in_order(to_answer(Refusal(RefusalReason.BAD_REQUEST, error)))
             return
         self.in_flight += 1
-        gone: Deferred[None] = Deferred()
-        request.gone.addCallback(lambda _: gone.callback(None))
-        answered = maybeDeferred(self._handle, request.head(), request.body, gone)
-        answered.addErrback(self._fault)
-        answered.addCallback(self._respond_in_turn, request)
+        disconnected: Deferred[None] = Deferred()
+        request.disconnected.addCallback(lambda _: disconnected.callback(None))
+        answered = maybeDeferred(self._handle, request.head(), request.body, disconnected)
+        answered.addErrback(self._handle_error)
+        answered.addCallback(self._respond_in_order, request)
         answered.addErrback(request.processingFailed)
-        answered.addBoth(lambda _: self._finished())
+        answered.addBoth(lambda _: self._request_finished())
 
-    def _fault(self, failure: Failure) -> Answer:
+    def _handle_error(self, failure: Failure) -> Answer:
         self._on_fault(failure)
-        return broken("internal error")
+        return internal_error("internal error")
 
-    def _respond_in_turn(
+    def _respond_in_order(
         self, answer: Answer, request: CallerRequest
     ) -> "Deferred[Delivery | None]":
         size = len(answer.body) if isinstance(answer.body, bytes) else 0
-        return request.turn(size).addCallback(lambda _: self._respond(answer, request))
+        return request.wait_for_turn(size).addCallback(lambda _: self._respond(answer, request))
 
     def _respond(self, answer: Answer, request: CallerRequest) -> "Deferred[Delivery] | None":
-        """Answer the request; the result fires when its body has been delivered or given up."""
+        """Write the answer; the Deferred fires when a streamed body is delivered or aborted."""
         if not isinstance(answer.body, bytes):
             if not request.over and request.method != b"HEAD" and answer.status not in NO_BODY:
                 return AnswerWriter(request, answer).start()
             answer.body.abort()
-        request.answer_at_once(answer)
+        request.write_answer(answer)
         return None
 
-    def _finished(self) -> None:
+    def _request_finished(self) -> None:
         self.in_flight -= 1
         self._drained.check()
 
 
-class _NoMeter:
-    """Drops what is measured."""
+class _NullMeter:
+    """A :class:`Meter` that records nothing."""
 
     def count(self, name: str) -> None:
-        """Drop it."""
+        """Do nothing."""
 
     def observe(self, name: str, took: timedelta) -> None:
-        """Drop it."""
+        """Do nothing."""
 
 
 class _RequestResource(Resource):
-    """Takes a request over from klein, which would otherwise finish it."""
+    """Passes a request to the app, which answers it later; klein would finish it at once."""
 
-    isLeaf = True  # noqa: N815  (the name that klein looks for)
+    isLeaf = True  # noqa: N815  (name defined by twisted.web)
 
     def __init__(self, app: CallersApp) -> None:
         super().__init__()
@@ -236,17 +235,17 @@
 
 
 def listen(reactor: t.Any, address: str, app: CallersApp) -> IListeningPort:
-    """Accept callers' connections on `address`, which is ``ip:port``."""
+    """Listen for callers' connections on `address`, which is ``ip:port``."""
     host, _, port = address.rpartition(":")
     return reactor.listenTCP(int(port), app.factory(reactor), backlog=BACKLOG, interface=host)
 
 
 _LOOKUP_HEADERS = (("Content-Type", "application/json"),)
-_BAD_CLIENT = Refusal(RefusalReason.BAD_REQUEST, "client must be an IPv4 address")
+_INVALID_CLIENT = Refusal(RefusalReason.BAD_REQUEST, "client must be an IPv4 address")
 
 
-def _client_of(request: CallerRequest) -> str | None:
-    """Return the client that a look-up asks for (the caller itself if none), None if malformed."""
+def _client_address(request: CallerRequest) -> str | None:
+    """Return the client address of a look-up, by default the caller's; None if malformed."""
     query = request.query
     if not query:
         return request.getClientAddress().host
@@ -262,8 +261,8 @@
     return client
 
 
-def _fault_of(request: CallerRequest) -> str | None:
-    """Return why a request cannot be passed on, or None."""
+def _request_error(request: CallerRequest) -> str | None:
+    """Return why a request cannot be forwarded, or None if it can."""
     if not request.path.startswith(b"/"):
         return "the request target must be a path"
     if not all(0x21 <= byte <= 0x7E for byte in request.uri):
--- a/packages/callers/src/cardamomloft/callers/channel.py
+++ b/packages/callers/src/cardamomloft/callers/channel.py
@@ -1,13 +1,14 @@
-"""One caller's connection: requests are processed when their head has arrived.
+"""The HTTP/1.1 protocol of one caller's connection, with streamed bodies and pipelining.
 
-``twisted.web`` spools a whole body, to disk when it is large, before it processes a request. Here
-the body streams through :class:`RequestBody` instead. `HTTPChannel` reads a pipelined request only
-when the one before it is answered; here those that may overlap are handled side by side, and their
-answers wait for their turn (:mod:`.pipelining`).
+``twisted.web`` buffers a whole body, on disk if it is large, before it processes a request. This
+channel processes a request as soon as its head has arrived, and streams the body through
+:class:`RequestBody`. `HTTPChannel` reads a pipelined request only after the previous one is
+answered. This channel handles requests that may overlap concurrently, and writes their answers in
+the order of the requests (:mod:`.pipelining`).
 
-Some parts of `HTTPChannel` are not public (`_respondToBadRequestAndDisconnect`, `_version` with
-`_command` and `_path`, `_handlingRequest` with `_dataBuffer`, `_networkProducer`,
-`_waitingForTransport`); the version of Twisted is pinned, and the tests cover each use.
+It uses private attributes of `HTTPChannel`: `_respondToBadRequestAndDisconnect`, `_version`,
+`_command`, `_path`, `_handlingRequest`, `_dataBuffer`, `_networkProducer` and
+`_waitingForTransport`. The version of Twisted is therefore pinned, and tests cover each use.
 """
 
 import typing as t
@@ -18,7 +19,7 @@
 from twisted.web import http
 
 from .exchange import Answer, to_answer
-from .pipelining import may_read_on
+from .pipelining import may_read_next
 
 if t.TYPE_CHECKING:
     from .factory import CallerFactory
@@ -26,27 +27,27 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_HEADERS = 100
-# Unless a configuration sets it: slow links take a second or two for a head.
+# Default; a configuration may set another.
 HEAD_TIMEOUT_S = 10
-# How long a rest of a body that is not kept is read and dropped, so that the caller gets to see
-# its answer.
+# How long the rest of a body is read and discarded after an early answer. Closing with unread data
+# would reset the connection before the caller has read the answer.
 DISCARD_TIMEOUT_S = 5
 
-# Room for the parser's own bounds beyond ours, so that ours come first.
-_PARSER_ROOM = 2
+# Makes the limits of Twisted's parser looser than `HeadLimits`, so that ours apply first.
+_PARSER_LIMIT_FACTOR = 2
 
 _HTTP_VERSION = b"HTTP/1.1"
 
 
 class HeadLimits(t.NamedTuple):
-    """What the head of one request may take.
+    """Limits for the head of a request.
 
     Attributes
     ----------
     size
-        Bytes of its header lines, and of its request line.
+        Maximum bytes of all header lines together, and of the request line.
     time_s
-        Seconds from its first byte to its last.
+        Maximum seconds from the first byte of the head to the last.
     """
 
     size: int = MAX_HEAD_BYTES
@@ -54,12 +55,12 @@
 
 
 class CallerChannel(http.HTTPChannel):
-    """One caller's connection.
+    """Protocol of one caller's connection.
 
     Attributes
     ----------
     head_limits
-        Bounds of each request's head.
+        Limits for the head of each request.
     """
 
     factory: "CallerFactory"
@@ -68,13 +69,14 @@
     _head_timer: t.Any = None
     _head_bytes = 0
     _head_lines = 0
-    _dead = False
+    _input_closed = False
     _body_paused = False
     _content_received = False
-    _answered: "CallerRequest | None" = None
+    _answered_request: "CallerRequest | None" = None
     _discard_timer: t.Any = None
     _refusal: list[bytes] | None = None
-    # When the first of the bytes came that are not read yet, and of those that are just being read.
+    # When the first byte arrived of the data that waits to be parsed, and of the data that is being
+    # parsed; seconds of the reactor.
     _unread_since: float | None = None
     _reading_since: float | None = None
 
@@ -84,35 +86,35 @@
         self.factory.channels.add(self)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Tell the request in progress that its caller has gone."""
+        """Cancel the timers, notify the open requests and deregister from the factory."""
         self._cancel_discard_timer()
         self._cancel_head_timer()
-        self._dead = True
+        self._input_closed = True
         super().connectionLost(reason)
-        self.factory.forget(self)
+        self.factory.remove_channel(self)
 
     @property
     def idle(self) -> bool:
         """Whether no request is being received, processed or answered."""
         return not self.requests
 
-    # The head.
+    # Request heads.
 
     def bound_heads(self, limits: HeadLimits) -> None:
-        """Hold the heads that are still to come to `limits`."""
+        """Apply `limits` to the heads that are read from now on."""
         self.head_limits = limits
-        self.totalHeadersSize = _PARSER_ROOM * limits.size
+        self.totalHeadersSize = _PARSER_LIMIT_FACTOR * limits.size
         self.MAX_LENGTH = max(type(self).MAX_LENGTH, limits.size)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes; a head that has begun must end within its time."""
+        """Parse bytes; start the head timeout when a head is incomplete."""
         super().dataReceived(data)
-        begun = self.line_mode and bool(self._head_lines or self._buffer) and not self._dead
+        begun = self.line_mode and bool(self._head_lines or self._buffer) and not self._input_closed
         if begun and self._head_timer is None:
-            self._head_timer = self.callLater(self.head_limits.time_s, self._head_late)
+            self._head_timer = self.callLater(self.head_limits.time_s, self._on_head_timeout)
 
-    def _head_late(self) -> None:
-        # Bytes that came while this process was busy are read before the head counts as late.
+    def _on_head_timeout(self) -> None:
+        # First read the bytes that arrived while the event loop was busy.
         self._head_timer = self.callLater(0, self._refuse_head, HTTPStatus.REQUEST_TIMEOUT)
 
     def _cancel_head_timer(self) -> None:
@@ -121,12 +123,12 @@
         self._head_timer = None
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        """Hold the head to its limits, then let the parser have the line."""
-        if self._dead:
+        """Check the head against its limits, then pass the line to the parser."""
+        if self._input_closed:
             return
         if not self._head_lines and self.requests and self.factory.closing:
-            # The answers to what was read before end this connection.
-            self._leave_unread(line + self.delimiter)
+            # The last answer to a request that was already read closes the connection.
+            self._buffer_unread(line + self.delimiter)
             return
         self._head_lines += 1
         if self._head_lines > 1:
@@ -137,12 +139,12 @@
             super().lineReceived(line)
 
     def lineLengthExceeded(self, line: bytes) -> None:  # noqa: N802
-        """Refuse a line that is longer than the parser takes."""
-        if not self._dead:
+        """Refuse a line that exceeds the limit of the parser."""
+        if not self._input_closed:
             self._refuse_head(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def allHeadersReceived(self) -> None:  # noqa: N802
-        """Start to process the request, unless it must wait; its body is still to come."""
+        """Start processing the request before its body arrives, unless it must wait."""
         self._head_bytes = self._head_lines = 0
         self._cancel_head_timer()
         self._content_received = False
@@ -151,37 +153,37 @@
             self._refuse_head(HTTPStatus.HTTP_VERSION_NOT_SUPPORTED)
             return
         self.persistent = self.checkPersistence(request, self._version)
-        # From here on the deadline of the request rules, not the idle timeout.
+        # The idle timeout applies only between requests.
         self.setTimeout(None)
         request.head_received(self._command, self._path, self._version, self.length)
         request.waiting_since = self._reading_since
-        self._start_waiting()
+        self._start_newest()
         if not request.started and request.waiting_since is None:
             request.waiting_since = self.factory.seconds()
 
     def _refuse_head(self, status: HTTPStatus) -> None:
-        self._dead = True
+        self._input_closed = True
         self._cancel_head_timer()
         self.persistent = False
         if self.requests and self.requests[-1].body is None:
-            # The parser has made a request of the head's first line.
+            # The parser created a request object for the incomplete head.
             del self.requests[-1]
         refusal = Refusal(RefusalReason.BAD_REQUEST, status.phrase)
         self._refusal = _serialize(to_answer(refusal)._replace(status=int(status)))
         if not self.requests:
             self._close()
 
-    # Requests ahead of their turn.
+    # Pipelined requests.
 
     def has_more(self, request: "CallerRequest") -> bool:
-        """Tell whether another answer follows that to `request`."""
+        """Return whether another answer is written after that to `request`."""
         return self.requests[-1] is not request or self._refusal is not None
 
-    def _start_waiting(self) -> None:
-        """Process the newest request if it waits and may run beside those before it.
+    def _start_newest(self) -> None:
+        """Start the newest request if it waits and may overlap with those before it.
 
-        No further head is read while one waits, so only the newest can. Nothing is done for one
-        whose head has not ended yet.
+        No further head is read while a request waits, so only the newest request can be waiting.
+        Nothing is done while its head is incomplete.
         """
         request: CallerRequest = self.requests[-1]
         if request.started or request.body is None:
@@ -190,22 +192,24 @@
         overlaps = self.factory.may_overlap
         if is_first or all(one.body.length == 0 and overlaps(one.head()) for one in self.requests):
             if not is_first:
-                request.place.take()
+                request.pipeline_usage.start_ahead()
                 self.factory.count("pipelined.beside")
             if request.waiting_since is not None:
                 self.factory.observe_wait(request.waiting_since)
             request.start()
 
-    def _read_on(self) -> None:
-        """Read the next request if the newest has been read and there is room for one more."""
-        if self._dead or not self._handlingRequest or not self.persistent:
+    def _read_next(self) -> None:
+        """Parse the next pipelined request if the newest is read and the limits allow another."""
+        if self._input_closed or not self._handlingRequest or not self.persistent:
             return
         if self._waitingForTransport:
-            # A caller that does not read its answers gets no further ones.
+            # The caller does not read its answers: handle no further requests.
             return
         if self.requests and (self.factory.closing or not self.requests[-1].started):
             return
-        if not may_read_on([request.place for request in self.requests], self.factory.room):
+        if not may_read_next(
+            [request.pipeline_usage for request in self.requests], self.factory.pipeline_budget
+        ):
             return
         self._handlingRequest = False
         self._networkProducer.resumeProducing()
@@ -215,98 +219,98 @@
         self.setLineMode(data)
         self._reading_since = None
 
-    def _leave_unread(self, data: bytes) -> None:
+    def _buffer_unread(self, data: bytes) -> None:
         self._handlingRequest = True
         self.setRawMode()
         self._dataBuffer.append(data)
 
-    # The body.
+    # Request bodies.
 
     def rawDataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Ignore what follows a malformed head or body."""
-        if self._dead:
+        """Parse body bytes, or buffer pipelined ones; ignore input after a malformed request."""
+        if self._input_closed:
             return
         if self._handlingRequest and self._unread_since is None:
             self._unread_since = self.factory.seconds()
         super().rawDataReceived(data)
 
     def _respondToBadRequestAndDisconnect(self) -> None:  # noqa: N802
-        # The parser's own reply would land in the midst of an answer that has begun.
-        if self._dead:
+        # Replaces the parser's own reply, which could be written in the middle of an answer.
+        if self._input_closed:
             return
         request: CallerRequest | None = self.requests[-1] if self.requests else None
         if request is None or request.body is None:
             self._refuse_head(HTTPStatus.BAD_REQUEST)
             return
-        self._dead = True
+        self._input_closed = True
         self.persistent = False
         self._content_received = True
         request.body.fail("malformed chunked body")
-        if self._answered is not None:
-            self._end_exchange(self._answered)
+        if self._answered_request is not None:
+            self._end_exchange(self._answered_request)
 
     def allContentReceived(self) -> None:  # noqa: N802
-        """Note the end of the body; an exchange that was answered before is over now."""
-        if self._dead:
+        """End the body, and the exchange too if it is already answered."""
+        if self._input_closed:
             return
-        answered = self._answered
+        answered = self._answered_request
         self._body_paused = False
         self._content_received = True
         super().allContentReceived()
         if answered is not None:
             self._end_exchange(answered)
         else:
-            self._read_on()
+            self._read_next()
 
     def pause_body(self) -> None:
-        """Stop reading while the body's consumer is behind."""
+        """Stop reading until the body's consumer has caught up."""
         if not self._content_received and not self._body_paused:
             self._body_paused = True
             self.transport.pauseProducing()
 
     def resume_body(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self._body_paused:
             self._body_paused = False
             self.transport.resumeProducing()
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on writing; reading stays paused if the body's consumer is behind."""
+        """Resume writing; reading stays paused while the body's consumer is behind."""
         super().resumeProducing()
         if self._body_paused:
             self.transport.pauseProducing()
-        self._read_on()
+        self._read_next()
 
-    # The end of an exchange.
+    # Completed exchanges.
 
     def requestDone(self, request: "CallerRequest") -> None:  # noqa: N802
-        """Go to the next request, but not before this one's body has been read."""
+        """End the exchange, or first discard the rest of the request body."""
         if self._content_received or request is not self.requests[-1]:
             self._end_exchange(request)
             return
-        self._answered = request
+        self._answered_request = request
         self._discard_timer = self.callLater(DISCARD_TIMEOUT_S, self.transport.abortConnection)
         request.body.discard()
 
     def _end_exchange(self, request: "CallerRequest") -> None:
-        """Let the next request answer; without one, close the connection or let it rest."""
+        """Let the next request write its answer; if none, close the connection or keep it idle."""
         self._cancel_discard_timer()
-        self._answered = None
+        self._answered_request = None
         if request is not self.requests[0]:
-            raise RuntimeError("an answer has ended out of turn")
+            raise RuntimeError("an answer was completed out of order")
         del self.requests[0]
         if self.requests:
-            self._start_waiting()
+            self._start_newest()
             self.requests[0].begin_turn()
-            self._read_on()
+            self._read_next()
         elif self.persistent:
             self.setTimeout(self.factory.timeOut)
-            self._read_on()
+            self._read_next()
         else:
             self._close()
 
     def _close(self) -> None:
-        """Close the connection after what was written; a refused head gets its answer first."""
+        """Close the connection after its data is sent; first write the answer to a refused head."""
         if self._refusal is not None:
             self.transport.writeSequence(self._refusal)
             self._refusal = None
@@ -319,7 +323,7 @@
 
 
 def _serialize(answer: Answer) -> list[bytes]:
-    """Return a whole answer that closes its connection, for a request that was never parsed."""
+    """Return the bytes of an answer with ``Connection: close``, for a request without an object."""
     status = HTTPStatus(answer.status)
     lines = [f"HTTP/1.1 {status.value} {status.phrase}\r\n".encode()]
     headers = (*answer.headers, ("Content-Length", str(len(answer.body))), ("Connection", "close"))
--- a/packages/callers/src/cardamomloft/callers/delivery.py
+++ b/packages/callers/src/cardamomloft/callers/delivery.py
@@ -1,4 +1,4 @@
-"""Writing one answer to its caller, with back-pressure and without ever passing a part for all."""
+"""Streams one answer to its caller with back-pressure; a truncated answer is always visible."""
 
 import typing as t
 
@@ -12,51 +12,53 @@
 
 @implementer(IConsumer)
 class AnswerWriter:
-    """Writes a streamed answer; a short or long body resets the caller's connection.
+    """Writes a streamed answer; resets the connection if the body has the wrong length.
 
     Parameters
     ----------
     request
         The request to answer.
     answer
-        Its answer, whose body is a :class:`Source`.
+        The answer, whose body is a :class:`Source`.
     """
 
     def __init__(self, request: CallerRequest, answer: Answer) -> None:
         self._request = request
         self._answer = answer
         self._source = t.cast(Source, answer.body)
-        self._announced = _content_length(answer)
+        self._expected_length = _content_length(answer)
         self._written = 0
 
     def start(self) -> "Deferred[Delivery]":
-        """Write the head and the body; the result says whether the caller got all of it."""
+        """Write the head and the body; the Deferred says whether the body was complete."""
         self._request.begin_answer(self._answer)
         self._request.write(b"")
-        self._request.gone.addCallback(lambda _: self._source.abort())
+        self._request.disconnected.addCallback(lambda _: self._source.abort())
         return self._source.deliver(self).addCallback(self._delivered)
 
     def registerProducer(self, producer: IPushProducer, streaming: bool) -> None:  # noqa: N802
-        """Let the caller's connection pause and resume `producer`."""
+        """Register `producer` with the caller's connection for back-pressure."""
         if self._request.channel is not None:
             self._request.registerProducer(producer, streaming)
 
     def unregisterProducer(self) -> None:  # noqa: N802
-        """Detach the producer."""
+        """Unregister the producer from the caller's connection."""
         if self._request.channel is not None:
             self._request.unregisterProducer()
 
     def write(self, data: bytes) -> None:
-        """Write a part of the body; more than was announced is cut off here."""
+        """Write a chunk of the body; abort if it exceeds the Content-Length."""
         self._written += len(data)
-        if self._announced is not None and self._written > self._announced:
+        if self._expected_length is not None and self._written > self._expected_length:
             self._source.abort()
             return
         self._request.write(data)
 
     def _delivered(self, delivery: Delivery) -> Delivery:
-        if delivery.complete and not self._as_announced():
-            detail = f"{self._written} bytes where {self._announced} were announced"
+        if delivery.complete and not self._length_matches():
+            detail = (
+                f"body of {self._written} bytes, but Content-Length was {self._expected_length}"
+            )
             delivery = Delivery(False, self._written, detail)
         if not delivery.complete:
             self._request.abort()
@@ -64,8 +66,8 @@
             self._request.finish()
         return delivery
 
-    def _as_announced(self) -> bool:
-        return self._announced is None or self._written == self._announced
+    def _length_matches(self) -> bool:
+        return self._expected_length is None or self._written == self._expected_length
 
 
 def _content_length(answer: Answer) -> int | None:
--- a/packages/callers/src/cardamomloft/callers/exchange.py
+++ b/packages/callers/src/cardamomloft/callers/exchange.py
@@ -1,7 +1,8 @@
-"""One request of a caller and its answer: the types, and the answer for each outcome.
+"""Types of a caller's request and its answer, and the answer to each outcome.
 
-Every answer names its outcome in the header ``Cardamomloft-Outcome``, so that a caller can tell an
-upstream's own status from a refusal of this system, and a refusal (not run) from an unknown result.
+Every answer has the header ``Cardamomloft-Outcome``. With it a caller can distinguish an upstream's
+status from a refusal by this system, and a refusal (the request did not run) from an unknown
+outcome (it may have run).
 """
 
 import math
@@ -56,9 +57,9 @@
 class RequestHead(t.NamedTuple):
     """The head of one request, without hop-by-hop headers.
 
-    `path` and `query` are as sent, still percent-encoded. Header names are lower-case and values
-    Latin-1 text. `length` is the announced size of the body in bytes: 0 without a body, None when
-    it is chunked.
+    `path` and `query` are percent-encoded, as sent. Header names are lower-case, and values are
+    decoded as Latin-1. `length` is the size of the body in bytes: 0 without a body, None if it is
+    chunked.
     """
 
     method: str
@@ -71,7 +72,7 @@
 
 
 class Delivery(t.NamedTuple):
-    """How the delivery of a streamed body ended; `received` counts the bytes from its source."""
+    """Result of delivering a streamed body; `received` counts the bytes from its source."""
 
     complete: bool
     received: int
@@ -79,19 +80,19 @@
 
 
 class Source(t.Protocol):
-    """A body that is streamed; either deliver it or abort it, so that its connection ends."""
+    """A streamed body; deliver or abort it, or its connection stays open."""
 
     def deliver(self, consumer: IConsumer) -> "Deferred[Delivery]":
         """Write the body to `consumer` as a push producer."""
         ...
 
     def abort(self) -> None:
-        """Stop as soon as possible; the delivery then ends incomplete. May be called again."""
+        """Stop as soon as possible; the delivery then ends incomplete. Idempotent."""
         ...
 
 
 class Answer(t.NamedTuple):
-    """What the caller is to get. A ``content-length`` header binds a streamed `body`."""
+    """An answer to a caller. A streamed `body` must match a ``content-length`` header."""
 
     status: int
     headers: Headers
@@ -99,7 +100,7 @@
 
 
 class _Explanation(t.TypedDict):
-    """The JSON body of an answer that this system gives itself."""
+    """The JSON body of an answer that this system generates."""
 
     outcome: str
     reason: str
@@ -108,49 +109,49 @@
 
 
 def complete(status: int, headers: Headers, body: bytes | Source) -> Answer:
-    """Return an upstream's whole answer, marked as such."""
+    """Return the answer of an upstream with the outcome ``complete``."""
     own = {OUTCOME_HEADER.lower(), REASON_HEADER.lower()}
     kept = tuple(pair for pair in headers if pair[0].lower() not in own)
     return Answer(status, (*kept, (OUTCOME_HEADER, COMPLETE)), body)
 
 
 def failed(detail: str, reason: str = "upstream-failed") -> Answer:
-    """Return 502 for an idempotent request that may be repeated; it may have run."""
+    """Return 502 for an idempotent request that may have run; the caller may retry it."""
     return _explain(HTTPStatus.BAD_GATEWAY, FAILED, reason, detail)
 
 
-def broken(detail: str) -> Answer:
-    """Return 500 after a fault of this system; nothing is claimed about the run."""
+def internal_error(detail: str) -> Answer:
+    """Return 500 after an internal error; the request may or may not have run."""
     return _explain(HTTPStatus.INTERNAL_SERVER_ERROR, UNKNOWN, "internal-error", detail)
 
 
 def late(detail: str) -> Answer:
-    """Return 504 for a request whose time is over; it may have run."""
+    """Return 504 for a request whose deadline has passed; it may have run."""
     return _explain(HTTPStatus.GATEWAY_TIMEOUT, UNKNOWN, "deadline-passed", detail)
 
 
 def with_fractions(answer: Answer) -> Answer:
-    """Return `answer` with a Retry-After in fractions of a second, for callers that read them."""
+    """Return `answer` with Retry-After in decimal seconds, for callers that parse them."""
     wait_ms = next((value for name, value in answer.headers if name == RETRY_MS_HEADER), None)
     if wait_ms is None:
         return answer
-    exact = ("Retry-After", f"{int(wait_ms) / 1000:.3f}")
+    fractional = ("Retry-After", f"{int(wait_ms) / 1000:.3f}")
     headers = tuple(
-        exact if name == "Retry-After" else (name, value) for name, value in answer.headers
+        fractional if name == "Retry-After" else (name, value) for name, value in answer.headers
     )
     return answer._replace(headers=headers)
 
 
 @singledispatch
 def to_answer(outcome: object) -> Answer:
-    """Return the answer that tells a caller about `outcome`.
+    """Return the answer for `outcome`.
 
     Raises
     ------
     TypeError
-        If there is no answer for an outcome of this type.
+        If no answer is registered for the type of `outcome`.
     """
-    raise TypeError(f"no answer for {type(outcome).__name__}")
+    raise TypeError(f"no answer registered for outcome type {type(outcome).__name__}")
 
 
 @to_answer.register
@@ -165,7 +166,7 @@
 
 
 def end_to_end(headers: Iterable[tuple[str, str]]) -> Headers:
-    """Return `headers` without those that belong to one connection only (RFC 9110, 7.6.1)."""
+    """Return `headers` without hop-by-hop ones (RFC 9110, section 7.6.1)."""
     pairs = tuple(headers)
     named = {
         token.strip().lower()
--- a/packages/callers/src/cardamomloft/callers/factory.py
+++ b/packages/callers/src/cardamomloft/callers/factory.py
@@ -1,4 +1,4 @@
-"""Makes the callers' connections, and holds what they share."""
+"""Creates the channels of callers' connections and holds their shared state."""
 
 import typing as t
 from datetime import timedelta
@@ -11,28 +11,28 @@
 
 from .channel import CallerChannel, HeadLimits
 from .exchange import Answer, RequestHead
-from .pipelining import Room
+from .pipelining import PipelineBudget
 from .request import CallerRequest
 from .waiting import Waiters
 
 IDLE_TIMEOUT_S = 60
-"""Seconds without a request on a connection, unless a configuration sets it."""
+"""Default idle timeout of a connection; a configuration may set another."""
 
 
 class Meter(t.Protocol):
-    """Where counts and durations go."""
+    """Records counters and durations."""
 
     def count(self, name: str) -> None:
-        """Count one event."""
+        """Increment the counter `name`."""
         ...
 
     def observe(self, name: str, took: timedelta) -> None:
-        """Add a duration to a histogram."""
+        """Add the duration `took` to the histogram `name`."""
         ...
 
 
 class CallerFactory(http.HTTPFactory):
-    """Makes a channel for each connection and knows which are open."""
+    """Creates a channel for each connection and tracks the open ones."""
 
     protocol = CallerChannel
 
@@ -48,7 +48,7 @@
         super().__init__(timeout=IDLE_TIMEOUT_S, reactor=reactor)
         self.lookup = lookup
         self.may_overlap = may_overlap
-        self.room = Room()
+        self.pipeline_budget = PipelineBudget()
         self.seconds = reactor.seconds
         self._meter = meter
         self.resource = resource
@@ -56,41 +56,41 @@
         self.closing = False
         self.head_limits = HeadLimits()
         self.channels: set[CallerChannel] = set()
-        self._gone = Waiters(lambda: not self.channels)
+        self._all_closed = Waiters(lambda: not self.channels)
 
     def buildProtocol(self, addr: object) -> CallerChannel:  # noqa: N802
-        """Make the channel of a new connection."""
+        """Create the channel of a new connection."""
         channel = super().buildProtocol(addr)
         channel.requestFactory = CallerRequest
         channel.bound_heads(self.head_limits)
         return channel
 
     def count(self, name: str) -> None:
-        """Count an event."""
+        """Increment the counter `name`."""
         self._meter.count(name)
 
     def observe_wait(self, since: float) -> None:
-        """Note that a request came at the instant `since` and is processed only now."""
+        """Record that a request waited from `since`, in reactor seconds, until now."""
         self.count("pipelined.waited")
         self._meter.observe("pipelined.wait", timedelta(seconds=self.seconds() - since))
 
     def startFactory(self) -> None:  # noqa: N802
-        """Open no access log: the entry logs what matters."""
+        """Do not open an access log; each process writes its own log."""
 
     def stopFactory(self) -> None:  # noqa: N802
-        """Close no access log."""
+        """Do nothing: there is no access log."""
 
     def log(self, request: http.Request) -> None:
-        """Write no access log."""
+        """Do not write to an access log."""
 
     def disconnect(self) -> "Deferred[None]":
-        """Close all connections after what was written has been sent; fires when they are gone."""
+        """Close all connections after sending their data; fires when all are closed."""
         for channel in tuple(self.channels):
             if not channel.transport.disconnecting:
                 channel.loseConnection()
-        return self._gone.wait()
+        return self._all_closed.wait()
 
-    def forget(self, channel: CallerChannel) -> None:
-        """Note that a connection is gone."""
+    def remove_channel(self, channel: CallerChannel) -> None:
+        """Remove the channel of a closed connection."""
         self.channels.discard(channel)
-        self._gone.check()
+        self._all_closed.check()
--- a/packages/callers/src/cardamomloft/callers/pipelining.py
+++ b/packages/callers/src/cardamomloft/callers/pipelining.py
@@ -1,39 +1,41 @@
-"""How far requests that a caller sends behind another are handled ahead of their turn.
+"""Limits for handling pipelined requests concurrently.
 
-A caller may send further requests before the first is answered, and gets the answers in the order
-of its requests. Handling one after the other makes short requests wait for long ones; handling them
-side by side holds their answers in memory until it is their turn. Requests run beside others only
-if all of them may be repeated (RFC 9112, section 9.3.2): the rest may depend on what is before.
+A caller may send requests before the first is answered, and gets the answers in the order of its
+requests. Handling them one after the other makes short requests wait for long ones. Handling them
+concurrently needs memory for answers that are complete before their turn. Requests overlap only if
+all of them are idempotent (RFC 9112, section 9.3.2), since others may depend on earlier ones.
 """
 
 import typing as t
 
-MAX_REQUESTS = 8
-"""Requests of one connection that are handled at a time."""
+MAX_REQUESTS_PER_CONNECTION = 8
+"""Requests of one connection that are handled concurrently."""
 
-MAX_BYTES = 512 * 1024
-"""Bytes of answers that one connection holds for their turn before it reads no further request.
+MAX_HELD_BYTES_PER_CONNECTION = 512 * 1024
+"""Bytes of held answers at which a connection reads no further request.
 
-Twice the largest answer that a gateway holds whole.
+Twice the largest answer that a gateway buffers.
 """
 
-MAX_REQUESTS_IN_ALL = 64
-"""Requests ahead of their turn on all connections of a process: each can add one held answer."""
+MAX_REQUESTS_AHEAD = 64
+"""Requests handled ahead of their turn on all connections of a process."""
 
-MAX_BYTES_IN_ALL = 8 * 1024 * 1024
-"""Bytes of held answers on all connections: with those still to come 24 MB at the most, which an
-entry with 200 MB has beside the 55 MB that it takes idle."""
+MAX_HELD_BYTES = 8 * 1024 * 1024
+"""Bytes of held answers on all connections at which no further request is read.
+
+Together with the answers of requests that are already running, at most 24 MB are held.
+"""
 
 
-class Room:
-    """Room for requests ahead of their turn on all connections of a process.
+class PipelineBudget:
+    """Requests and memory in use for pipelining on all connections of a process.
 
     Attributes
     ----------
     requests
-        Requests that are handled ahead of their turn.
+        Number of requests that are handled ahead of their turn.
     held
-        Bytes of their answers that wait for their turn.
+        Bytes of complete answers that wait for their turn.
     """
 
     def __init__(self) -> None:
@@ -41,46 +43,46 @@
         self.held = 0
 
     @property
-    def is_full(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Whether no further request may be handled ahead of its turn."""
-        return self.requests >= MAX_REQUESTS_IN_ALL or self.held >= MAX_BYTES_IN_ALL
+        return self.requests >= MAX_REQUESTS_AHEAD or self.held >= MAX_HELD_BYTES
 
 
-class Place:
-    """One request's place on its connection.
+class PipelineUsage:
+    """The share of the pipelining budget that one request uses.
 
     Parameters
     ----------
-    room
-        Where it counts while it is ahead of its turn.
+    budget
+        The budget that is charged while the request is ahead of its turn.
     """
 
-    def __init__(self, room: Room) -> None:
-        self._room = room
+    def __init__(self, budget: PipelineBudget) -> None:
+        self._budget = budget
         self._ahead = False
         self.held = 0
 
-    def take(self) -> None:
-        """Note that the request is handled ahead of its turn."""
+    def start_ahead(self) -> None:
+        """Charge the budget for a request that is handled ahead of its turn."""
         self._ahead = True
-        self._room.requests += 1
+        self._budget.requests += 1
 
-    def hold(self, size: int) -> None:
-        """Note that an answer of `size` bytes waits for its turn."""
+    def hold_answer(self, size: int) -> None:
+        """Charge the budget for a held answer of `size` bytes."""
         self.held += size
-        self._room.held += size
+        self._budget.held += size
 
-    def leave(self) -> None:
-        """Note that it is the request's turn, or that its caller has gone."""
-        self._room.requests -= self._ahead
-        self._room.held -= self.held
+    def release(self) -> None:
+        """Release everything charged: it is the request's turn or the caller disconnected."""
+        self._budget.requests -= self._ahead
+        self._budget.held -= self.held
         self._ahead, self.held = False, 0
 
 
-def may_read_on(places: t.Sequence[Place], room: Room) -> bool:
-    """Tell whether a connection may read the next request while `places` wait for their answers."""
-    if not places:
+def may_read_next(usages: t.Sequence[PipelineUsage], budget: PipelineBudget) -> bool:
+    """Return whether a connection with the open requests `usages` may read another request."""
+    if not usages:
         return True
-    if len(places) >= MAX_REQUESTS or room.is_full:
+    if len(usages) >= MAX_REQUESTS_PER_CONNECTION or budget.is_exhausted:
         return False
-    return sum(place.held for place in places) < MAX_BYTES
+    return sum(usage.held for usage in usages) < MAX_HELD_BYTES_PER_CONNECTION
--- a/packages/callers/src/cardamomloft/callers/request.py
+++ b/packages/callers/src/cardamomloft/callers/request.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its connection, and how its answer is written."""
+"""One HTTP request of a caller: its body, its order in the pipeline and its answer."""
 
 import typing as t
 from http import HTTPStatus
@@ -13,31 +13,31 @@
 
 from .body import RequestBody
 from .channel import CallerChannel
-from .exchange import Answer, RequestHead, broken, end_to_end
-from .pipelining import Place
+from .exchange import Answer, RequestHead, end_to_end, internal_error
+from .pipelining import PipelineUsage
 
-# After an early answer, a rest of the body up to this size is read so that the connection lives on.
-REST_TO_KEEP_ALIVE = 256 * 1024
+# After an early answer, up to this many bytes of the body are read to keep the connection usable.
+MAX_DISCARD_BYTES = 256 * 1024
 
 _PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 @implementer(IKleinRequest)
 class CallerRequest(http.Request):
-    """One request; klein routes it by `postpath`, and its body streams.
+    """One request with a streamed body; klein routes it by `postpath`.
 
     Attributes
     ----------
     body
-        The body, or None as long as the head has not arrived.
-    gone
-        Fires with None if the caller's connection is lost before the answer is complete.
+        The body, or None until the head has arrived.
+    disconnected
+        Fires with None if the connection is lost before the answer is complete.
     started
-        Whether it is being processed.
-    place
-        Its place among the requests of its connection.
+        Whether processing has started.
+    pipeline_usage
+        What the request uses of the pipelining budget.
     waiting_since
-        When it came, in seconds of the reactor, if it had to wait for others; else None.
+        When the request arrived, in reactor seconds, if it had to wait for others; else None.
     """
 
     channel: CallerChannel
@@ -46,9 +46,9 @@
 
     def __init__(self, channel: CallerChannel, queued: object = False) -> None:
         super().__init__(channel, False)
-        self.gone: Deferred[None] = Deferred()
+        self.disconnected: Deferred[None] = Deferred()
         self.started = False
-        self.place = Place(channel.factory.room)
+        self.pipeline_usage = PipelineUsage(channel.factory.pipeline_budget)
         self.waiting_since: float | None = None
         self._turn: Deferred[None] | None = None
         self.branch_segments = [""]
@@ -58,7 +58,7 @@
         self._awaits_continue = False
 
     def head_received(self, method: bytes, uri: bytes, version: bytes, length: int | None) -> None:
-        """Take the head from the channel."""
+        """Store the head that the channel has parsed, and create the body."""
         self.method, self.uri, self.clientproto = method, uri, version
         self.path, _, self.query = uri.partition(b"?")
         expectation = self.requestHeaders.getRawHeaders(b"Expect")
@@ -71,85 +71,85 @@
         self.started = True
         self.process()
 
-    # The turn to answer.
+    # Order of answers.
 
     @property
     def _is_first(self) -> bool:
         return self.over or self.channel.requests[0] is self
 
-    def turn(self, size: int = 0) -> "Deferred[None]":
-        """Return a result that fires when this request's answer may be written.
+    def wait_for_turn(self, size: int = 0) -> "Deferred[None]":
+        """Return a Deferred that fires when the answer may be written.
 
-        It also fires when the caller has gone. `size` are the bytes of the answer that is held
-        until then.
+        It also fires when the connection is lost. `size` is the number of bytes of the answer that
+        are held in memory until then.
         """
         if self._is_first:
             return succeed(None)
-        self.place.hold(size)
+        self.pipeline_usage.hold_answer(size)
         self._turn = Deferred()
         return self._turn
 
     def begin_turn(self) -> None:
-        """Note that all requests before this one are answered, or that the caller has gone."""
-        self.place.leave()
+        """Let the answer be written: earlier ones are complete, or the connection is lost."""
+        self.pipeline_usage.release()
         if self._turn is not None:
             turn, self._turn = self._turn, None
             turn.callback(None)
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Pass a part of the body on."""
+        """Pass a chunk of the body to its consumer."""
         self._awaits_continue = False
         self.body.data_received(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:  # noqa: N802
-        """Note that the body has come to its end."""
+        """End the body."""
         self.body.end()
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Fail the body and tell the handler, unless the answer is complete."""
+        """Fail the body and notify the handler, unless the answer is complete."""
         super().connectionLost(reason)
         if self.body is None or self.finished:
             return
         self.body.fail(f"connection lost after {self.body.received} bytes of the body")
-        self.gone.callback(None)
+        self.disconnected.callback(None)
         self.begin_turn()
 
     def process(self) -> None:
-        """Answer a look-up at once, and route everything else.
+        """Answer a look-up directly, and route every other request with klein.
 
-        Look-ups are many and tiny; klein's routing took 44 % of their time (docs/design/edges.md).
-        Klein sees only whether it is a look-up: callers' paths reach the upstreams as they were
-        sent, so nothing may decode, merge or redirect them.
+        Look-ups bypass klein because routing is a large part of their cost. For other requests
+        klein gets a constant path, since it would decode, normalize or redirect a caller's path,
+        which must reach the upstream as sent.
         """
         lookup = self.channel.factory.lookup
         is_lookup = lookup is not None and self.path == b"/lookup"
         self.postpath = [b"lookup" if is_lookup else b""]
         try:
             if is_lookup and self.method == b"GET":
-                self.answer_in_turn(lookup(self))
+                self.write_answer_in_order(lookup(self))
             else:
                 self.channel.factory.resource.render(self)
         except Exception:
             self.processingFailed(Failure())
 
     def render(self, resource: IResource) -> None:
-        """Let `resource`, which klein's route returned, answer the request."""
+        """Render the resource that klein's route returned."""
         resource.render(self)
 
     def getRequestHostname(self) -> bytes:  # noqa: N802
-        """Return a constant, since routes do not depend on the Host header."""
+        """Return a constant: routes do not depend on the Host header."""
         return b"entry"
 
     def processingFailed(self, failure: Failure) -> None:  # noqa: N802
-        """Answer after a fault of our own; abort if the answer has begun."""
+        """Answer with an internal error; reset the connection if the answer has begun."""
         self.channel.factory.on_fault(failure)
         if self.startedWriting:
             self.abort()
         else:
-            self.answer_in_turn(broken("internal error"))
+            self.write_answer_in_order(internal_error("internal error"))
 
     def head(self) -> RequestHead:
-        """Return the head for the decision code."""
+        """Return the head without hop-by-hop headers."""
         pairs = (
             (name.decode("latin-1").lower(), value.decode("latin-1"))
             for name, values in self.requestHeaders.getAllRawHeaders()
@@ -167,12 +167,12 @@
         )
 
     def begin_answer(self, answer: Answer) -> None:
-        """Set status and headers of the answer, but write nothing yet."""
+        """Set the status and headers of the answer without writing them."""
         self.setResponseCode(answer.status, _PHRASES.get(answer.status, b"Unknown"))
         headers = self.responseHeaders
         for name, value in end_to_end(answer.headers):
             headers.addRawHeader(name.encode("latin-1"), value.encode("latin-1"))
-        # The answer to HEAD may announce the size of a body that it does not have.
+        # An answer to HEAD keeps the Content-Length of the body that GET would return.
         sized = self.method == b"HEAD" and headers.hasHeader(b"Content-Length")
         if isinstance(answer.body, bytes) and not sized:
             headers.setRawHeaders(b"Content-Length", [b"%d" % len(answer.body)])
@@ -182,16 +182,16 @@
             self.channel.persistent = False
             headers.setRawHeaders(b"Connection", [b"close"])
 
-    def answer_in_turn(self, answer: Answer) -> None:
-        """Write an answer whose body is in memory when all before it are written."""
+    def write_answer_in_order(self, answer: Answer) -> None:
+        """Write an answer without a streamed body after all answers before it."""
         if self._is_first:
-            self.answer_at_once(answer)
+            self.write_answer(answer)
             return
         size = len(answer.body) if isinstance(answer.body, bytes) else 0
-        self.turn(size).addCallback(lambda _: self.answer_at_once(answer))
+        self.wait_for_turn(size).addCallback(lambda _: self.write_answer(answer))
 
-    def answer_at_once(self, answer: Answer) -> None:
-        """Write an answer whose body is in memory, or that has none; it must be its turn."""
+    def write_answer(self, answer: Answer) -> None:
+        """Write an answer without a streamed body; earlier answers must be complete."""
         if self.over:
             return
         self.begin_answer(answer)
@@ -200,22 +200,22 @@
 
     @property
     def over(self) -> bool:
-        """Whether the caller has gone or has its whole answer."""
+        """Whether the connection is lost or the answer is complete."""
         return self._disconnected or bool(self.finished)
 
     def abort(self) -> None:
-        """Reset the caller's connection, so that no short answer passes for a whole one."""
+        """Reset the connection, so that the caller recognizes a truncated answer."""
         if not self.over:
             self.channel.transport.abortConnection()
 
     def _must_close(self) -> bool:
         if self.channel.has_more(self):
-            # What was read behind this request is answered too; only the last answer closes.
+            # Only the last of the pipelined answers closes the connection.
             return False
         if self.channel.factory.closing or not self.channel.persistent or self._awaits_continue:
             return True
         rest = self.body.remaining
-        return self.body.failure is not None or (rest is not None and rest > REST_TO_KEEP_ALIVE)
+        return self.body.failure is not None or (rest is not None and rest > MAX_DISCARD_BYTES)
 
     def _send_continue(self) -> None:
         if self._awaits_continue and not self.startedWriting and not self._disconnected:
--- a/packages/callers/src/cardamomloft/callers/waiting.py
+++ b/packages/callers/src/cardamomloft/callers/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for something to be over, for any number of waiters."""
+"""Deferreds that wait for a condition."""
 
 from collections.abc import Callable
 
@@ -6,29 +6,29 @@
 
 
 class Waiters:
-    """Those who wait until something is over.
+    """Any number of Deferreds that fire once a condition holds.
 
     Parameters
     ----------
-    is_over
-        Tells whether it is over now.
+    condition
+        Returns whether the condition holds now.
     """
 
-    def __init__(self, is_over: Callable[[], bool]) -> None:
-        self._is_over = is_over
+    def __init__(self, condition: Callable[[], bool]) -> None:
+        self._condition = condition
         self._waiting: list[Deferred[None]] = []
 
     def wait(self) -> "Deferred[None]":
-        """Return a result that fires once it is over; at once if it is."""
-        done: Deferred[None] = Deferred()
-        self._waiting.append(done)
+        """Return a Deferred that fires once the condition holds, immediately if it does."""
+        deferred: Deferred[None] = Deferred()
+        self._waiting.append(deferred)
         self.check()
-        return done
+        return deferred
 
     def check(self) -> None:
-        """Tell those who wait if it is over; call it after each change."""
-        if not self._is_over():
+        """Fire the waiting Deferreds if the condition holds; call it after each change."""
+        if not self._condition():
             return
         waiting, self._waiting = self._waiting, []
-        for done in waiting:
-            done.callback(None)
+        for deferred in waiting:
+            deferred.callback(None)
--- a/packages/callers/tests/test_callers_body.py
+++ b/packages/callers/tests/test_callers_body.py
@@ -1,3 +1,5 @@
+"""Back-pressure, truncation and size limits of request bodies."""
+
 import pytest
 from cardamomloft.callers.body import HIGH_WATER, BodyIncomplete, RequestBody
 
@@ -14,7 +16,7 @@
 
 
 class SlowConsumer:
-    """Asks for a pause after every write, as a full socket buffer does."""
+    """Pauses the producer after every write, like a full socket buffer."""
 
     def __init__(self, body):
         self.body = body
@@ -25,7 +27,7 @@
         self.body.pauseProducing()
 
 
-def test_a_slow_consumer_bounds_what_is_held_and_gets_every_byte_in_order():
+def test_slow_consumer_bounds_buffer_and_gets_all_bytes_in_order():
     flow = Flow()
     body = RequestBody(None, flow)
     consumer = SlowConsumer(body)
@@ -40,10 +42,10 @@
     body.end()
     assert consumer.data == sent
     assert done.called
-    assert body.most_buffered <= HIGH_WATER
+    assert body.max_buffered <= HIGH_WATER
 
 
-def test_bytes_wait_for_a_consumer_only_up_to_the_high_water_mark():
+def test_reading_pauses_at_the_high_water_mark_without_a_consumer():
     flow = Flow()
     body = RequestBody(10 * HIGH_WATER, flow)
     body.data_received(b"x" * (HIGH_WATER - 1))
@@ -52,7 +54,7 @@
     assert flow.paused and body.untouched
 
 
-def test_a_consumer_learns_that_the_caller_broke_off_even_while_it_is_paused():
+def test_paused_consumer_is_notified_of_a_truncated_body():
     body = RequestBody(100, Flow())
     done = body.startProducing(SlowConsumer(body))
     body.data_received(b"x" * 10)
@@ -64,7 +66,7 @@
 
 
 @pytest.mark.parametrize("announced", [11, None])
-def test_collect_refuses_more_than_its_limit(announced):
+def test_collect_rejects_a_body_above_its_limit(announced):
     body = RequestBody(announced, Flow())
     results = []
     body.collect(10).addCallback(results.append)
@@ -73,7 +75,7 @@
     assert body.untouched == (announced is not None)
 
 
-def test_collect_returns_the_whole_body_or_says_what_is_missing():
+def test_collect_returns_the_whole_body_or_a_truncation_error():
     results = []
     whole, short = RequestBody(4, Flow()), RequestBody(4, Flow())
     for body in (whole, short):
--- a/packages/callers/tests/test_callers_channel.py
+++ b/packages/callers/tests/test_callers_channel.py
@@ -1,3 +1,5 @@
+"""The HTTP protocol of a caller's connection, on an in-memory transport."""
+
 from datetime import timedelta
 from unittest.mock import Mock
 
@@ -20,7 +22,7 @@
 
 
 class Harness:
-    """One connection to an app whose handler only records what it is given."""
+    """One connection to an app whose handler records its arguments and answers on demand."""
 
     def __init__(self, handle=None, lookup=None):
         self.calls = []
@@ -32,8 +34,8 @@
         self.channel = self.app.factory(self.clock).buildProtocol(None)
         self.channel.makeConnection(self.transport)
 
-    def record(self, head, body, gone):
-        self.calls.append((head, body, gone))
+    def record(self, head, body, disconnected):
+        self.calls.append((head, body, disconnected))
         self.answers.append(Deferred())
         return self.answers[-1]
 
@@ -50,7 +52,7 @@
 
 
 class ManualSource:
-    """A streamed body that a test feeds by hand."""
+    """A streamed body whose chunks and end the test controls."""
 
     def __init__(self):
         self.producer = Mock()
@@ -71,7 +73,7 @@
     return complete(200, headers, body)
 
 
-def test_a_request_is_handled_when_its_head_is_there_and_pipelined_ones_wait_in_order():
+def test_request_is_handled_before_its_body_arrives_and_pipelined_ones_wait():
     harness = Harness()
     harness.receive(POST + b"Content-Length: 4\r\n\r\nab")
     head, body, _ = harness.calls[0]
@@ -86,7 +88,7 @@
     assert harness.channel.idle and not harness.transport.disconnecting
 
 
-def test_an_early_refusal_of_a_small_upload_keeps_the_connection_in_step():
+def test_early_refusal_of_a_small_upload_keeps_the_connection_usable():
     refusal = Refusal(RefusalReason.OVERLOAD, retry_after=timedelta(milliseconds=1001))
     harness = Harness(lambda *_: succeed(to_answer(refusal)))
     harness.receive(POST + b"Content-Length: 40\r\n\r\n")
@@ -99,7 +101,7 @@
     assert harness.written().startswith(b"HTTP/1.1 503 ")
 
 
-def test_an_early_refusal_of_a_large_upload_closes_when_its_rest_takes_too_long():
+def test_early_refusal_of_a_large_upload_closes_at_the_discard_timeout():
     harness = Harness(lambda *_: succeed(to_answer(Refusal(RefusalReason.OVERLOAD))))
     harness.receive(POST + b"Content-Length: 9999999\r\n\r\n")
     assert b"Connection: close" in harness.written()
@@ -109,7 +111,7 @@
     assert harness.transport.disconnected
 
 
-def test_expectation_is_met_only_when_the_body_is_wanted():
+def test_100_continue_is_sent_only_when_the_body_is_consumed():
     harness = Harness()
     harness.receive(POST + b"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n")
     assert harness.written() == b""
@@ -124,7 +126,7 @@
     assert refused.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in refused
 
 
-def test_a_malformed_chunk_fails_the_body_and_writes_nothing_into_an_answer():
+def test_malformed_chunk_does_not_corrupt_an_answer_in_progress():
     source = ManualSource()
     answer = text(source, (("content-length", "4"),))
     harness = Harness(lambda *_: succeed(answer))
@@ -138,18 +140,18 @@
     assert harness.written() == b"cd" and harness.transport.disconnecting
 
 
-def test_a_body_shorter_than_announced_fails_and_tells_that_the_caller_has_gone():
+def test_truncated_body_fails_and_notifies_the_handler():
     harness = Harness()
     harness.receive(POST + b"Content-Length: 10\r\n\r\nabc")
-    _, body, gone = harness.calls[0]
+    _, body, disconnected = harness.calls[0]
     result = body.collect(100)
     harness.lose()
-    assert "after 3 bytes" in result.result.error and gone.called
+    assert "after 3 bytes" in result.result.error and disconnected.called
     harness.answers[0].callback(text(b"too late"))
     assert harness.written() == b"" and harness.app.in_flight == 0
 
 
-def test_bytes_beyond_the_announced_length_are_not_the_body_and_close_the_connection():
+def test_bytes_beyond_the_content_length_are_rejected_and_close_the_connection():
     harness = Harness()
     harness.receive(POST + b"Content-Length: 2\r\n\r\nabEXTRA\r\n\r\n")
     result = harness.calls[0][1].collect(10)
@@ -172,7 +174,7 @@
         (b"GET http://a/ HTTP/1.1\r\nHost: a\r\n\r\n", 400),
     ],
 )
-def test_a_bad_head_is_refused_once_and_never_handled(head, status):
+def test_invalid_head_is_refused_once_and_never_handled(head, status):
     harness = Harness()
     harness.receive(head)
     harness.receive(GET if status != 400 else b"")
@@ -204,7 +206,7 @@
 
 
 @pytest.mark.parametrize("fault", [ValueError("bug"), None])
-def test_a_fault_of_the_handler_claims_nothing(fault):
+def test_handler_error_gives_500_with_unknown_outcome(fault):
     def handle(*_):
         if fault is not None:
             raise fault
@@ -226,7 +228,7 @@
         ("2", b"abc", Delivery(True, 3)),
     ],
 )
-def test_an_answer_cut_short_or_too_long_resets_the_connection(announced, sent, delivery):
+def test_answer_of_the_wrong_length_resets_the_connection(announced, sent, delivery):
     source = ManualSource()
     headers = (("content-length", announced),) if announced else ()
     harness = Harness(lambda *_: succeed(text(source, headers)))
@@ -237,7 +239,7 @@
     assert harness.app.in_flight == 0
 
 
-def test_a_streamed_answer_pauses_its_source_and_is_aborted_when_the_caller_goes():
+def test_streamed_answer_pauses_its_source_and_is_aborted_on_disconnect():
     source = ManualSource()
     harness = Harness(lambda *_: succeed(text(source)))
     harness.receive(GET)
@@ -253,7 +255,7 @@
     assert harness.app.in_flight == 0
 
 
-def test_reading_stays_paused_for_a_full_upstream_when_the_answer_may_flow_again():
+def test_resumed_answer_does_not_resume_reading_for_a_paused_upstream():
     harness = Harness()
     harness.receive(POST + b"Content-Length: 999999\r\n\r\n")
     _, body, _ = harness.calls[0]
@@ -268,7 +270,7 @@
 
 
 @pytest.mark.parametrize(("method", "status"), [(b"HEAD", 200), (b"GET", 204), (b"GET", 304)])
-def test_answers_without_a_body_leave_the_connection_in_step(method, status):
+def test_answers_without_a_body_keep_the_connection_usable(method, status):
     source = ManualSource()
     headers = (("content-length", "5"),) if status == 200 else ()
     harness = Harness(lambda *_: succeed(Answer(status, headers, source)))
@@ -279,7 +281,7 @@
     assert b"chunked" not in written and source.abort.called and harness.channel.idle
 
 
-def test_hop_by_hop_headers_go_neither_way():
+def test_hop_by_hop_headers_are_removed_in_both_directions():
     answer = text(b"", (("Connection", "x-mine"), ("X-Mine", "1"), ("Kept", "1"), ("TE", "a")))
     harness = Harness()
     harness.receive(
@@ -293,7 +295,7 @@
     assert not any(name in written for name in (b"x-mine", b"te:", b"connection:"))
 
 
-def test_closing_ends_connections_with_their_answers_and_drained_waits_for_them():
+def test_closing_ends_connections_after_their_answers_and_drained_waits():
     harness = Harness()
     harness.receive(GET)
     harness.app.closing()
@@ -302,10 +304,10 @@
     harness.answers[0].callback(text(b"ok"))
     assert drained.called and b"Connection: close" in harness.written()
     assert harness.transport.disconnecting
-    gone = harness.app.disconnect()
-    assert not gone.called
+    closed = harness.app.disconnect()
+    assert not closed.called
     harness.lose()
-    assert gone.called
+    assert closed.called
 
 
 def test_idle_timeout_runs_between_requests_but_not_during_one():
@@ -320,7 +322,7 @@
 
 
 @pytest.mark.parametrize("begin", [b"GE", POST, b"", GET + b"GET /"])
-def test_a_head_that_has_begun_must_end_in_time_however_it_trickles(begin):
+def test_slowly_sent_head_is_refused_at_the_head_timeout(begin):
     harness = Harness()
     harness.receive(begin)
     if harness.answers:
@@ -335,16 +337,16 @@
     assert refused == bool(begin) and harness.transport.disconnecting == bool(begin)
 
 
-def test_a_head_whose_rest_came_while_the_process_was_busy_is_not_late():
+def test_head_received_while_the_event_loop_was_busy_does_not_time_out():
     harness = Harness()
     harness.receive(POST)
-    # The loop runs due timers first and then reads: the rest waits in the socket meanwhile.
+    # The event loop runs due timers before it reads the rest of the head from the socket.
     harness.clock.callLater(HEAD_TIMEOUT_S, harness.receive, b"\r\n")
     harness.clock.advance(HEAD_TIMEOUT_S + 1)
     assert len(harness.calls) == 1 and harness.written() == b""
 
 
-def test_heads_are_held_to_the_size_that_was_set_the_request_line_apart():
+def test_head_size_limit_does_not_count_the_request_line():
     harness = Harness()
     harness.channel.bound_heads(HeadLimits(64, 1))
     harness.receive(b"GET /" + b"x" * 100 + b" HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -355,18 +357,18 @@
     assert harness.written().startswith(b"HTTP/1.1 431 ")
 
 
-def test_a_head_may_be_larger_than_usual_where_that_was_set():
+def test_head_size_limit_can_be_raised_above_the_default():
     harness = Harness()
     harness.channel.bound_heads(HeadLimits(64 * 1024, 1))
     harness.receive(b"GET / HTTP/1.1\r\nHost: a\r\nB: " + b"x" * 30_000 + b"\r\n\r\n")
     assert len(harness.calls) == 1
 
 
-def test_lookup_answers_json_and_refuses_a_malformed_client():
-    asked = []
+def test_lookup_returns_json_and_refuses_an_invalid_client():
+    looked_up = []
 
     def lookup(client):
-        asked.append(client)
+        looked_up.append(client)
         if client == "10.0.0.9":
             return Refusal(RefusalReason.NOT_READY)
         return {"site": "kingston", "entries": [], "valid_ms": 2500}
@@ -380,4 +382,4 @@
     assert msgspec.json.decode(written[0].partition(b"\r\n\r\n")[2])["site"] == "kingston"
     assert written[1].startswith(b"HTTP/1.1 503 ") and b"entry-not-ready" in written[1]
     assert written[2].startswith(b"HTTP/1.1 400 ")
-    assert asked == ["10.1.2.3", "10.0.0.9", "192.168.1.1"]
+    assert looked_up == ["10.1.2.3", "10.0.0.9", "192.168.1.1"]
--- a/packages/callers/tests/test_pipelining.py
+++ b/packages/callers/tests/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Several requests in flight on one caller's connection."""
+"""Pipelined requests on one connection: concurrency, order of answers, limits and disconnects."""
 
 import re
 
@@ -6,7 +6,12 @@
 from cardamomloft.callers import pipelining
 from cardamomloft.callers.app import CallersApp, listen
 from cardamomloft.callers.exchange import Delivery, complete, to_answer
-from cardamomloft.callers.pipelining import MAX_REQUESTS, Place, Room, may_read_on
+from cardamomloft.callers.pipelining import (
+    MAX_REQUESTS_PER_CONNECTION,
+    PipelineBudget,
+    PipelineUsage,
+    may_read_next,
+)
 from cardamomloft.core.model import Refusal, RefusalReason
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -35,7 +40,7 @@
     return head % name + b"2\r\nxx\r\n0\r\n\r\n"
 
 
-class Counts:
+class RecordingMeter:
     def __init__(self):
         self.names = []
 
@@ -47,16 +52,16 @@
 
 
 class Connection:
-    """One connection to an app whose requests are answered by hand, by their number."""
+    """One connection to an app whose requests the test answers by their number."""
 
     def __init__(self, app=None):
         self.order = []
         self.answers = {}
         self.bodies = {}
-        self.gone = set()
+        self.disconnected = set()
         self.clock = Clock()
-        self.counts = Counts()
-        self.app = app or CallersApp(None, self.handle, self.fail, meter=self.counts)
+        self.meter = RecordingMeter()
+        self.app = app or CallersApp(None, self.handle, self.fail, meter=self.meter)
         self.factory = self.app.factory(self.clock)
         self.transport = StringTransport()
         self.channel = self.factory.buildProtocol(None)
@@ -65,12 +70,12 @@
     def fail(self, failure):
         raise AssertionError(failure.getTraceback())
 
-    def handle(self, head, body, gone):
+    def handle(self, head, body, disconnected):
         name = int(head.path[1:])
         self.order.append(name)
         self.bodies[name] = body.collect(1_000_000)
         self.answers[name] = Deferred()
-        gone.addCallback(lambda _: self.gone.add(name))
+        disconnected.addCallback(lambda _: self.disconnected.add(name))
         return self.answers[name]
 
     def receive(self, data):
@@ -86,27 +91,27 @@
         return [int(name) for name in re.findall(rb"<(\d+)>", self.transport.value())]
 
 
-def test_requests_run_side_by_side_and_are_answered_in_their_order():
+def test_requests_run_concurrently_and_are_answered_in_order():
     conn = Connection()
     conn.receive(get(1) + get(2) + get(3)[:10])
     assert conn.order == [1, 2]
     conn.receive(get(3)[10:])
-    assert conn.order == [1, 2, 3] and conn.factory.room.requests == 2
+    assert conn.order == [1, 2, 3] and conn.factory.pipeline_budget.requests == 2
     conn.answer(3)
-    assert conn.answered() == [] and conn.factory.room.held == 3
+    assert conn.answered() == [] and conn.factory.pipeline_budget.held == 3
     conn.answer(1)
-    assert conn.answered() == [1] and conn.factory.room.requests == 1
+    assert conn.answered() == [1] and conn.factory.pipeline_budget.requests == 1
     conn.answer(2)
     assert conn.answered() == [1, 2, 3] and not conn.transport.disconnecting
-    assert (conn.factory.room.requests, conn.factory.room.held) == (0, 0)
-    assert conn.counts.names == ["pipelined.beside"] * 2
+    assert (conn.factory.pipeline_budget.requests, conn.factory.pipeline_budget.held) == (0, 0)
+    assert conn.meter.names == ["pipelined.beside"] * 2
     conn.receive(get(4))
     conn.answer(4)
     assert conn.answered() == [1, 2, 3, 4]
 
 
 @pytest.mark.parametrize("first", [post(1), chunked(1)])
-def test_what_stands_behind_a_request_that_may_not_be_repeated_waits(first):
+def test_requests_behind_a_non_idempotent_request_wait(first):
     conn = Connection()
     conn.receive(first + get(2))
     assert conn.order == [1]
@@ -117,7 +122,7 @@
     assert conn.answered() == [1, 2]
 
 
-def test_a_request_that_may_not_be_repeated_waits_for_all_before_it():
+def test_non_idempotent_request_waits_for_all_before_it():
     conn = Connection()
     conn.receive(get(1) + get(2) + post(3) + get(4))
     conn.answer(2)
@@ -128,7 +133,7 @@
     assert conn.order == [1, 2, 3, 4]
 
 
-def test_a_body_that_waits_is_bounded_and_still_whole():
+def test_body_of_a_waiting_request_is_bounded_by_pausing_the_connection():
     conn = Connection()
     conn.receive(get(1) + post(2, 200_000)[:100_000])
     assert conn.order == [1] and conn.transport.producerState == "paused"
@@ -136,27 +141,27 @@
     assert conn.order == [1, 2] and conn.transport.producerState == "producing"
 
 
-def test_how_long_a_request_stood_unread_is_measured():
+def test_time_that_a_request_waited_unread_is_recorded():
     conn = Connection()
     conn.receive(post(1) + get(2))
     conn.clock.advance(0.75)
     conn.answer(1)
-    assert conn.counts.names == ["pipelined.waited", ("pipelined.wait", 0.75)]
+    assert conn.meter.names == ["pipelined.waited", ("pipelined.wait", 0.75)]
 
 
-def test_a_caller_that_leaves_cancels_all_of_its_requests():
+def test_disconnect_cancels_all_pipelined_requests():
     conn = Connection()
     conn.receive(get(1) + get(2) + get(3) + post(4))
     conn.answer(2)
     conn.lose()
-    assert conn.gone == {1, 2, 3} and conn.order == [1, 2, 3]
+    assert conn.disconnected == {1, 2, 3} and conn.order == [1, 2, 3]
     conn.answer(1)
     conn.answer(3)
     assert conn.app.in_flight == 0
-    assert (conn.factory.room.requests, conn.factory.room.held) == (0, 0)
+    assert (conn.factory.pipeline_budget.requests, conn.factory.pipeline_budget.held) == (0, 0)
 
 
-def test_only_the_last_answer_closes_when_the_process_stops():
+def test_only_the_last_answer_closes_the_connection_during_shutdown():
     conn = Connection()
     conn.receive(get(1) + get(2))
     conn.app.closing()
@@ -168,7 +173,7 @@
     assert conn.transport.disconnecting and conn.app.in_flight == 0
 
 
-def test_a_caller_that_announces_its_last_request_gets_all_answers_before_the_close():
+def test_connection_close_request_gets_all_answers_before_the_close():
     conn = Connection()
     last = get(2).replace(b"Host: a", b"Host: a\r\nConnection: close")
     conn.receive(get(1) + last + get(3))
@@ -179,7 +184,7 @@
 
 
 @pytest.mark.parametrize("bad", [b"bad\r\n\r\n", b"GET /3 HTTP/1.1\r\nno colon\r\n\r\n"])
-def test_a_malformed_head_does_not_spoil_the_answers_before_it(bad):
+def test_malformed_head_does_not_corrupt_the_answers_before_it(bad):
     conn = Connection()
     conn.receive(get(1) + get(2) + bad + get(4))
     assert conn.order == [1, 2] and conn.transport.value() == b""
@@ -191,7 +196,7 @@
     assert b"Connection: close" not in written[: written.index(b"HTTP/1.1 400")]
 
 
-def test_a_refusal_without_a_handler_waits_for_its_turn_too():
+def test_refusal_without_a_handler_is_written_in_order():
     conn = Connection()
     conn.receive(get(1) + get(2).replace(b"Host: a", b"Host: a\r\nHost: b"))
     assert conn.transport.value() == b""
@@ -199,7 +204,7 @@
     assert conn.transport.value().index(b"<1>") < conn.transport.value().index(b"HTTP/1.1 400")
 
 
-def test_a_refused_request_closes_nothing_behind_or_before_it():
+def test_refused_request_does_not_close_the_connection():
     conn = Connection()
     conn.receive(get(1) + get(2) + get(3))
     conn.answers[2].callback(to_answer(Refusal(RefusalReason.OVERLOAD)))
@@ -209,7 +214,7 @@
 
 
 class Source:
-    """A streamed body that notes whether anybody took it."""
+    """A streamed body that records whether it was delivered or aborted."""
 
     def __init__(self):
         self.consumer = None
@@ -224,7 +229,7 @@
         self.aborted = True
 
 
-def test_a_streamed_answer_is_taken_only_in_its_turn():
+def test_streamed_answer_starts_only_in_its_turn():
     conn, source = Connection(), Source()
     conn.receive(get(1) + get(2))
     conn.answer(2, source)
@@ -241,34 +246,34 @@
     assert source.aborted and source.consumer is None
 
 
-def test_a_connection_reads_no_further_than_its_room():
+def test_connection_stops_reading_at_its_limits():
     conn = Connection()
-    conn.receive(b"".join(get(name) for name in range(MAX_REQUESTS + 3)))
-    assert len(conn.order) == MAX_REQUESTS
+    conn.receive(b"".join(get(name) for name in range(MAX_REQUESTS_PER_CONNECTION + 3)))
+    assert len(conn.order) == MAX_REQUESTS_PER_CONNECTION
     conn.answer(0)
-    assert len(conn.order) == MAX_REQUESTS + 1
-    conn.answer(2, b"x" * pipelining.MAX_BYTES)
+    assert len(conn.order) == MAX_REQUESTS_PER_CONNECTION + 1
+    conn.answer(2, b"x" * pipelining.MAX_HELD_BYTES_PER_CONNECTION)
     conn.answer(1, b"y")
-    assert len(conn.order) == MAX_REQUESTS + 3
-
-
-def test_all_connections_share_their_room():
-    room = Room()
-    places = [Place(room) for _ in range(pipelining.MAX_REQUESTS_IN_ALL)]
-    for place in places:
-        place.take()
-    assert not may_read_on([Place(room)], room) and may_read_on([], room)
-    places[0].hold(pipelining.MAX_BYTES_IN_ALL)
-    places[1].leave()
-    assert not may_read_on([Place(room)], room)
-    places[0].leave()
-    assert may_read_on([Place(room)], room)
-    held = Place(room)
-    held.hold(pipelining.MAX_BYTES)
-    assert not may_read_on([held], room)
-
-
-def test_a_caller_that_does_not_read_gets_no_further_requests_handled():
+    assert len(conn.order) == MAX_REQUESTS_PER_CONNECTION + 3
+
+
+def test_all_connections_share_one_budget():
+    budget = PipelineBudget()
+    usages = [PipelineUsage(budget) for _ in range(pipelining.MAX_REQUESTS_AHEAD)]
+    for usage in usages:
+        usage.start_ahead()
+    assert not may_read_next([PipelineUsage(budget)], budget) and may_read_next([], budget)
+    usages[0].hold_answer(pipelining.MAX_HELD_BYTES)
+    usages[1].release()
+    assert not may_read_next([PipelineUsage(budget)], budget)
+    usages[0].release()
+    assert may_read_next([PipelineUsage(budget)], budget)
+    charged = PipelineUsage(budget)
+    charged.hold_answer(pipelining.MAX_HELD_BYTES_PER_CONNECTION)
+    assert not may_read_next([charged], budget)
+
+
+def test_no_further_requests_are_handled_while_the_caller_does_not_read():
     conn = Connection()
     conn.receive(post(1) + get(2) + get(3) + get(4))
     conn.channel.pauseProducing()
@@ -280,7 +285,7 @@
     assert conn.order == [1, 2, 3, 4]
 
 
-def test_a_caller_that_does_not_read_is_not_read_either():
+def test_reading_pauses_while_the_caller_does_not_read():
     conn = Connection()
     conn.receive(get(1) + get(2))
     conn.channel.pauseProducing()
@@ -296,7 +301,7 @@
 
 @settings(max_examples=1000, deadline=None)
 @given(st.data())
-def test_any_interleaving_keeps_order_and_repeats_or_loses_nothing(data):
+def test_any_interleaving_keeps_order_without_loss_or_duplicates(data):
     kinds = data.draw(
         st.lists(st.sampled_from(["get", "get", "get", "post", "chunked"]), max_size=12)
     )
@@ -304,13 +309,13 @@
     conn, lost, done = Connection(), False, set()
     while stream or len(done) < len(conn.order):
         waiting = [name for name in conn.order if name not in done]
-        acts = ["read"] * bool(stream) + ["answer"] * bool(waiting)
-        act = data.draw(st.sampled_from([*acts, *acts, *acts, "lose"]))
-        if act == "read":
+        actions = ["read"] * bool(stream) + ["answer"] * bool(waiting)
+        action = data.draw(st.sampled_from([*actions, *actions, *actions, "lose"]))
+        if action == "read":
             size = data.draw(st.integers(1, 60))
             conn.receive(stream[:size])
             stream = stream[size:]
-        elif act == "answer":
+        elif action == "answer":
             name = data.draw(st.sampled_from(waiting))
             done.add(name)
             conn.answer(name)
@@ -324,24 +329,24 @@
     if lost:
         waiting = [name for name in conn.order if name not in conn.answered()]
         conn.lose()
-        assert conn.gone == set(waiting)
+        assert conn.disconnected == set(waiting)
         for name in set(conn.order) - done:
             conn.answer(name)
     else:
         assert conn.answered() == list(range(len(kinds)))
     assert conn.app.in_flight == 0
-    assert (conn.factory.room.requests, conn.factory.room.held) == (0, 0)
+    assert (conn.factory.pipeline_budget.requests, conn.factory.pipeline_budget.held) == (0, 0)
 
 
 class Peer(Protocol):
     def __init__(self):
-        self.heard = b""
+        self.received = b""
         self.lost = Deferred()
         self.waiting = None
 
     def dataReceived(self, data):  # noqa: N802
-        self.heard += data
-        if self.waiting is not None and self.heard.count(b">") >= self.waiting[0]:
+        self.received += data
+        if self.waiting is not None and self.received.count(b">") >= self.waiting[0]:
             waiting, self.waiting = self.waiting[1], None
             waiting.callback(None)
 
@@ -359,7 +364,7 @@
 
     @inlineCallbacks
     def setUp(self):  # noqa: N802
-        self.answers, self.gone = {}, {}
+        self.answers, self.disconnected = {}, {}
         self.arrivals, self.wanted = [], None
         self.app = CallersApp(None, self.handle)
         self.port = listen(reactor, "127.0.0.1:0", self.app)
@@ -377,10 +382,10 @@
         yield self.app.disconnect()
         yield self.port.stopListening()
 
-    def handle(self, head, body, gone):
+    def handle(self, head, body, disconnected):
         name = int(head.path[1:])
-        self.gone[name] = Deferred()
-        gone.addCallback(lambda _: self.gone[name].callback(None))
+        self.disconnected[name] = Deferred()
+        disconnected.addCallback(lambda _: self.disconnected[name].callback(None))
         self.answers[name] = Deferred()
         self.arrivals.append(name)
         if self.wanted is not None and len(self.arrivals) >= self.wanted[0]:
@@ -395,11 +400,11 @@
     def answer(self, name):
         self.answers[name].callback(complete(200, (), b"<%d>" % name))
 
-    def heard(self):
-        return [int(name) for name in re.findall(rb"<(\d+)>", self.peer.heard)]
+    def received(self):
+        return [int(name) for name in re.findall(rb"<(\d+)>", self.peer.received)]
 
     @inlineCallbacks
-    def test_answers_come_in_the_order_of_the_requests(self):
+    def test_answers_are_received_in_request_order(self):
         arrived = self.arrived(3)
         self.peer.transport.write(get(1) + get(2) + get(3))
         yield arrived
@@ -407,34 +412,34 @@
         for name in (3, 1, 2):
             self.answer(name)
         yield answered
-        self.assertEqual(self.heard(), [1, 2, 3])
+        self.assertEqual(self.received(), [1, 2, 3])
 
     @inlineCallbacks
-    def test_a_reset_cancels_all_of_them(self):
+    def test_connection_reset_cancels_all_requests(self):
         arrived = self.arrived(2)
         self.peer.transport.write(get(1) + get(2))
         yield arrived
         self.peer.transport.abortConnection()
-        yield self.gone[1]
-        yield self.gone[2]
+        yield self.disconnected[1]
+        yield self.disconnected[2]
         for name in (1, 2):
             self.answer(name)
         self.assertEqual(self.app.in_flight, 0)
 
     @inlineCallbacks
-    def test_an_orderly_close_with_half_a_head_behind_cancels_all_of_them(self):
+    def test_orderly_close_after_a_partial_head_cancels_all_requests(self):
         arrived = self.arrived(2)
         self.peer.transport.write(get(1) + get(2) + get(3)[:12])
         yield arrived
         self.peer.transport.loseConnection()
-        yield self.gone[1]
-        yield self.gone[2]
+        yield self.disconnected[1]
+        yield self.disconnected[2]
         self.assertEqual(self.arrivals, [1, 2])
         for name in (1, 2):
             self.answer(name)
 
     @inlineCallbacks
-    def test_a_stop_answers_what_was_read_and_then_closes(self):
+    def test_shutdown_answers_the_requests_that_were_read_and_then_closes(self):
         arrived = self.arrived(2)
         self.peer.transport.write(get(1) + get(2))
         yield arrived
@@ -443,5 +448,5 @@
             self.answer(name)
         yield self.peer.lost
         self.assertTrue(self.peer.reason.check(ConnectionDone))
-        self.assertEqual(self.heard(), [1, 2])
-        self.assertEqual(self.peer.heard.count(b"Connection: close"), 1)
+        self.assertEqual(self.received(), [1, 2])
+        self.assertEqual(self.peer.received.count(b"Connection: close"), 1)
