--- a/packages/store/src/cardamomloft/store/__init__.py
+++ b/packages/store/src/cardamomloft/store/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters for the platform's key-value store and VM list."""
+"""HTTP clients of the platform's key-value store and VM list."""
--- a/packages/store/src/cardamomloft/store/exchange.py
+++ b/packages/store/src/cardamomloft/store/exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange with the platform: bounded in time and size, never repeated."""
+"""HTTP client of the platform with limits of time and size and without retries."""
 
 import socket
 import typing as t
@@ -16,17 +16,17 @@
 from twisted.web.iweb import IAgent, IResponse
 
 CONNECT_TIMEOUT_S = 1.0
-IDLE_CONNECTIONS = 4
+MAX_IDLE_CONNECTIONS = 4
 
-# A second without a byte, then one probe and a second for its answer: the least that there is.
-_PROBES = {socket.TCP_KEEPIDLE: 1, socket.TCP_KEEPINTVL: 1, socket.TCP_KEEPCNT: 1}
+# Detect a dead peer in about 2 s: the minimum values of TCP keep-alive.
+_KEEPALIVE_OPTIONS = {socket.TCP_KEEPIDLE: 1, socket.TCP_KEEPINTVL: 1, socket.TCP_KEEPCNT: 1}
 
 
 class Answer(t.NamedTuple):
-    """A whole HTTP answer.
+    """A complete HTTP answer.
 
-    `index` is its X-Consul-Index, None if there is no valid one. `era` is the text of the header by
-    which the server tells its era, None without it.
+    `index` is the X-Consul-Index, None if it is missing or invalid. `era` is the value of the
+    server's era header, None if it is missing.
     """
 
     status: int
@@ -36,9 +36,9 @@
 
 
 class _Connection(HTTP11ClientProtocol):
-    """A connection that ends soon after the other side has gone silent.
+    """A connection with TCP keep-alive.
 
-    A call may wait for a change for seconds; without probes it would wait on a dead connection.
+    It ends a call that waits for a change on a dead connection before the call times out.
     """
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -46,7 +46,7 @@
         handle = getattr(self.transport, "getHandle", lambda: None)()
         if isinstance(handle, socket.socket):
             handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            for option, value in _PROBES.items():
+            for option, value in _KEEPALIVE_OPTIONS.items():
                 handle.setsockopt(socket.IPPROTO_TCP, option, value)
 
 
@@ -60,20 +60,20 @@
 
 
 class Exchange:
-    """Calls one HTTP server of the platform.
+    """HTTP client of one server of the platform.
 
     Parameters
     ----------
     reactor
-        Opens connections and measures timeouts.
+        Opens connections and runs timeouts.
     address
         The server as ``ip:port``.
     max_answer_bytes
-        Longer answers count as failed.
+        A call whose answer is longer fails.
     agent
-        Sends the requests; the default keeps a few connections open.
+        Sends the requests; the default keeps up to `MAX_IDLE_CONNECTIONS` connections open.
     era_header
-        Header of answers by which the server tells its era.
+        Name of the answer header that holds the server's era, or None.
     """
 
     def __init__(
@@ -90,8 +90,8 @@
         self._max_answer_bytes = max_answer_bytes
         self._era_header = era_header
         self._pool = _Pool(reactor)
-        self._pool.maxPersistentPerHost = IDLE_CONNECTIONS
-        # Twisted would repeat a GET on a connection that has died; the caller is to decide that.
+        self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
+        # Retries, also of GET on a closed connection, are left to the caller.
         self._pool.retryAutomatically = False
         own_agent = Agent(reactor, connectTimeout=CONNECT_TIMEOUT_S, pool=self._pool)
         self._client = HTTPClient(agent or own_agent)
@@ -105,9 +105,9 @@
         params: Mapping[str, str] | None = None,
         body: bytes | None = None,
     ) -> "defer.Deferred[Result[Answer, CallFailure]]":
-        """Send one request and collect its answer.
+        """Send one request and read its answer.
 
-        The Deferred never fails; cancelling it drops the connection and gives a failure.
+        The Deferred never fails; cancelling it closes the connection and yields a `CallFailure`.
         """
         answered = defer.Deferred.fromCoroutine(self._answer(method, path, params or {}, body))
         answered.addTimeout(timeout.total_seconds(), self._reactor)
@@ -137,21 +137,21 @@
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._body = bytearray()
-        self.whole: defer.Deferred[bytes] = defer.Deferred(lambda _: self._stop())
+        self.body_received: defer.Deferred[bytes] = defer.Deferred(lambda _: self._stop())
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         self._body.extend(data)
-        if len(self._body) > self._limit and not self.whole.called:
+        if len(self._body) > self._limit and not self.body_received.called:
             self._stop()
-            self.whole.errback(ValueError(f"the answer is longer than {self._limit} bytes"))
+            self.body_received.errback(ValueError(f"the answer is longer than {self._limit} bytes"))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802
-        if self.whole.called:
+        if self.body_received.called:
             return
         if reason.check(ResponseDone):
-            self.whole.callback(bytes(self._body))
+            self.body_received.callback(bytes(self._body))
         else:
-            self.whole.errback(reason)
+            self.body_received.errback(reason)
 
     def _stop(self) -> None:
         if self.transport is not None:
@@ -161,7 +161,7 @@
 def _collect(response: IResponse, limit: int) -> "defer.Deferred[bytes]":
     collector = _Collector(limit)
     response.deliverBody(collector)
-    return collector.whole
+    return collector.body_received
 
 
 def _index(response: IResponse) -> int | None:
--- a/packages/store/src/cardamomloft/store/failures.py
+++ b/packages/store/src/cardamomloft/store/failures.py
@@ -1,4 +1,4 @@
-"""Why a call to the platform failed, and whether it may have taken effect all the same."""
+"""Failures of calls to the platform, and whether a failed call may have taken effect."""
 
 import typing as t
 
@@ -12,17 +12,17 @@
     error.DNSLookupError,
     RequestNotSent,
 )
-"""Errors after which no byte of the request can have left."""
+"""Errors after which no byte of the request was sent."""
 
-REFUSING_STATUSES = frozenset({400, 401, 403, 404, 405, 413, 429})
-"""Statuses that the store gives before it changes anything."""
+REFUSAL_STATUSES = frozenset({400, 401, 403, 404, 405, 413, 429})
+"""Statuses that the store returns only if it has changed nothing."""
 
 
 class StoreFailure(t.NamedTuple):
     """A call without a usable answer.
 
-    An `ambiguous` write may have taken effect, or may yet do so: the caller settles it by reading
-    back, and by repeating the same conditional write when the read shows nothing. Reads are never
+    An `ambiguous` write may have taken effect, or may still do so. The caller resolves it by
+    reading the key, and by retrying the same conditional write if it is unchanged. Reads are never
     ambiguous.
     """
 
@@ -31,20 +31,20 @@
 
 
 class CallFailure(t.NamedTuple):
-    """An HTTP exchange that did not end in a whole answer; `sent` if a byte may have left."""
+    """An HTTP call without a complete answer; `sent` if any byte may have been sent."""
 
     sent: bool
     detail: str
 
 
 def call_failure(failure: Failure) -> CallFailure:
-    """Return what `failure` of an HTTP exchange means."""
+    """Convert the exception of an HTTP call to a `CallFailure`."""
     name = failure.type.__name__ if failure.type else "unknown error"
     detail = f"{name}: {failure.getErrorMessage()}"
     return CallFailure(failure.check(*NOT_SENT) is None, detail)
 
 
 def status_failure(status: int, body: bytes, *, write: bool) -> StoreFailure:
-    """Return what an unexpected `status` means; a write is ambiguous unless it was refused."""
+    """Convert an unexpected `status`; a write is ambiguous unless the store refused it."""
     text = body[:200].decode("utf-8", "replace")
-    return StoreFailure(write and status not in REFUSING_STATUSES, f"status {status}: {text}")
+    return StoreFailure(write and status not in REFUSAL_STATUSES, f"status {status}: {text}")
--- a/packages/store/src/cardamomloft/store/keyvalue.py
+++ b/packages/store/src/cardamomloft/store/keyvalue.py
@@ -1,6 +1,6 @@
-"""The operators' key-value store: its interface, and an adapter for the Consul HTTP API.
+"""The operators' key-value store: its interface, and a client of the Consul HTTP API.
 
-The adapter never repeats a call, so that its owner decides on retries, jitter and budgets.
+The client never retries a call; its user decides on retries, jitter and budgets.
 """
 
 import base64
@@ -23,13 +23,13 @@
 MAX_ANSWER_BYTES = 2 * MAX_VALUE_BYTES
 CALL_TIMEOUT = timedelta(seconds=2)
 WAIT_JITTER = 16
-"""The store may lengthen a wait by up to one part in this many."""
+"""The store may extend the wait of a watch by up to ``wait / WAIT_JITTER``."""
 
 T = t.TypeVar("T")
 
 
 class CallKind(enum.StrEnum):
-    """The kinds of call that the store counts against its rates."""
+    """Kinds of call, each with its own rate limit at the store."""
 
     GET = enum.auto()
     LIST = enum.auto()
@@ -42,28 +42,28 @@
 
 
 class Record(t.NamedTuple):
-    """One key's value; `version` changes with every write and is what a swap compares."""
+    """The value of one key; `version` changes with every write, for `compare_and_swap`."""
 
     value: bytes
     version: int
 
 
 class Watched(t.NamedTuple):
-    """The outcome of a watch: the record, None if the key is absent, and where to go on."""
+    """Result of a watch: the record, None if the key is absent, and the index for the next one."""
 
     record: Record | None
     index: int
 
 
 class Listed(t.NamedTuple):
-    """All records below a prefix, by their whole keys, as of one index of the store."""
+    """All records below a prefix by their full keys, as of one index of the store."""
 
     records: dict[str, Record]
     index: int
 
 
 class Store(t.Protocol):
-    """What the system asks of the store. No Deferred fails; failures are outcomes."""
+    """Interface of the store. No Deferred fails; failures are returned as `StoreFailure`."""
 
     def get(self, key: str) -> "defer.Deferred[Result[Record | None, StoreFailure]]":
         """Read one key."""
@@ -76,64 +76,64 @@
     def compare_and_swap(
         self, key: str, value: bytes, version: int
     ) -> "defer.Deferred[Result[bool, StoreFailure]]":
-        """Write `value` if the record has `version`, 0 for an absent key; return whether it did."""
+        """Write `value` if the key has `version`, 0 if absent; return whether it was written."""
         ...
 
     def watch(
         self, key: str, after_index: int, wait: timedelta
     ) -> "defer.Deferred[Result[Watched, StoreFailure]]":
-        """Read one key once it has changed after `after_index`, or once `wait` is over.
+        """Read one key when it changes after `after_index`, or at the end of `wait`.
 
-        Start with index 0, which reads at once, and go on with the index returned. After a
-        failure start with 0 again: the store may have been replaced meanwhile.
+        Start with index 0, which reads immediately, and continue with the returned index. After a
+        failure start with 0 again, since the store may have been replaced.
         """
         ...
 
     def create_lease(self, ttl: timedelta) -> "defer.Deferred[Result[str, StoreFailure]]":
-        """Create a lease that lapses `ttl` after its last renewal; return its id.
+        """Create a lease that expires `ttl` after its last renewal; return its id.
 
-        The published service takes 10 s to 24 h and may end a lease up to one `ttl` late.
+        The service accepts 10 s to 24 h, and may expire a lease up to one `ttl` late.
         """
         ...
 
     def renew(self, lease: str) -> "defer.Deferred[Result[bool, StoreFailure]]":
-        """Renew a lease; return False if it had lapsed."""
+        """Renew a lease; return False if it had expired."""
         ...
 
     def release(self, lease: str) -> "defer.Deferred[Result[None, StoreFailure]]":
-        """End a lease; the keys it holds are deleted."""
+        """End a lease; the store deletes the keys that it holds."""
         ...
 
     def acquire(
         self, key: str, value: bytes, lease: str
     ) -> "defer.Deferred[Result[bool, StoreFailure]]":
-        """Write `value` and hold `key` under `lease` unless another lease holds it.
+        """Write `value` and lock `key` with `lease`; return False if another lease holds it.
 
-        The answer of a lapsed lease is a failure, not False.
+        With an expired lease the call fails instead.
         """
         ...
 
 
 class HttpStore:
-    """A :class:`Store` that speaks a subset of the published Consul HTTP API.
+    """A :class:`Store` that uses a subset of the Consul HTTP API.
 
     Parameters
     ----------
     reactor
-        Opens connections and measures timeouts.
+        Opens connections and runs timeouts.
     address
         The store as ``ip:port``.
     timeout
-        How long a call may take; a watch may take its wait on top.
+        Timeout of a call, not counting the wait of a watch.
     agent
         Sends the requests, if not the default agent.
 
     Attributes
     ----------
     calls
-        Calls sent by kind.
+        Number of calls sent, by kind.
     failures
-        Calls that failed by kind.
+        Number of failed calls, by kind.
     """
 
     def __init__(
@@ -161,13 +161,13 @@
     def compare_and_swap(
         self, key: str, value: bytes, version: int
     ) -> "defer.Deferred[Result[bool, StoreFailure]]":
-        """Write `value` if the record has `version`, 0 for an absent key; return whether it did."""
+        """Write `value` if the key has `version`, 0 if absent; return whether it was written."""
         return self._write(CallKind.SWAP, key, value, {"cas": str(version)})
 
     def watch(
         self, key: str, after_index: int, wait: timedelta
     ) -> "defer.Deferred[Result[Watched, StoreFailure]]":
-        """Read one key once it has changed after `after_index`, or once `wait` is over."""
+        """Read one key when it changes after `after_index`, or at the end of `wait`."""
 
         def read(answer: Answer) -> Result[Watched, StoreFailure]:
             return _read_watched(answer, after_index)
@@ -175,31 +175,31 @@
         if after_index == 0:
             return self._call(CallKind.GET, "GET", _key_path(key), read)
         params = {"index": str(after_index), "wait": _milliseconds(wait)}
-        longest = self._timeout + wait + wait / WAIT_JITTER
+        timeout = self._timeout + wait + wait / WAIT_JITTER
         return self._call(
-            CallKind.WATCH, "GET", _key_path(key), read, params=params, timeout=longest
+            CallKind.WATCH, "GET", _key_path(key), read, params=params, timeout=timeout
         )
 
     def create_lease(self, ttl: timedelta) -> "defer.Deferred[Result[str, StoreFailure]]":
-        """Create a lease that lapses `ttl` after its last renewal; return its id."""
+        """Create a lease that expires `ttl` after its last renewal; return its id."""
         body = json.dumps({"TTL": _milliseconds(ttl), "Behavior": "delete"}).encode()
         path = "/v1/session/create"
         return self._call(CallKind.LEASE_CREATE, "PUT", path, _read_lease, body=body)
 
     def renew(self, lease: str) -> "defer.Deferred[Result[bool, StoreFailure]]":
-        """Renew a lease; return False if it had lapsed."""
+        """Renew a lease; return False if it had expired."""
         path = f"/v1/session/renew/{quote(lease, safe='')}"
         return self._call(CallKind.LEASE_RENEW, "PUT", path, _read_renewal)
 
     def release(self, lease: str) -> "defer.Deferred[Result[None, StoreFailure]]":
-        """End a lease; the keys it holds are deleted."""
+        """End a lease; the store deletes the keys that it holds."""
         path = f"/v1/session/destroy/{quote(lease, safe='')}"
         return self._call(CallKind.LEASE_RELEASE, "PUT", path, _read_release)
 
     def acquire(
         self, key: str, value: bytes, lease: str
     ) -> "defer.Deferred[Result[bool, StoreFailure]]":
-        """Write `value` and hold `key` under `lease` unless another lease holds it."""
+        """Write `value` and lock `key` with `lease`; return False if another lease holds it."""
         return self._write(CallKind.ACQUIRE, key, value, {"acquire": lease})
 
     def close(self) -> "defer.Deferred[None]":
@@ -210,7 +210,7 @@
         self, kind: CallKind, key: str, value: bytes, params: dict[str, str]
     ) -> "defer.Deferred[Result[bool, StoreFailure]]":
         if len(value) > MAX_VALUE_BYTES:
-            text = f"{key}: value of {len(value)} bytes, the store takes {MAX_VALUE_BYTES}"
+            text = f"{key}: value of {len(value)} bytes exceeds the limit of {MAX_VALUE_BYTES}"
             return defer.succeed(Error(StoreFailure(False, text)))
         return self._call(kind, "PUT", _key_path(key), _read_written, params=params, body=value)
 
@@ -234,10 +234,10 @@
             return outcome
 
         self.calls[kind] += 1
-        called = self._exchange.call(
+        answered = self._exchange.call(
             method, path, params=params, body=body, timeout=timeout or self._timeout
         )
-        return called.addCallback(interpret)
+        return answered.addCallback(interpret)
 
 
 def _key_path(key: str) -> str:
@@ -267,7 +267,7 @@
     except (ValueError, KeyError, TypeError, binascii.Error) as exc:
         return Error(StoreFailure(False, f"not a record: {exc!r}"))
     if not isinstance(version, int) or version <= 0:
-        return Error(StoreFailure(False, f"not a version: {version!r}"))
+        return Error(StoreFailure(False, f"invalid version: {version!r}"))
     return Ok(Record(value, version))
 
 
@@ -280,7 +280,7 @@
     try:
         rows = {str(row["Key"]): row for row in json.loads(answer.body)}
     except (ValueError, KeyError, TypeError) as exc:
-        return Error(StoreFailure(False, f"not a list: {exc!r}"))
+        return Error(StoreFailure(False, f"not a list of records: {exc!r}"))
     for key, row in rows.items():
         match _record_of(row):
             case Result(tag="error", error=failure):
@@ -292,8 +292,8 @@
 
 def _read_watched(answer: Answer, after_index: int) -> Result[Watched, StoreFailure]:
     if not answer.index and answer.status in (200, 404):
-        return Error(StoreFailure(False, "the answer has no index"))
-    # An index that went back belongs to another life of the store: start from a plain read.
+        return Error(StoreFailure(False, "the answer has no X-Consul-Index"))
+    # The index went back, so the store was replaced: continue with a plain read.
     index = 0 if (answer.index or 0) < after_index else answer.index or 0
     return _read_record(answer).map(lambda record: Watched(record, index))
 
@@ -303,7 +303,7 @@
         return Error(status_failure(answer.status, answer.body, write=True))
     text = answer.body.strip()
     if text not in (b"true", b"false"):
-        return Error(StoreFailure(True, f"neither true nor false: {text[:80]!r}"))
+        return Error(StoreFailure(True, f"expected true or false, got {text[:80]!r}"))
     return Ok(text == b"true")
 
 
--- a/packages/store/src/cardamomloft/store/vms.py
+++ b/packages/store/src/cardamomloft/store/vms.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving VMs, which lags."""
+"""Client of the platform's VM list, which is eventually consistent."""
 
 import json
 import typing as t
@@ -13,11 +13,11 @@
 
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 CALL_TIMEOUT = timedelta(seconds=2)
-STATES = frozenset({"live", "leaving", "gone"})
+VM_STATES = frozenset({"live", "leaving", "gone"})
 
 
 class VmList(t.Protocol):
-    """What the system asks of the list. No Deferred fails; failures are outcomes."""
+    """Interface of the VM list. No Deferred fails; failures are returned as messages."""
 
     def fetch(self) -> "defer.Deferred[Result[list[VmRow], str]]":
         """Return all rows."""
@@ -25,23 +25,23 @@
 
 
 class HttpVmList:
-    """A :class:`VmList` over HTTP; it never repeats a call.
+    """A :class:`VmList` over HTTP without retries.
 
     Parameters
     ----------
     reactor
-        Opens connections and measures timeouts.
+        Opens connections and runs timeouts.
     address
-        The list as ``ip:port``.
+        The server of the list as ``ip:port``.
     timeout
-        How long a call may take.
+        Timeout of a call.
     agent
         Sends the requests, if not the default agent.
 
     Attributes
     ----------
     calls
-        How many calls were ``sent``, and how many of them ``failed``.
+        Number of calls ``sent``, and of those that ``failed``.
     """
 
     def __init__(
@@ -59,8 +59,8 @@
     def fetch(self) -> "defer.Deferred[Result[list[VmRow], str]]":
         """Return all rows."""
         self.calls["sent"] += 1
-        called = self._exchange.call("GET", "/v1/vms", timeout=self._timeout)
-        return called.addCallback(
+        answered = self._exchange.call("GET", "/v1/vms", timeout=self._timeout)
+        return answered.addCallback(
             lambda result: result.map_error(lambda failure: failure.detail).bind(self._read)
         ).addCallback(self._count)
 
@@ -80,9 +80,9 @@
 
 
 def parse_vms(raw: bytes) -> Result[list[VmRow], str]:
-    """Return the rows of a JSON list, or why it is not one.
+    """Return the rows of a JSON list of VMs, or an error message.
 
-    One bad row spoils the whole list, since a row left out would look like a VM that is not there.
+    One invalid row invalidates the list: without that row, its VM would look absent.
     """
     try:
         listed = json.loads(raw)
@@ -93,12 +93,12 @@
         return Error("not a list of VMs: not an array")
     names = [row.name for row in rows]
     if len(set(names)) < len(names):
-        return Error("not a list of VMs: a name is there twice")
+        return Error("not a list of VMs: duplicate name")
     return Ok(rows)
 
 
 def _parse_row(row: dict[str, t.Any]) -> VmRow:
     at = datetime.fromisoformat(row["at"])
-    if not isinstance(row["name"], str) or row["state"] not in STATES or at.tzinfo is None:
-        raise ValueError(f"bad row {row!r}")
+    if not isinstance(row["name"], str) or row["state"] not in VM_STATES or at.tzinfo is None:
+        raise ValueError(f"invalid row {row!r}")
     return VmRow(row["name"], row["state"], at)
--- a/packages/store/tests/test_exchange.py
+++ b/packages/store/tests/test_exchange.py
@@ -1,3 +1,5 @@
+"""Size limit and timeout of calls, over real sockets."""
+
 from datetime import timedelta
 
 from cardamomloft.store.exchange import Exchange
@@ -13,13 +15,13 @@
 
 
 async def until(condition):
-    """Give the reactor turns until the condition holds; the test's timeout bounds it."""
+    """Run the reactor until the condition holds, or until the test times out."""
     while not condition():
         await task.deferLater(reactor, 0)
 
 
-class Script(Protocol):
-    """Answers with fixed bytes, then leaves the connection open."""
+class FixedAnswer(Protocol):
+    """Answers with fixed bytes and leaves the connection open."""
 
     def dataReceived(self, data):  # noqa: N802
         self.transport.write(self.factory.answer)
@@ -30,7 +32,7 @@
 
 @implementer(IAgent)
 class CountingAgent:
-    """Counts the answers whose head has come."""
+    """Counts the answers whose head has been received."""
 
     def __init__(self):
         self.heads = 0
@@ -49,7 +51,7 @@
 
     def setUp(self):
         self.clock = task.Clock()
-        self.factory = Factory.forProtocol(Script)
+        self.factory = Factory.forProtocol(FixedAnswer)
         self.factory.lost = 0
         self.port = reactor.listenTCP(0, self.factory, interface="127.0.0.1")
         self.addCleanup(self.port.stopListening)
@@ -65,13 +67,13 @@
         self.factory.answer = answer
         return self.exchange.call("PUT", "/", timeout=timedelta(seconds=2))
 
-    async def test_an_answer_beyond_the_limit_fails_and_drops_its_connection(self):
+    async def test_answer_above_the_size_limit_fails_and_closes_its_connection(self):
         outcome = await self.call(HEAD + b"x" * (LIMIT + 1))
         self.assertIn("longer than 20 bytes", outcome.error.detail)
         self.assertTrue(outcome.error.sent)
         await until(lambda: self.factory.lost == 1)
 
-    async def test_an_answer_that_stalls_fails_at_the_timeout_and_drops_its_connection(self):
+    async def test_stalled_answer_fails_at_the_timeout_and_closes_its_connection(self):
         called = self.call(HEAD + b"x" * LIMIT)
         await until(lambda: self.agent.heads == 1)
         self.clock.advance(2)
--- a/packages/store/tests/test_http_store.py
+++ b/packages/store/tests/test_http_store.py
@@ -1,3 +1,5 @@
+"""The store client against the stand-in store, with injected faults."""
+
 import json
 from datetime import timedelta
 from itertools import count
@@ -21,13 +23,13 @@
 
 
 async def until(condition):
-    """Give the reactor turns until the condition holds; the test's timeout bounds it."""
+    """Run the reactor until the condition holds, or until the test times out."""
     while not condition():
         await task.deferLater(reactor, 0)
 
 
 class Recorder(Resource):
-    """Passes requests on and keeps what was asked and answered."""
+    """Forwards requests and records them with their answers."""
 
     isLeaf = True  # noqa: N815
 
@@ -55,7 +57,7 @@
 
 
 class HttpStoreTest(TestCase):
-    """Real sockets; the store's time and the adapter's timeouts move only by `self.clock`."""
+    """Uses real sockets; the store's time and the client's timeouts follow `self.clock`."""
 
     timeout = 20
 
@@ -88,7 +90,7 @@
         self.standin.faults = self.standin.faults._replace(**faults)
         self.standin.values.lag = timedelta(milliseconds=self.standin.faults.lag_ms)
 
-    async def arrived(self, kind, number):
+    async def wait_for_calls(self, kind, number):
         await until(lambda: self.standin._calls[kind] == number)
 
     async def held(self, key):
@@ -101,7 +103,7 @@
         await store.compare_and_swap(KEY, b'{"number": 1, "who": "late"}', 0)
         found = (await store.watch(KEY, 0, WAIT)).ok
         waiting = store.watch(KEY, found.index, WAIT)
-        await self.arrived("watch", 1)
+        await self.wait_for_calls("watch", 1)
         await store.compare_and_swap(KEY, b'{"number": 2}', found.record.version)
         await waiting
         lease = (await store.create_lease(TTL)).ok
@@ -116,23 +118,23 @@
         await store.get("claims/a key?with signs")
         self.assertTrue(self.recorder.session == self.snapshot)
 
-    async def test_a_lost_answer_is_ambiguous_and_a_read_back_settles_it(self):
+    async def test_lost_answer_is_ambiguous_and_reading_the_key_resolves_it(self):
         self.set(lose_answers=1)
         lost = await self.store.compare_and_swap(KEY, b"mine", 0)
         self.assertTrue(lost.error.ambiguous)
         self.assertEqual((await self.held(KEY)).value, b"mine")
         self.assertEqual(await self.store.compare_and_swap(KEY, b"mine", 0), Ok(False))
 
-    async def test_a_lost_request_looks_the_same_and_did_nothing(self):
+    async def test_lost_request_is_ambiguous_without_an_effect(self):
         self.set(lose_requests=1)
         lost = await self.store.compare_and_swap(KEY, b"mine", 0)
         self.assertTrue(lost.error.ambiguous)
         self.assertIsNone(await self.held(KEY))
 
-    async def test_a_write_may_take_effect_after_a_read_back_that_shows_nothing(self):
+    async def test_ambiguous_write_may_take_effect_after_a_read_showed_no_change(self):
         self.set(late_effect_ms=5000)
         late = self.store.compare_and_swap(KEY, b"late", 0)
-        await self.arrived("cas", 1)
+        await self.wait_for_calls("cas", 1)
         self.clock.advance(2)
         self.assertTrue((await late).error.ambiguous)
         self.assertIsNone(await self.held(KEY))
@@ -141,18 +143,18 @@
         self.clock.advance(3)
         self.assertEqual((await self.held(KEY)).value, b"again")
 
-    async def test_a_slow_answer_times_out_ambiguous_for_writes_only(self):
+    async def test_timeout_is_ambiguous_for_writes_only(self):
         self.set(delay_ms=60_000)
         write = self.store.compare_and_swap(KEY, b"slow", 0)
         read = self.store.get(KEY)
-        await self.arrived("cas", 1)
-        await self.arrived("get", 1)
+        await self.wait_for_calls("cas", 1)
+        await self.wait_for_calls("get", 1)
         self.clock.advance(2)
         self.assertTrue((await write).error.ambiguous)
         self.assertFalse((await read).error.ambiguous)
         self.assertEqual(self.store.failures, {CallKind.SWAP: 1, CallKind.GET: 1})
 
-    async def test_an_outage_that_refuses_is_definite_and_one_that_hangs_is_not(self):
+    async def test_refused_connection_is_not_ambiguous_but_a_hanging_store_is(self):
         self.refuse(True, None)
         await self.closed
         refused = await self.store.compare_and_swap(KEY, b"1", 0)
@@ -160,13 +162,13 @@
         self.refuse(False, None)
         self.set(down="hang")
         hung = self.store.compare_and_swap(KEY, b"1", 0)
-        await self.arrived("cas", 1)
+        await self.wait_for_calls("cas", 1)
         self.clock.advance(2)
         self.assertTrue((await hung).error.ambiguous)
         self.set(down=False)
         self.assertIsNone(await self.held(KEY))
 
-    async def test_a_paused_holder_learns_that_its_lease_has_lapsed(self):
+    async def test_paused_lease_holder_cannot_renew_or_acquire_with_its_expired_lease(self):
         paused = (await self.store.create_lease(TTL)).ok
         self.assertEqual(await self.store.acquire("lease", b"paused", paused), Ok(True))
         self.clock.advance(10)
@@ -176,14 +178,14 @@
         self.assertTrue((await self.store.acquire("lease", b"paused", paused)).is_error())
         self.assertEqual((await self.held("lease")).value, b"other")
 
-    async def test_a_watch_waits_for_a_change_through_its_lag(self):
+    async def test_watch_returns_a_change_after_the_replication_lag(self):
         await self.store.compare_and_swap(KEY, b"1", 0)
         first = (await self.store.watch(KEY, 0, WAIT)).ok
         self.set(lag_ms=3000)
         waiting = self.store.watch(KEY, first.index, WAIT)
         outcomes = []
         waiting.addCallback(outcomes.append)
-        await self.arrived("watch", 1)
+        await self.wait_for_calls("watch", 1)
         await self.store.compare_and_swap(KEY, b"2", first.record.version)
         self.clock.advance(2.9)
         await self.store.get(KEY)
@@ -193,29 +195,29 @@
         version = first.record.version + 1
         self.assertEqual(outcomes, [Ok(Watched(Record(b"2", version), version))])
 
-    async def test_a_watch_without_change_returns_after_its_wait_and_may_go_on(self):
+    async def test_watch_without_a_change_returns_at_the_end_of_its_wait(self):
         await self.store.compare_and_swap(KEY, b"1", 0)
         first = (await self.store.watch(KEY, 0, WAIT)).ok
         waiting = self.store.watch(KEY, first.index, WAIT)
-        await self.arrived("watch", 1)
+        await self.wait_for_calls("watch", 1)
         self.clock.advance(30)
         self.assertEqual(await waiting, Ok(first))
 
-    async def test_a_watch_of_a_replaced_store_starts_over(self):
+    async def test_watch_of_a_replaced_store_restarts_at_index_zero(self):
         waiting = self.store.watch(KEY, 900, WAIT)
-        await self.arrived("watch", 1)
+        await self.wait_for_calls("watch", 1)
         await self.store.compare_and_swap(KEY, b"new life", 0)
         self.clock.advance(30)
         self.assertEqual(await waiting, Ok(Watched(Record(b"new life", 2), 0)))
 
-    async def test_cancelling_a_watch_drops_its_connection(self):
+    async def test_cancelling_a_watch_closes_its_connection(self):
         waiting = self.store.watch(KEY, 1, WAIT)
-        await self.arrived("watch", 1)
+        await self.wait_for_calls("watch", 1)
         waiting.cancel()
         self.assertIsInstance((await waiting).error, StoreFailure)
         await until(lambda: not self.listener.connections.protocols)
 
-    async def test_a_value_beyond_the_limit_is_not_sent(self):
+    async def test_value_above_the_size_limit_is_not_sent(self):
         whole = b"x" * MAX_VALUE_BYTES
         self.assertEqual(await self.store.compare_and_swap("map/a", whole, 0), Ok(True))
         self.assertEqual((await self.held("map/a")).value, whole)
@@ -225,7 +227,7 @@
         self.assertEqual(self.store.calls, {CallKind.SWAP: 1, CallKind.GET: 1})
         self.assertEqual(self.standin._calls, {"cas": 1, "get": 1})
 
-    async def test_control_speaks_http_and_counts_calls_by_second(self):
+    async def test_stand_in_control_api_counts_calls_by_second(self):
         client = self.client()._exchange
         changes = json.dumps({"lapse": "lease", "down": True}).encode()
         lease = (await self.store.create_lease(TTL)).ok
@@ -243,12 +245,12 @@
             counts["by_second"], {"0": {"session_create": 1, "acquire": 1}, "3": {"get": 1}}
         )
 
-    async def test_a_read_on_a_kept_connection_that_dies_is_not_repeated(self):
+    async def test_read_on_a_broken_persistent_connection_is_not_retried(self):
         store = HttpStore(reactor, self.listener.address)
         await store.get(KEY)
         self.set(down="hang")
         cut = store.get(KEY)
-        await self.arrived("get", 2)
+        await self.wait_for_calls("get", 2)
         await self.listener.close()
         self.listener.open()
         self.assertEqual((await cut).error.ambiguous, False)
--- a/packages/store/tests/test_http_vms.py
+++ b/packages/store/tests/test_http_vms.py
@@ -1,3 +1,5 @@
+"""The VM list client against the stand-in list, with lag and outages."""
+
 import json
 
 from cardamomloft.store.vms import HttpVmList
@@ -13,7 +15,7 @@
 
 
 class HttpVmListTest(TestCase):
-    """Real sockets; the list's lag and the adapter's timeout move only by `self.clock`."""
+    """Uses real sockets; the list's lag and the client's timeout follow `self.clock`."""
 
     timeout = 20
 
@@ -38,7 +40,7 @@
     async def states(self):
         return [(row.name, row.state) for row in (await self.vms.fetch()).ok]
 
-    async def test_shows_the_rows_late(self):
+    async def test_changed_rows_appear_after_the_lag(self):
         await self.put("/v1/vms", [{"name": "e1", "state": "live", "at": AT}])
         self.assertEqual(await self.states(), [("e1", "live")])
         await self.put("/control", {"lag_ms": 5000})
@@ -49,7 +51,7 @@
         self.clock.advance(0.2)
         self.assertEqual(await self.states(), [("e1", "gone")])
 
-    async def test_an_outage_is_an_error_and_not_an_empty_list(self):
+    async def test_outage_is_an_error_instead_of_an_empty_list(self):
         await self.put("/v1/vms", [])
         self.assertEqual(await self.vms.fetch(), Ok([]))
         await self.put("/control", {"down": True})
--- a/packages/store/tests/test_listing.py
+++ b/packages/store/tests/test_listing.py
@@ -1,4 +1,4 @@
-"""Listing all keys below a prefix, as the stand-in store answers it."""
+"""Listing all keys below a prefix."""
 
 import pytest
 from cardamomloft.store.exchange import Answer
@@ -13,11 +13,11 @@
 from twisted.web.server import Site
 
 
-class OverSockets(TestCase):
+class ListingTest(TestCase):
     timeout = 20
 
     @inlineCallbacks
-    def test_all_keys_below_the_prefix_come_with_their_versions(self):
+    def test_listing_returns_all_keys_below_the_prefix_with_their_versions(self):
         values = KeyValues(Clock())
         for key in ("g/a", "g/b/c", "other"):
             values.put(key, key.encode())
@@ -39,7 +39,7 @@
     [b"{", b"7", b'[{"Key": "a"}]', b'[{"Key": "a", "Value": "!", "ModifyIndex": 3}]']
     + [b'[{"Key": "a", "Value": null, "ModifyIndex": 0}]'],
 )
-def test_a_list_that_is_malformed_is_a_failure(body):
+def test_malformed_listing_is_a_failure(body):
     store = HttpStore(None, "127.0.0.1:1")
     store._exchange.call = lambda *args, **kwargs: succeed(Ok(Answer(200, 7, body)))
     results = []
--- a/packages/store/tests/test_store_outcomes.py
+++ b/packages/store/tests/test_store_outcomes.py
@@ -1,4 +1,4 @@
-"""What the adapters make of answers and errors, without a socket."""
+"""How the store clients classify answers and errors, without sockets."""
 
 import json
 from datetime import UTC, datetime, timedelta
@@ -27,7 +27,7 @@
 
 @implementer(IAgent)
 class FailingAgent:
-    """Fails every request with `exc`, or never answers without one."""
+    """Fails every request with `exc`; if `exc` is None, never answers."""
 
     def __init__(self, exc=None):
         self.exc = exc
@@ -57,7 +57,7 @@
         (error.ConnectionLost(), True),
     ],
 )
-def test_only_what_cannot_have_left_is_definite_and_nothing_is_repeated(exc, ambiguous):
+def test_write_is_ambiguous_unless_no_byte_was_sent_and_is_never_retried(exc, ambiguous):
     agent = FailingAgent(exc)
     store = HttpStore(Clock(), "127.0.0.1:1", agent=agent)
     assert outcome(store.compare_and_swap("k", b"v", 0)).error.ambiguous is ambiguous
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("timeout", [timedelta(seconds=2), timedelta(seconds=0.5)])
-def test_a_connection_that_is_never_made_is_definite_whichever_timeout_ends_it(timeout):
+def test_connect_timeout_is_not_ambiguous(timeout):
     reactor = MemoryReactorClock()
     store = HttpStore(reactor, "127.0.0.1:8500", timeout=timeout)
     results = []
@@ -82,12 +82,12 @@
     ("status", "ambiguous"),
     [(500, True), (503, True), (302, True), (408, True), (400, False), (413, False), (429, False)],
 )
-def test_a_status_is_definite_only_if_the_store_refused(status, ambiguous):
+def test_error_status_is_ambiguous_unless_the_store_refused_the_write(status, ambiguous):
     assert status_failure(status, b"", write=True).ambiguous is ambiguous
     assert status_failure(status, b"", write=False).ambiguous is False
 
 
-def test_every_call_ends_at_its_timeout():
+def test_every_call_fails_at_its_timeout():
     clock = Clock()
     store = HttpStore(clock, "127.0.0.1:1", timeout=timedelta(seconds=3), agent=FailingAgent())
     results = []
@@ -114,11 +114,11 @@
     assert results[7].error.ambiguous is False
 
 
-GOOD = {"name": "e1", "address": "127.0.1.1", "state": "leaving", "at": "2026-01-01T00:00:00Z"}
+VALID_ROW = {"name": "e1", "address": "127.0.1.1", "state": "leaving", "at": "2026-01-01T00:00:00Z"}
 
 
-def test_a_whole_list_is_read():
-    rows = parse_vms(json.dumps([GOOD, {**GOOD, "name": "e2", "state": "gone"}]).encode())
+def test_valid_vm_list_is_parsed():
+    rows = parse_vms(json.dumps([VALID_ROW, {**VALID_ROW, "name": "e2", "state": "gone"}]).encode())
     at = datetime(2026, 1, 1, tzinfo=UTC)
     assert rows == Ok([VmRow("e1", "leaving", at), VmRow("e2", "gone", at)])
 
@@ -126,19 +126,19 @@
 @pytest.mark.parametrize(
     "listed",
     [
-        [GOOD, {**GOOD, "name": "e2", "state": "dead"}],
-        [GOOD, {"name": "e2"}],
-        [GOOD, {**GOOD, "name": "e2", "at": "2026-01-01T00:00:00"}],
-        [GOOD, {**GOOD, "name": None}],
-        [GOOD, GOOD],
-        [GOOD, 3],
+        [VALID_ROW, {**VALID_ROW, "name": "e2", "state": "dead"}],
+        [VALID_ROW, {"name": "e2"}],
+        [VALID_ROW, {**VALID_ROW, "name": "e2", "at": "2026-01-01T00:00:00"}],
+        [VALID_ROW, {**VALID_ROW, "name": None}],
+        [VALID_ROW, VALID_ROW],
+        [VALID_ROW, 3],
         {},
         None,
     ],
 )
-def test_one_bad_row_spoils_the_list(listed):
+def test_one_invalid_row_invalidates_the_list(listed):
     assert parse_vms(json.dumps(listed).encode()).is_error()
 
 
-def test_a_list_that_was_cut_is_refused():
-    assert parse_vms(json.dumps([GOOD]).encode()[:-1]).is_error()
+def test_truncated_list_is_rejected():
+    assert parse_vms(json.dumps([VALID_ROW]).encode()[:-1]).is_error()
