--- a/packages/peers/src/cardamomloft/peers/__init__.py
+++ b/packages/peers/src/cardamomloft/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Entry-to-entry messages over ZeroMQ."""
+"""Messages between processes over ZeroMQ: encoding, encryption and sockets."""
--- a/packages/peers/src/cardamomloft/peers/codec.py
+++ b/packages/peers/src/cardamomloft/peers/codec.py
@@ -1,7 +1,7 @@
-"""The wire form of messages between entries.
+"""Encoding of messages between processes.
 
-One frame holds a fixed header (magic, version, kind) and a MessagePack array: the sender, the
-process it is meant for, and the message as an array of its fields.
+A frame is a fixed header (magic, version, kind) and a MessagePack array of the sender, the
+receiver, and the message as an array of its fields.
 """
 
 import typing as t
@@ -15,7 +15,7 @@
 VERSION = 2
 HEADER_BYTES = 4
 MAX_FRAME_BYTES = 2_000_000
-MAX_NUMBER = 2**62
+MAX_INTEGER = 2**62
 
 _KINDS: tuple[type, ...] = (
     messages.LoanRequest,
@@ -37,18 +37,18 @@
 _HEADERS = {kind: MAGIC + bytes([VERSION, at]) for at, kind in enumerate(_KINDS)}
 
 
-class Fault(t.NamedTuple):
-    """Why a frame was not taken; `counter` is one of foreign, version, malformed."""
+class DecodeFailure(t.NamedTuple):
+    """Why a frame was rejected; `counter` is ``foreign``, ``version`` or ``malformed``."""
 
     counter: str
     detail: str = ""
 
 
 class Envelope(t.NamedTuple):
-    """A message with its sender and the process it is meant for.
+    """A message with its sender and its receiver.
 
-    `receiver` is None if the sender knew only the address. Otherwise another process at that
-    address must not take it: numbers within a message belong to one incarnation.
+    `receiver` is None if the sender knew only the address. Otherwise only that incarnation may
+    accept the message, because numbers in a message are valid for one incarnation.
     """
 
     sender: Incarnation
@@ -64,30 +64,30 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Return the frame for `envelope`."""
+    """Encode `envelope` as a frame."""
     return _HEADERS[type(envelope.message)] + _encoder.encode(envelope)
 
 
-def decode(frame: bytes) -> Result[Envelope, Fault]:
-    """Read a frame; whatever it holds, the outcome is a value."""
+def decode(frame: bytes) -> Result[Envelope, DecodeFailure]:
+    """Decode a frame; an invalid one gives an error and never raises."""
     if len(frame) <= HEADER_BYTES or frame[:2] != MAGIC:
-        return Error(Fault("foreign"))
+        return Error(DecodeFailure("foreign"))
     version, kind = frame[2], frame[3]
     if version != VERSION:
-        return Error(Fault("version", str(version)))
+        return Error(DecodeFailure("version", str(version)))
     if kind >= len(_decoders):
-        return Error(Fault("malformed", f"kind {kind}"))
+        return Error(DecodeFailure("malformed", f"kind {kind}"))
     try:
         envelope = Envelope(*_decoders[kind].decode(memoryview(frame)[HEADER_BYTES:]))
     except (msgspec.MsgspecError, ValueError, RecursionError) as exc:
-        return Error(Fault("malformed", str(exc)))
+        return Error(DecodeFailure("malformed", str(exc)))
     if not _in_range(envelope.message):
-        return Error(Fault("malformed", "number out of range"))
+        return Error(DecodeFailure("malformed", "number out of range"))
     return Ok(envelope)
 
 
 def _in_range(message: messages.Message) -> bool:
-    for value in message:  # noqa: SIM110 (a generator takes twice as long)
-        if value.__class__ is int and not 0 <= value < MAX_NUMBER:
+    for value in message:  # noqa: SIM110 (faster than a generator)
+        if value.__class__ is int and not 0 <= value < MAX_INTEGER:
             return False
     return True
--- a/packages/peers/src/cardamomloft/peers/socket.py
+++ b/packages/peers/src/cardamomloft/peers/socket.py
@@ -1,8 +1,8 @@
 """ZeroMQ sockets in the Twisted reactor.
 
 A ZeroMQ socket has a file descriptor that becomes readable when the socket's state may have
-changed. It is edge-triggered: any operation on the socket may use up the signal, so the state must
-be looked at after each of them, or a message stays unread until the next one comes.
+changed. It is edge-triggered, and any operation on the socket may clear the signal. Unless the
+state is checked after each operation, a message may stay unread until the next one arrives.
 """
 
 import typing as t
@@ -13,15 +13,15 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-MAX_FRAMES_PER_TURN = 100
+MAX_MESSAGES_PER_READ = 100
 
 
 @implementer(IReadDescriptor)
 class SocketReader:
-    """Hands each multipart message of `sock` to `on_frames` on the reactor's thread.
+    """Passes each multipart message of `sock` to `on_frames` on the reactor's thread.
 
-    After `MAX_FRAMES_PER_TURN` messages it lets the reactor serve others first. An exception of
-    `on_frames` goes to `on_fault` and never to the reactor, which would drop the descriptor.
+    After `MAX_MESSAGES_PER_READ` messages it yields to the reactor. Exceptions of `on_frames` go to
+    `on_fault`, because the reactor would remove the descriptor.
     """
 
     def __init__(
@@ -36,52 +36,52 @@
         self._fd = int(sock.getsockopt(zmq.FD))
         self._on_frames = on_frames
         self._on_fault = on_fault
-        self._later: t.Any = None
+        self._scheduled_read: t.Any = None
         self._closed = False
         reactor.addReader(self)
         self.check()
 
     def fileno(self) -> int:
-        """Return the descriptor that the reactor watches."""
+        """Return the file descriptor that the reactor polls."""
         return self._fd
 
     def logPrefix(self) -> str:  # noqa: N802
-        """Return the name for the reactor's logs."""
+        """Return the prefix for log messages of the reactor."""
         return "zmq"
 
     def doRead(self) -> None:  # noqa: N802
-        """Take what the socket holds; called by the reactor."""
+        """Read the available messages; called by the reactor."""
         self._drain()
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802
-        """Do nothing: the socket has no one connection that could be lost."""
+        """Do nothing: a ZeroMQ socket is not a single connection."""
 
     def check(self) -> None:
-        """Look at the socket's state after an operation on it other than our own reads."""
-        if self._closed or self._later is not None or not self._readable():
+        """Schedule a read if messages are available; call it after other socket operations."""
+        if self._closed or self._scheduled_read is not None or not self._readable():
             return
-        self._later = self._reactor.callLater(0, self._resume)
+        self._scheduled_read = self._reactor.callLater(0, self._scheduled_drain)
 
     def close(self) -> None:
-        """Stop reading; the socket itself stays open."""
+        """Stop reading; the socket stays open."""
         self._closed = True
         self._reactor.removeReader(self)
-        if self._later is not None:
-            self._later.cancel()
-            self._later = None
+        if self._scheduled_read is not None:
+            self._scheduled_read.cancel()
+            self._scheduled_read = None
 
-    def _resume(self) -> None:
-        self._later = None
+    def _scheduled_drain(self) -> None:
+        self._scheduled_read = None
         self._drain()
 
     def _drain(self) -> None:
-        for _ in range(MAX_FRAMES_PER_TURN):
+        for _ in range(MAX_MESSAGES_PER_READ):
             if self._closed or not self._readable():
                 return
-            self._take_one()
+            self._receive_one()
         self.check()
 
-    def _take_one(self) -> None:
+    def _receive_one(self) -> None:
         try:
             frames = self._sock.recv_multipart(zmq.NOBLOCK)
         except zmq.Again:
--- a/packages/peers/tests/test_codec.py
+++ b/packages/peers/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Whatever a frame holds, decoding it is a value, and only exact messages get through."""
+"""Encoding of messages: round trips, and rejection of invalid frames without exceptions."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("message", SAMPLES, ids=lambda message: type(message).__name__)
 @pytest.mark.parametrize("receiver", [None, RECEIVER])
-def test_every_message_survives_the_wire(message, receiver):
+def test_every_message_is_unchanged_after_encoding_and_decoding(message, receiver):
     envelope = Envelope(SENDER, receiver, message)
     decoded = decode(encode(envelope)).ok
     assert decoded == envelope
@@ -53,17 +53,17 @@
         (MAGIC + bytes([VERSION, 5]) + b"\x91" * 100_000, "malformed"),
     ],
 )
-def test_bad_frames_are_named_by_their_fault(raw, counter):
+def test_invalid_frames_are_counted_by_their_defect(raw, counter):
     assert decode(raw).error.counter == counter
 
 
-def test_no_bytes_make_it_raise():
+def test_decoding_random_bytes_never_raises():
     rng = random.Random(4)
-    whole = [encode(Envelope(SENDER, RECEIVER, message)) for message in SAMPLES]
-    faults = 0
+    frames = [encode(Envelope(SENDER, RECEIVER, message)) for message in SAMPLES]
+    rejected = 0
     for _ in range(20_000):
-        raw = bytearray(rng.choice(whole))
+        raw = bytearray(rng.choice(frames))
         for _ in range(rng.randint(1, 3)):
             raw[rng.randrange(len(raw))] = rng.randrange(256)
-        faults += decode(bytes(raw[: rng.randint(0, len(raw))])).is_error()
-    assert faults > 10_000
+        rejected += decode(bytes(raw[: rng.randint(0, len(raw))])).is_error()
+    assert rejected > 10_000
--- a/packages/peers/tests/test_node.py
+++ b/packages/peers/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Nodes on real sockets: delivery, admission, and what must be dropped."""
+"""Nodes on real sockets: delivery, authentication, dropped messages and closing."""
 
 import socket
 import time
@@ -8,8 +8,8 @@
 from cardamomloft.core.messages import DocumentReply, DocumentRequest
 from cardamomloft.core.model import Incarnation
 from cardamomloft.peers.codec import MAX_FRAME_BYTES, Envelope, encode
-from cardamomloft.peers.curve import ZAP_ADDRESS, ZAP_DOMAIN, new_keys
-from cardamomloft.peers.node import FLUSH, BindError, PeerNode
+from cardamomloft.peers.curve import ZAP_ADDRESS, ZAP_DOMAIN, generate_keys
+from cardamomloft.peers.node import FLUSH_TIMEOUT, BindError, PeerNode
 from twisted.internet import defer, reactor, task
 from twisted.python.failure import Failure
 from twisted.trial import unittest
@@ -21,7 +21,7 @@
 class NodeTest(unittest.TestCase):
     timeout = 20
 
-    def node(self, me=B, handler=None, **options):
+    def node(self, incarnation=B, handler=None, **options):
         inbox = defer.DeferredQueue()
 
         def deliver(sender, message):
@@ -29,22 +29,22 @@
                 handler(sender, message)
             inbox.put((sender, message))
 
-        node = PeerNode(reactor, me, options.pop("bind", ANY), deliver, **options)
+        node = PeerNode(reactor, incarnation, options.pop("bind", ANY), deliver, **options)
         node.inbox = inbox
         self.addCleanup(node.close)
         return node
 
     def raw(self, address, *frames, kind=zmq.DEALER):
-        """Send frames that no node would send."""
+        """Send arbitrary frames."""
         sock = self.raw_socket(kind)
         sock.connect(f"tcp://{address}")
         sock.send_multipart(frames)
 
     def raw_socket(self, kind):
-        """Open a socket that the clean-up closes without waiting for what it has not sent.
+        """Open a socket that the clean-up closes without sending its queued messages.
 
-        One that is dropped earlier waits for its messages to leave: for ever, if the server that
-        judges its key waits on the same thread for the end of the socket's context.
+        Without that, its context would wait for them forever: their receiver must authenticate the
+        socket, and runs on the same thread.
         """
         context = zmq.Context()
         sock = context.socket(kind)
@@ -58,19 +58,19 @@
             yield task.deferLater(reactor, 0.005)
 
     @defer.inlineCallbacks
-    def test_all_of_a_burst_arrives_in_order(self):
+    def test_burst_of_messages_arrives_completely_and_in_order(self):
         a, b = self.node(A), self.node(B)
-        taken = []
+        received = []
         for start in range(0, 600, 60):
             for number in range(start, start + 60):
                 assert a.send(b.address, DocumentRequest(number), to=B)
             for _ in range(60):
-                taken.append((yield b.inbox.get()))
-        assert taken == [(A, DocumentRequest(number)) for number in range(600)]
+                received.append((yield b.inbox.get()))
+        assert received == [(A, DocumentRequest(number)) for number in range(600)]
         assert a.links == 1
 
     @defer.inlineCallbacks
-    def test_answers_from_within_the_handler_leave_no_message_unread(self):
+    def test_sending_from_the_handler_leaves_no_message_unread(self):
         def echo(sender, message):
             if message.above < 500:
                 node = b if sender == A else a
@@ -83,7 +83,7 @@
         assert (a.counters["dropped_full"], b.counters["dropped_full"]) == (0, 0)
 
     @defer.inlineCallbacks
-    def test_what_is_not_meant_for_this_process_is_dropped(self):
+    def test_messages_for_other_processes_are_dropped(self):
         a, b = self.node(A), self.node(B)
         self.raw(b.address, b"hello")
         self.raw(b.address, b"two", b"frames")
@@ -98,22 +98,22 @@
         assert b.counters["dropped_other_life"] == 1
 
     @defer.inlineCallbacks
-    def test_a_frame_above_the_limit_is_neither_sent_nor_taken(self):
+    def test_frame_above_the_size_limit_is_neither_sent_nor_received(self):
         a, b = self.node(A), self.node(B)
         large = DocumentReply(1, bytes(MAX_FRAME_BYTES))
         assert not a.send(b.address, large)
         self.raw(b.address, encode(Envelope(A, None, large)))
         a.send(b.address, DocumentReply(2, bytes(MAX_FRAME_BYTES // 2)))
-        _, taken = yield b.inbox.get()
-        assert taken.revision == 2
+        _, received = yield b.inbox.get()
+        assert received.revision == 2
         assert b.counters["received"] == 1
 
-    def test_a_second_process_cannot_bind_the_address(self):
+    def test_second_process_cannot_bind_the_address(self):
         b = self.node(B)
         self.assertRaises(BindError, self.node, A, bind=b.address)
-        self.assertRaises(BindError, self.node, A, bind=b.address, keys=new_keys())
+        self.assertRaises(BindError, self.node, A, bind=b.address, keys=generate_keys())
 
-    def test_a_dead_peer_costs_drops_and_no_waiting(self):
+    def test_sending_to_a_dead_peer_drops_messages_without_blocking(self):
         with socket.socket() as holder:
             holder.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{holder.getsockname()[1]}"
@@ -124,7 +124,7 @@
         a.close(timedelta(0))
 
     @defer.inlineCallbacks
-    def test_links_are_bounded_and_idle_ones_closed(self):
+    def test_links_are_limited_and_idle_ones_closed(self):
         a = self.node(A, max_links=2, idle=timedelta(milliseconds=50))
         peers = [self.node(Incarnation(f"p{i}", "1")) for i in range(4)]
         for peer in peers:
@@ -136,7 +136,7 @@
         assert a.counters["links_closed"] == 4
 
     @defer.inlineCallbacks
-    def test_closing_flushes_what_is_queued(self):
+    def test_closing_sends_queued_messages(self):
         a, b = self.node(A), self.node(B)
         a.send(b.address, DocumentRequest(7))
         a.close()
@@ -144,7 +144,7 @@
         assert (yield b.inbox.get()) == (A, DocumentRequest(7))
 
     @defer.inlineCallbacks
-    def test_a_failing_handler_does_not_stop_the_reading(self):
+    def test_handler_exception_does_not_stop_reading(self):
         faults = []
 
         def fail(sender, message):
@@ -158,41 +158,43 @@
         assert [type(fault) for fault in faults] == [Failure]
 
     @defer.inlineCallbacks
-    def test_only_the_deployments_key_gets_through(self):
-        keys = new_keys()
+    def test_only_the_deployment_key_is_accepted(self):
+        keys = generate_keys()
         b = self.node(B, keys=keys)
         member = self.node(A, keys=keys)
-        other = self.node(Incarnation("c", "1"), keys=new_keys())
-        impostor = self.node(Incarnation("d", "1"), keys=keys._replace(secret=new_keys().secret))
+        other = self.node(Incarnation("c", "1"), keys=generate_keys())
+        impostor = self.node(
+            Incarnation("d", "1"), keys=keys._replace(secret=generate_keys().secret)
+        )
         plain = self.node(Incarnation("e", "1"))
         for node in (other, impostor, plain):
             node.send(b.address, DocumentRequest(1))
-        self.stranger(b.address, keys.public)
+        self.send_with_foreign_key(b.address, keys.public)
         yield self.until(lambda: b.denied)
         member.send(b.address, DocumentRequest(2))
         assert (yield b.inbox.get()) == (A, DocumentRequest(2))
         assert b.counters["received"] == 1
 
     @defer.inlineCallbacks
-    def test_closing_waits_no_longer_than_it_may_for_a_server_that_judges_no_key(self):
-        keys = new_keys()
+    def test_closing_is_bounded_when_the_server_never_authenticates(self):
+        keys = generate_keys()
         silent = self.raw_socket(zmq.ROUTER)
         silent.curve_server, silent.curve_secretkey = True, keys.secret
         silent.zap_domain = ZAP_DOMAIN
-        judge = silent.context.socket(zmq.REP)
-        self.addCleanup(judge.close, linger=0)
-        judge.bind(ZAP_ADDRESS)
+        authenticator = silent.context.socket(zmq.REP)
+        self.addCleanup(authenticator.close, linger=0)
+        authenticator.bind(ZAP_ADDRESS)
         silent.bind("tcp://127.0.0.1:0")
         address = silent.last_endpoint.decode().removeprefix("tcp://")
         a = self.node(A, keys=keys)
         assert a.send(address, DocumentRequest(1))
-        yield self.until(lambda: judge.poll(0))
+        yield self.until(lambda: authenticator.poll(0))
         started = time.monotonic()
         a.close()
-        assert time.monotonic() - started < 5 * FLUSH.total_seconds()
+        assert time.monotonic() - started < 5 * FLUSH_TIMEOUT.total_seconds()
 
-    def stranger(self, address, server_key):
-        """Know the public key of the server, and come with a key pair of one's own."""
+    def send_with_foreign_key(self, address, server_key):
+        """Connect with the server's public key and a different client key pair."""
         sock = self.raw_socket(zmq.DEALER)
         public, secret = zmq.curve_keypair()
         sock.curve_serverkey, sock.curve_publickey, sock.curve_secretkey = (
