--- a/packages/feed/src/cardamomloft/feed/__init__.py
+++ b/packages/feed/src/cardamomloft/feed/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of the control store, passed on between gateways: decisions that need no network."""
+"""Distribution of control store changes between gateways, as logic without network access."""
--- a/packages/feed/src/cardamomloft/feed/changetable.py
+++ b/packages/feed/src/cardamomloft/feed/changetable.py
@@ -1,8 +1,8 @@
-"""What the control store holds as far as this process knows, and what has changed since when.
+"""The known content of the control store, with the store position of each change.
 
-The table keeps the last fact of each key with the store's position by which it was known. Whoever
-has everything up to an earlier position gets the facts of all keys that have changed since, so a
-key that changed often costs one fact, and configurations that have been replaced are not kept.
+The table keeps the latest fact of each key with the store position at which it became known. A
+subscriber that is complete up to an earlier position gets the facts of all keys that have changed
+since. A key that changed several times costs one fact, and replaced configurations are dropped.
 """
 
 import typing as t
@@ -23,46 +23,46 @@
     ZoneRestored,
 )
 
-REMOVALS_KEPT = 5_000
-"""Keys whose removal is remembered; gateways that missed an older one ask the store. Endpoints with
-new ids at each start leave one each, so this lasts for days of ordinary restarts."""
+MAX_REMOVALS = 5_000
+"""Removed keys that are kept. A gateway that missed an older removal must read the store. Each
+restart of an endpoint with a new id leaves one."""
 
 
 class FactKey(t.NamedTuple):
-    """What a fact is about; of two facts with the same key the later one counts."""
+    """Identifies the subject of a fact; a later fact replaces an earlier one with the same key."""
 
     kind: str
     name: str
 
 
 class _Row(t.NamedTuple):
-    """The last fact of a key, and the position by which it was known."""
+    """The latest fact of a key, and the store position at which it became known."""
 
     index: Position
     fact: Fact
 
 
 class ChangeTable:
-    """The last fact of each key.
+    """The latest fact of each key.
 
-    Whatever is told to it must be everything that had changed up to the revision told with it.
+    Each update must contain all changes up to the position that comes with it.
 
     Parameters
     ----------
-    removals_kept
-        How many keys that are gone are remembered.
+    max_removals
+        Maximum number of removed keys that are kept.
 
     Attributes
     ----------
     index
-        The store's position up to which everything is known.
+        The store position up to which the table is complete.
     """
 
-    def __init__(self, removals_kept: int = REMOVALS_KEPT) -> None:
+    def __init__(self, max_removals: int = MAX_REMOVALS) -> None:
         self.index = BEGINNING
-        self._floor = BEGINNING
-        self._removals_kept = removals_kept
-        # In the order of their revisions: a row that changes moves to the end.
+        self._oldest_index = BEGINNING
+        self._max_removals = max_removals
+        # Ordered by position: a row that changes moves to the end.
         self._rows: dict[FactKey, _Row] = {}
         self._removed: dict[FactKey, None] = {}
 
@@ -70,16 +70,16 @@
         return len(self._rows) - len(self._removed)
 
     def listed(self, facts: Iterable[Fact], index: Position) -> None:
-        """Take a list of all that the store held at the position `index`."""
+        """Apply a complete listing of the store at the position `index`."""
         if index < self.index or index.era != self.index.era or self.index == BEGINNING:
-            self._begin(index)
+            self._reset(index)
         given = {key_of(fact): fact for fact in facts}
         gone = (row.fact for key, row in self._rows.items() if key not in given)
         removals = [removal for removal in map(_removal, gone) if removal is not None]
         self.changed([*removals, *given.values()], index)
 
     def changed(self, facts: Iterable[Fact], index: Position) -> None:
-        """Take what has changed up to the position `index`, in order."""
+        """Apply the changes up to the position `index`, in order."""
         self.index = max(self.index, index)
         for fact in facts:
             self._set(fact, self.index)
@@ -90,10 +90,10 @@
         Returns
         -------
         tuple of Fact or None
-            In the order in which they became known. None if that reaches back further than what is
-            remembered, or is of another era.
+            In the order in which they became known. None if the removals since `after` are no
+            longer all kept, or if `after` is of another era.
         """
-        if self.index == BEGINNING or after.era != self.index.era or after < self._floor:
+        if self.index == BEGINNING or after.era != self.index.era or after < self._oldest_index:
             return None
         found = []
         for row in reversed(self._rows.values()):
@@ -103,42 +103,44 @@
         return tuple(reversed(found))
 
     def whole(self) -> tuple[Fact, ...]:
-        """Return the facts of all keys that are there, as a list of the store would show them."""
+        """Return the facts of all keys that exist, as a listing of the store would."""
         return tuple(row.fact for key, row in self._rows.items() if key not in self._removed)
 
-    def _begin(self, index: Position) -> None:
-        """Begin anew: nothing is known, or the store counts anew."""
-        self.index = self._floor = index
+    def _reset(self, index: Position) -> None:
+        """Clear the table, at the first listing or after the store was replaced."""
+        self.index = self._oldest_index = index
         self._rows.clear()
         self._removed.clear()
 
     def _set(self, fact: Fact, index: Position) -> None:
         key = key_of(fact)
-        before = self._rows.get(key)
-        if before is not None and (is_same(before.fact, fact) or _supersedes(before.fact, fact)):
+        previous = self._rows.get(key)
+        if previous is not None and (
+            is_same(previous.fact, fact) or _supersedes(previous.fact, fact)
+        ):
             return
         self._rows.pop(key, None)
         self._rows[key] = _Row(index, fact)
         self._removed.pop(key, None)
         if _is_removal(fact):
             self._removed[key] = None
-            self._forget_old()
+            self._evict_removals()
 
-    def _forget_old(self) -> None:
-        while len(self._removed) > self._removals_kept:
+    def _evict_removals(self) -> None:
+        while len(self._removed) > self._max_removals:
             key = next(iter(self._removed))
             del self._removed[key]
-            # Who has everything up to this revision knows of the removal.
-            self._floor = max(self._floor, self._rows.pop(key).index)
+            # Subscribers that are complete up to this position know of the removal.
+            self._oldest_index = max(self._oldest_index, self._rows.pop(key).index)
 
 
-def is_same(held: Fact, told: Fact) -> bool:
-    """Tell whether two facts say the same: as tuples a drained and a restored zone are equal."""
-    return type(held) is type(told) and held == told
+def is_same(held: Fact, received: Fact) -> bool:
+    """Return whether two facts are equal in type too, such as zone drained and restored."""
+    return type(held) is type(received) and held == received
 
 
 def _supersedes(held: Fact, offered: Fact) -> bool:
-    """Tell whether a configuration is offered that is older than the one held."""
+    """Return whether `offered` is an older configuration than `held`."""
     both = isinstance(held, PlanRead) and isinstance(offered, PlanRead)
     return both and offered.plan.number < held.plan.number
 
@@ -149,7 +151,7 @@
 
 @singledispatch
 def key_of(fact: Fact) -> FactKey:
-    """Return what a fact is about."""
+    """Return the key of a fact."""
     raise TypeError(f"not a fact: {fact!r}")
 
 
@@ -200,7 +202,7 @@
 
 @singledispatch
 def _removal(fact: Fact) -> Fact | None:
-    """Return the fact that what `fact` states is gone, or None if that changes nothing."""
+    """Return the fact that removes the subject of `fact`, or None if nothing needs removing."""
     return None
 
 
--- a/packages/feed/src/cardamomloft/feed/factcodec.py
+++ b/packages/feed/src/cardamomloft/feed/factcodec.py
@@ -1,4 +1,4 @@
-"""The wire form of facts between gateways."""
+"""Encoding of facts in messages between gateways."""
 
 from collections.abc import Iterable
 
@@ -33,10 +33,10 @@
 
 
 def encode_facts(facts: Iterable[Fact]) -> bytes:
-    """Return the wire form of `facts`."""
+    """Encode `facts`."""
     return _codec.encode(facts)
 
 
 def decode_facts(data: bytes) -> Result[tuple[Fact, ...], str]:
-    """Read facts; the error says what is wrong."""
+    """Decode facts; the error is a message."""
     return _codec.decode(data)
--- a/packages/feed/src/cardamomloft/feed/noticecodec.py
+++ b/packages/feed/src/cardamomloft/feed/noticecodec.py
@@ -1,4 +1,7 @@
-"""The wire form of notices between gateways: each with its age, as clocks have no common zero."""
+"""Encoding of notices in messages between gateways.
+
+Each notice is sent with its age, because monotonic clocks of different processes differ.
+"""
 
 import typing as t
 from collections.abc import Iterable
@@ -9,10 +12,10 @@
 from expression import Error, Result
 
 MAX_AGE_MS = 86_400_000
-"""An age counts as no more than this, in milliseconds; no notice is kept for so long."""
+"""Larger ages are reduced to this; no notice is kept for so long."""
 
-MAX_TEXT = 500
-"""Characters of an id or a fingerprint that are taken; a store's keys have less."""
+MAX_TEXT_CHARS = 500
+"""Maximum length of an id or a fingerprint; store keys are shorter."""
 
 _MS = timedelta(milliseconds=1)
 
@@ -33,22 +36,22 @@
 
 
 def encode_notices(notices: Iterable[Dated], now: timedelta) -> bytes:
-    """Return the wire form of `notices`."""
+    """Encode `notices`, given the time `now` on the clock of their times."""
     return _codec.encode(
         _AGED[type(notice)](max(0, (now - at) // _MS), notice) for notice, at in notices
     )
 
 
 def decode_notices(data: bytes, now: timedelta) -> Result[tuple[Dated, ...], str]:
-    """Read notices; the error says what is wrong."""
+    """Decode notices, dated on the clock of `now`; the error is a message."""
     rows = _codec.decode(data)
     if rows.is_ok() and not all(_is_short(row.notice) for row in rows.ok):
-        return Error(f"a text of more than {MAX_TEXT} characters")
+        return Error(f"a text field exceeds {MAX_TEXT_CHARS} characters")
     return rows.map(lambda rows: tuple(_dated(row, now) for row in rows))
 
 
 def _is_short(notice: Notice) -> bool:
-    return all(len(field) <= MAX_TEXT for field in notice if isinstance(field, str))
+    return all(len(field) <= MAX_TEXT_CHARS for field in notice if isinstance(field, str))
 
 
 def _dated(row: _Leaving | _Crash, now: timedelta) -> Dated:
--- a/packages/feed/src/cardamomloft/feed/relays.py
+++ b/packages/feed/src/cardamomloft/feed/relays.py
@@ -1,8 +1,8 @@
-"""Which gateways ask the control store and pass its changes on: the relays of each region.
+"""Selection of relays: the gateways of a region that read the control store for the others.
 
-Every gateway ranks the recorded gateways of its region alike, so nobody has to be asked or elected.
-Views that differ for a while give too many relays, which costs some calls, or one that does not
-relay, which its listeners notice by the age of what it knows.
+Each gateway ranks the recorded gateways of its region with the same hash, so no election is needed.
+While gateways see different records, a region may have extra relays, which cost a few calls, or a
+subscriber may query a gateway that is no relay, which it detects by the age of the data.
 """
 
 import itertools
@@ -11,26 +11,25 @@
 from cardamomloft.core.affinity import unit_hash
 from cardamomloft.core.registrations import EntryRecord
 
-RELAYS = 2
-"""Relays of a region, in two zones where it has them: the loss of a zone leaves one."""
+RELAYS_PER_REGION = 2
+"""Relays per region, in different zones if possible, so that the loss of a zone leaves one."""
 
-LEAST_ENTRIES = 8
-"""Gateways of a region below which each asks the store by itself: with a handful the relays are
-half of them, which spares few calls, and each question to a relay is one more thing to fail."""
+MIN_GATEWAYS_FOR_RELAYS = 8
+"""Gateways of a region below which each reads the store itself, as relays would save few calls."""
 
 
 def relays_of(region: str, records: Iterable[EntryRecord]) -> list[EntryRecord]:
-    """Return the relays of `region` by rank; empty where each gateway asks for itself."""
+    """Return the relays of `region` by rank; empty if each gateway reads the store itself."""
     reachable = {row.name: row for row in records if row.region == region and row.peers}
-    if len(reachable) < LEAST_ENTRIES:
+    if len(reachable) < MIN_GATEWAYS_FOR_RELAYS:
         return []
     ranked = sorted(reachable.values(), key=lambda row: unit_hash(region, row.name))
     first = ranked[0]
     elsewhere = (row for row in ranked if row.zone != first.zone)
     preferred = itertools.chain(elsewhere, ranked[1:])
-    return [first, *itertools.islice(preferred, RELAYS - 1)]
+    return [first, *itertools.islice(preferred, RELAYS_PER_REGION - 1)]
 
 
-def by_nearness(own: EntryRecord, relays: Iterable[EntryRecord]) -> list[EntryRecord]:
-    """Return `relays` in the order in which `own` asks them: its zone first, then spread."""
+def by_proximity(own: EntryRecord, relays: Iterable[EntryRecord]) -> list[EntryRecord]:
+    """Return `relays` in the order in which `own` uses them: its zone first, then by hash."""
     return sorted(relays, key=lambda row: (row.zone != own.zone, unit_hash(own.name, row.name)))
--- a/packages/feed/src/cardamomloft/feed/sources.py
+++ b/packages/feed/src/cardamomloft/feed/sources.py
@@ -1,18 +1,19 @@
-"""Whom a gateway asks for changes next: a relay of its region, or the control store itself.
-
-A change must be in force within the drain time at a gateway that reaches the store, whatever
-becomes of the relays. So a gateway knows as of when its knowledge is complete. It asks a relay only
-as long as there is time left to hear nothing from it and ask the store instead:
-
-- a relay asks the store again 0.35 of the drain time after an answer with changes, and passes on at
-  once what it hears, so with nothing amiss a change is in force after 0.4;
-- a listener's question to a relay lasts up to 0.3, and 0.1 later the relay counts as silent;
-- knowledge that is 0.7 old is renewed by the store itself, so at the latest 0.8 of the drain time
-  after a change the store is asked, which leaves 0.2 for its answer.
-
-While the store does not answer, the relays ask for it all the time, and the others ask them. A
-relay that has heard from the store since shows that it is back; and since a relay may be cut off
-from the store alone, each gateway asks the store itself 0.7 of the drain time after it last failed.
+"""Selects where a gateway queries for changes next: a relay of its region or the control store.
+
+A gateway that reaches the store must apply a change within the drain time even if relays fail. It
+therefore tracks the time up to which its data is complete, and queries a relay only while enough
+time is left to query the store after a relay timeout. In fractions of the drain time:
+
+- A relay queries the store again 0.35 after an answer with changes and forwards changes
+  immediately, so without failures a change is applied after 0.4.
+- A subscriber's query to a relay waits up to 0.3, and times out 0.1 later.
+- Data that is 0.7 old is refreshed from the store. The store is thus queried at most 0.8 after a
+  change, which leaves 0.2 for its answer.
+
+During an outage of the store, relays query it continuously and the other gateways query the relays.
+A relay with data newer than the failure shows that the store has recovered. Since only a relay may
+have lost its connection to the store, each gateway queries the store itself 0.7 of the drain time
+after its last failure.
 """
 
 import typing as t
@@ -20,56 +21,55 @@
 from datetime import timedelta
 
 from cardamomloft.core.registrations import EntryRecord
-from cardamomloft.feed.relays import by_nearness, relays_of
+from cardamomloft.feed.relays import by_proximity, relays_of
 
-RELAY_PAUSE_PART = 0.35
-"""Part of the drain time from an answer with changes to a relay's next question to the store. While
-something changes all the time this is what relays cost, and how late they hear of it."""
+RELAY_PAUSE_FRACTION = 0.35
+"""Fraction of the drain time between an answer with changes and a relay's next store query. Under
+continuous changes it sets the rate of store queries and the delay of changes."""
 
-RELAY_AGE_PART = 0.5
-"""Part of the drain time that a relay's knowledge gets old at the most: the store may wait for a
-change as long as that leaves. A relay that has just heard nothing new asks again at once."""
+RELAY_MAX_AGE_FRACTION = 0.5
+"""Fraction of the drain time that bounds the age of a relay's data, and so the wait of its store
+queries. After an answer without changes a relay queries again immediately."""
 
-QUESTION_PART = 0.3
-"""Part of the drain time for which a relay may wait for a change before it answers a listener: what
-the parts around it leave."""
+SUBSCRIBER_WAIT_FRACTION = 0.3
+"""Fraction of the drain time for which a relay may wait for a change before it answers a
+subscriber."""
 
-ANSWER_PART = 0.1
-"""Part of the drain time that a relay's answer may take on top of that: 0.25 s of 2.5 s, for links
-between zones and a busy relay."""
+RELAY_TIMEOUT_FRACTION = 0.1
+"""Fraction of the drain time that a relay's answer may take in addition to its wait."""
 
-OLDEST_PART = 0.7
-"""Part of the drain time after which knowledge is renewed by the store itself. After
-a relay's answer that does not come, 0.2 are left for the store's."""
+MAX_AGE_FRACTION = 0.7
+"""Fraction of the drain time after which data is refreshed from the store. After a relay timeout,
+0.2 is left for the store's answer."""
 
-LISTENER_PAUSE_PART = 0.05
-"""Part of the drain time from an answer with changes to a listener's next question, so that a
-series of changes takes some 20 messages in a drain time and no more."""
+SUBSCRIBER_PAUSE_FRACTION = 0.05
+"""Fraction of the drain time between an answer with changes and a subscriber's next query. It
+limits a subscriber to about 20 queries per drain time."""
 
-AWAY_QUESTION_PART = 0.2
-"""Part of the drain time for which a relay may wait for a change while the store does not answer:
-0.5 s of 2.5 s, as often as a relay asks the store."""
+OUTAGE_WAIT_FRACTION = 0.2
+"""Fraction of the drain time for which a relay may wait before it answers a subscriber during an
+outage of the store."""
 
 FAILURES_UNTIL_AWAY = 2
-"""Failed calls in a row after which the store counts as away; one may be a lost packet."""
+"""Consecutive failed calls after which the store counts as unavailable."""
 
-SUSPECT_PARTS = 2.0
-"""Drain times for which a silent relay is not asked; a dead one's record is gone by then."""
+SUSPECT_DRAIN_TIMES = 2.0
+"""Drain times for which an unresponsive relay is not queried; a dead one's record expires first."""
 
 _NEVER = timedelta(0)
 
 
 class Question(t.NamedTuple):
-    """Whom to ask for changes, and how.
+    """The next query for changes.
 
     Attributes
     ----------
     relay
-        The relay to ask; None: the store.
+        The relay to query, or None for the store.
     wait
-        How long it may wait for a change before it answers; None: as long as without relays.
+        How long the source may wait for a change before it answers; None for the default.
     pause
-        Least time from an answer with changes to the next question; None: as without relays.
+        Minimum time from an answer with changes to the next query; None for the default.
     """
 
     relay: EntryRecord | None
@@ -78,97 +78,97 @@
 
 
 class Sources:
-    """Chooses the source of the next question.
+    """Selects the source of the next query for changes.
 
     Parameters
     ----------
     own
-        This gateway's own record; without an address for peers it asks the store by itself.
+        This gateway's record; without an address for peers it always queries the store.
     drain_time
-        How soon a change must be in force.
+        Time within which a change must be applied.
 
     Attributes
     ----------
     known_at
-        Instant until which all changes are known; None before anything is.
+        Time up to which the data is complete; None before the first answer.
     """
 
     def __init__(self, own: EntryRecord, drain_time: timedelta) -> None:
         self._own = own
         self.drain_time = drain_time
         self.known_at: timedelta | None = None
-        self._suspects: dict[str, timedelta] = {}
+        self._suspected_until: dict[str, timedelta] = {}
         self._failures = 0
         self._failed_at = timedelta(0)
 
     @property
     def patience(self) -> timedelta:
-        """How much longer than it was told to wait a relay may take for its answer."""
-        return self.drain_time * ANSWER_PART
+        """How much longer than its wait a relay may take to answer."""
+        return self.drain_time * RELAY_TIMEOUT_FRACTION
 
     def next(self, records: Iterable[EntryRecord], now: timedelta) -> Question:
-        """Return the next question, given the gateways that are recorded.
+        """Return the next query, given the recorded gateways.
 
-        A relay answers only whom it knows, so a gateway that starts or leaves asks the store.
+        A relay answers only recorded gateways, so a gateway without a record queries the store.
         """
         relays = self._relays(records)
         if self._own.name in [row.name for row in relays]:
-            return self._as_relay(now)
+            return self._query_as_relay(now)
         relay = self._nearest(relays, now)
         if relay is None:
             return Question(None)
-        pause = self.drain_time * LISTENER_PAUSE_PART
-        left = self._time_left(OLDEST_PART, now)
-        if not left:
+        pause = self.drain_time * SUBSCRIBER_PAUSE_FRACTION
+        time_left = self._time_left(MAX_AGE_FRACTION, now)
+        if not time_left:
             return Question(None, timedelta(0), pause)
-        return Question(relay, min(left, self.drain_time * QUESTION_PART), pause)
+        return Question(relay, min(time_left, self.drain_time * SUBSCRIBER_WAIT_FRACTION), pause)
 
     def relay(self, records: Iterable[EntryRecord], now: timedelta) -> EntryRecord | None:
-        """Return the relay that may know what the store does not tell this gateway, or None.
+        """Return a relay that may have data while the store does not answer, or None.
 
-        A relay may ask the other one.
+        A relay gets the other relay.
         """
         return self._nearest(self._relays(records), now)
 
     def next_while_failing(self, records: Iterable[EntryRecord], now: timedelta) -> Question:
-        """Return the next question after the store has failed to answer one."""
+        """Return the next query after a failed query to the store."""
         relays = self._relays(records)
         relay = self._nearest(relays, now)
-        left = self._failed_at + self.drain_time * OLDEST_PART - now
-        relaying = self._own.name in [row.name for row in relays]
+        time_left = self._failed_at + self.drain_time * MAX_AGE_FRACTION - now
+        is_relay = self._own.name in [row.name for row in relays]
         if (
             relay is None
-            or relaying
+            or is_relay
             or self._failures < FAILURES_UNTIL_AWAY
-            or left <= timedelta(0)
+            or time_left <= timedelta(0)
         ):
             return Question(None, timedelta(0))
-        return Question(relay, min(left, self.drain_time * AWAY_QUESTION_PART))
+        return Question(relay, min(time_left, self.drain_time * OUTAGE_WAIT_FRACTION))
 
-    def store_failed(self, asked_at: timedelta) -> None:
-        """Note that a question of that instant got no answer from the store."""
+    def store_failed(self, sent_at: timedelta) -> None:
+        """Record that the store did not answer a query sent at `sent_at`."""
         self._failures += 1
-        self._failed_at = asked_at
+        self._failed_at = sent_at
 
     def store_answered(self) -> None:
-        """Note that the store answers this gateway."""
+        """Record that the store answered this gateway."""
         self._failures = 0
 
     def is_back(self, complete_at: timedelta) -> bool:
-        """Tell whether knowledge complete then shows that the store has answered another since."""
+        """Return whether a relay's data, complete at that time, is newer than the last failure."""
         return complete_at > self._failed_at
 
     def complete(self, at: timedelta) -> None:
-        """Note that everything is known that had changed until the instant `at`."""
+        """Record that the data is complete up to the time `at`."""
         self.known_at = at if self.known_at is None else max(self.known_at, at)
 
     def age(self, now: timedelta) -> timedelta | None:
-        """Return how old the knowledge is; None before anything is known."""
+        """Return the age of the data; None before the first answer."""
         return None if self.known_at is None else now - self.known_at
 
     def silent(self, name: str, now: timedelta) -> None:
-        """Note that a relay did not answer."""
-        self._suspects[name] = now + self.drain_time * SUSPECT_PARTS
+        """Record that the relay `name` did not answer."""
+        self._suspected_until[name] = now + self.drain_time * SUSPECT_DRAIN_TIMES
 
     def _relays(self, records: Iterable[EntryRecord]) -> list[EntryRecord]:
         known = {row.name: row for row in records}
@@ -178,21 +178,23 @@
 
     def _nearest(self, relays: list[EntryRecord], now: timedelta) -> EntryRecord | None:
         others = [row for row in relays if row.name != self._own.name]
-        heard = (row for row in by_nearness(self._own, others) if self._trusted(row, now))
-        return next(heard, None)
+        responsive = (
+            row for row in by_proximity(self._own, others) if self._is_responsive(row, now)
+        )
+        return next(responsive, None)
 
-    def _as_relay(self, now: timedelta) -> Question:
-        wait = self._time_left(RELAY_AGE_PART, now)
-        return Question(None, wait, self.drain_time * RELAY_PAUSE_PART)
+    def _query_as_relay(self, now: timedelta) -> Question:
+        wait = self._time_left(RELAY_MAX_AGE_FRACTION, now)
+        return Question(None, wait, self.drain_time * RELAY_PAUSE_FRACTION)
 
-    def _time_left(self, part: float, now: timedelta) -> timedelta:
-        """Return the time until the knowledge is as old as this part of the drain time."""
+    def _time_left(self, fraction: float, now: timedelta) -> timedelta:
+        """Return the time until the data is `fraction` drain times old."""
         if self.known_at is None:
             return timedelta(0)
-        return max(timedelta(0), self.known_at + self.drain_time * part - now)
+        return max(timedelta(0), self.known_at + self.drain_time * fraction - now)
 
-    def _trusted(self, row: EntryRecord, now: timedelta) -> bool:
-        if self._suspects.get(row.name, _NEVER) > now:
+    def _is_responsive(self, row: EntryRecord, now: timedelta) -> bool:
+        if self._suspected_until.get(row.name, _NEVER) > now:
             return False
-        self._suspects.pop(row.name, None)
+        self._suspected_until.pop(row.name, None)
         return True
--- a/packages/feed/src/cardamomloft/feed/typedcodec.py
+++ b/packages/feed/src/cardamomloft/feed/typedcodec.py
@@ -1,4 +1,4 @@
-"""Lists of typed tuples in MessagePack, each with the number of its type."""
+"""Encoding of lists of named tuples in MessagePack, each tagged with the number of its type."""
 
 import typing as t
 from collections.abc import Iterable, Sequence
@@ -9,37 +9,37 @@
 T = t.TypeVar("T")
 
 
-class _Framed(t.NamedTuple):
-    """The number of an item's type, and the item."""
+class _TaggedItem(t.NamedTuple):
+    """An encoded item with the number of its type."""
 
     number: int
     item: msgspec.Raw
 
 
 class TypedCodec(t.Generic[T]):
-    """Reads and writes items of the given types; new types go to the end."""
+    """Encodes and decodes items of `types`; append new types to keep the numbers."""
 
     def __init__(self, types: Sequence[type[T]]) -> None:
         self._numbers = {kind: number for number, kind in enumerate(types)}
         self._encoder = msgspec.msgpack.Encoder()
-        self._frames = msgspec.msgpack.Decoder(list[_Framed])
+        self._list_decoder = msgspec.msgpack.Decoder(list[_TaggedItem])
         self._decoders = [msgspec.msgpack.Decoder(kind) for kind in types]
 
     def encode(self, items: Iterable[T]) -> bytes:
-        """Return the wire form of `items`."""
+        """Encode `items`."""
         return self._encoder.encode([(self._numbers[type(item)], item) for item in items])
 
     def decode(self, data: bytes) -> Result[tuple[T, ...], str]:
-        """Read items; the error says what is wrong.
+        """Decode items; the error is a message.
 
-        One that can't be read makes all of them useless: what it says is not known.
+        One invalid item makes the whole list an error, since the missing item may matter.
         """
         try:
-            return Ok(tuple(map(self._item, self._frames.decode(data))))
+            return Ok(tuple(map(self._item, self._list_decoder.decode(data))))
         except (msgspec.MsgspecError, ValueError, TypeError, RecursionError) as exc:
             return Error(f"{type(exc).__name__}: {exc}")
 
-    def _item(self, framed: _Framed) -> T:
-        if not 0 <= framed.number < len(self._decoders):
-            raise ValueError(f"no type has the number {framed.number}")
-        return t.cast(T, self._decoders[framed.number].decode(framed.item))
+    def _item(self, tagged: _TaggedItem) -> T:
+        if not 0 <= tagged.number < len(self._decoders):
+            raise ValueError(f"unknown type number {tagged.number}")
+        return t.cast(T, self._decoders[tagged.number].decode(tagged.item))
--- a/packages/feed/tests/test_changetable.py
+++ b/packages/feed/tests/test_changetable.py
@@ -1,4 +1,4 @@
-"""What a table answers must be enough for whoever asks, whatever it has forgotten."""
+"""Changes since a position must be complete, or not be answered, also after evictions."""
 
 from datetime import timedelta
 
@@ -20,17 +20,17 @@
 from hypothesis import strategies as st
 
 
-def up(number, **changes):
+def registered(number, **changes):
     return UpstreamRegistered(kit.registration(number, **changes))
 
 
-def test_nothing_is_told_before_the_first_list():
+def test_no_position_is_answered_before_the_first_listing():
     assert ChangeTable().since(kit.at(0)) is None
 
 
-def test_what_changed_since_a_revision_comes_in_order():
+def test_changes_since_a_position_are_returned_in_order():
     table = ChangeTable()
-    table.listed([up(1), up(2)], kit.at(10))
+    table.listed([registered(1), registered(2)], kit.at(10))
     table.changed([ZoneDrained("b")], kit.at(12))
     table.changed([UpstreamWithdrawn("i-1")], kit.at(15))
     assert table.since(kit.at(10)) == (ZoneDrained("b"), UpstreamWithdrawn("i-1"))
@@ -39,43 +39,45 @@
     assert table.since(kit.at(99)) == ()
 
 
-def test_a_revision_before_the_first_list_is_not_answered():
+def test_position_before_the_first_listing_is_not_answered():
     table = ChangeTable()
-    table.listed([up(1)], kit.at(10))
+    table.listed([registered(1)], kit.at(10))
     assert table.since(kit.at(9)) is None
     assert table.since(kit.at(10)) == ()
 
 
-def test_reports_that_say_nothing_new_are_not_passed_on():
+def test_unchanged_facts_are_not_returned():
     table = ChangeTable()
-    table.listed([up(1)], kit.at(10))
-    table.changed([up(1)], kit.at(20))
+    table.listed([registered(1)], kit.at(10))
+    table.changed([registered(1)], kit.at(20))
     assert table.since(kit.at(10)) == ()
     assert table.index == kit.at(20)
 
 
-def test_of_a_key_that_changed_often_the_last_state_is_told():
+def test_only_the_latest_fact_of_a_key_is_returned():
     table = ChangeTable()
-    table.listed([up(1)], kit.at(10))
-    table.changed([up(1, draining=True)], kit.at(11))
+    table.listed([registered(1)], kit.at(10))
+    table.changed([registered(1, draining=True)], kit.at(11))
     table.changed([UpstreamWithdrawn("i-1")], kit.at(12))
-    table.changed([up(1, started_ms=7)], kit.at(13))
-    assert table.since(kit.at(10)) == (up(1, started_ms=7),)
+    table.changed([registered(1, started_ms=7)], kit.at(13))
+    assert table.since(kit.at(10)) == (registered(1, started_ms=7),)
 
 
-def test_an_older_configuration_is_never_told_after_a_newer_one():
+def test_older_configuration_does_not_replace_a_newer_one():
     table = ChangeTable()
     table.listed([PlanRead(kit.plan(5))], kit.at(10))
     table.changed([PlanRead(kit.plan(4))], kit.at(11))
     assert table.since(kit.at(10)) == ()
 
 
-def test_a_new_list_tells_what_has_gone_since():
+def test_new_listing_adds_removals_of_missing_keys():
     table = ChangeTable()
     own = EntryRecorded(EntryRecord("e-1", "10.0.0.1:80", "a", "east"))
-    table.listed([up(1), up(2), own, ZoneDrained("b"), Unreadable("x", "y")], kit.at(10))
+    table.listed(
+        [registered(1), registered(2), own, ZoneDrained("b"), Unreadable("x", "y")], kit.at(10)
+    )
     table.changed([UpstreamUnreadable("i-3", "no slots")], kit.at(11))
-    table.listed([up(2), PlanRead(kit.plan(1))], kit.at(30))
+    table.listed([registered(2), PlanRead(kit.plan(1))], kit.at(30))
     assert table.since(kit.at(11)) == (
         UpstreamWithdrawn("i-1"),
         EntryWithdrawn("e-1"),
@@ -85,16 +87,16 @@
     )
 
 
-def test_a_zone_that_is_restored_is_told_though_it_reads_like_one_that_is_drained():
+def test_restored_zone_is_distinguished_from_an_equal_drained_zone():
     table = ChangeTable()
     table.listed([ZoneDrained("b")], kit.at(10))
     table.changed([ZoneRestored("b")], kit.at(11))
     assert [type(fact) for fact in table.since(kit.at(10))] == [ZoneRestored]
 
 
-def test_removals_are_forgotten_and_who_missed_one_is_not_answered():
-    table = ChangeTable(removals_kept=2)
-    table.listed([up(number) for number in range(5)], kit.at(10))
+def test_position_before_an_evicted_removal_is_not_answered():
+    table = ChangeTable(max_removals=2)
+    table.listed([registered(number) for number in range(5)], kit.at(10))
     for number in range(4):
         table.changed([UpstreamWithdrawn(f"i-{number}")], kit.at(11 + number))
     assert table.since(kit.at(11)) is None
@@ -102,25 +104,25 @@
     assert len(table) == 1
 
 
-def test_a_store_that_counts_anew_begins_a_new_table():
+def test_lower_revision_of_a_replaced_store_resets_the_table():
     table = ChangeTable()
-    table.listed([up(1)], kit.at(500))
-    table.listed([up(2)], kit.at(3))
+    table.listed([registered(1)], kit.at(500))
+    table.listed([registered(2)], kit.at(3))
     assert table.index == kit.at(3)
     assert table.since(kit.at(2)) is None
-    table.changed([up(3)], kit.at(4))
-    assert table.since(kit.at(3)) == (up(3),)
+    table.changed([registered(3)], kit.at(4))
+    assert table.since(kit.at(3)) == (registered(3),)
 
 
-def test_only_what_changes_is_compared():
+def test_change_of_the_cold_time_left_is_a_change():
     table = ChangeTable()
-    table.listed([up(1, cold_left=timedelta(seconds=3))], kit.at(10))
-    table.changed([up(1, cold_left=timedelta(seconds=2))], kit.at(11))
-    assert table.since(kit.at(10)) == (up(1, cold_left=timedelta(seconds=2)),)
+    table.listed([registered(1, cold_left=timedelta(seconds=3))], kit.at(10))
+    table.changed([registered(1, cold_left=timedelta(seconds=2))], kit.at(11))
+    assert table.since(kit.at(10)) == (registered(1, cold_left=timedelta(seconds=2)),)
 
 
 FACTS = st.one_of(
-    st.builds(up, st.integers(1, 4), draining=st.booleans()),
+    st.builds(registered, st.integers(1, 4), draining=st.booleans()),
     st.builds(UpstreamWithdrawn, st.sampled_from(["i-1", "i-2", "i-3", "i-4"])),
     st.builds(ZoneDrained, st.sampled_from("ab")),
     st.builds(ZoneRestored, st.sampled_from("ab")),
@@ -130,8 +132,8 @@
 )
 
 
-def applied(state, facts):
-    """Return the keys that hold something after `facts`."""
+def apply(state, facts):
+    """Return the facts by key after applying `facts` to `state`."""
     state = dict(state)
     for fact in facts:
         match fact:
@@ -145,11 +147,8 @@
 
 
 @given(STEPS, st.integers(1, 3), st.data())
-def test_whoever_was_at_any_revision_gets_to_the_same_state(steps, kept, data):
-    """A listener that had everything up to a revision ends where the store is, or is not answered.
-
-    It may also know of later changes already, when it has asked the store meanwhile.
-    """
+def test_changes_since_any_position_lead_to_the_current_state(steps, kept, data):
+    """The changes since any position must give the current state, or None."""
     table, history, index = ChangeTable(kept), [], 10
     state = {}
     table.listed([], kit.at(index))
@@ -157,38 +156,38 @@
     for kind, facts in steps:
         index += len(facts) or 1
         if kind == "listed":
-            state = applied({}, facts)
+            state = apply({}, facts)
             table.listed(list(state.values()), kit.at(index))
         else:
-            state = applied(state, facts)
+            state = apply(state, facts)
             table.changed(facts, kit.at(index))
         history.append((index, state))
     after, before = data.draw(st.sampled_from(history))
-    passed = table.since(kit.at(after))
-    if passed is not None:
-        assert applied(before, passed) == state
+    changes = table.since(kit.at(after))
+    if changes is not None:
+        assert apply(before, changes) == state
 
 
-def test_a_position_of_another_era_is_not_answered():
+def test_position_of_another_era_is_not_answered():
     table = ChangeTable()
-    table.listed([up(1)], kit.at(10, era=2))
+    table.listed([registered(1)], kit.at(10, era=2))
     for era in (1, 3):
         assert table.since(kit.at(10, era)) is None
     assert table.since(kit.at(10, era=2)) == ()
-    assert table.whole() == (up(1),)
+    assert table.whole() == (registered(1),)
 
 
-def test_a_list_of_a_new_era_begins_a_new_table():
-    """What happened in that era before the list is not known."""
+def test_listing_of_a_new_era_resets_the_table():
+    """Changes of the new era before its first listing are unknown."""
     table = ChangeTable()
-    table.listed([up(1), up(2)], kit.at(10, era=1))
-    table.listed([up(1)], kit.at(5, era=2))
+    table.listed([registered(1), registered(2)], kit.at(10, era=1))
+    table.listed([registered(1)], kit.at(5, era=2))
     assert table.since(kit.at(3, era=2)) is None
-    assert table.whole() == (up(1),)
+    assert table.whole() == (registered(1),)
 
 
-def test_the_whole_table_is_what_a_list_would_show():
+def test_whole_table_equals_a_listing_of_the_store():
     table = ChangeTable()
-    table.listed([up(1), up(2), ZoneDrained("b")], kit.at(10))
-    table.changed([UpstreamWithdrawn("i-1"), ZoneRestored("b"), up(3)], kit.at(11))
-    assert set(table.whole()) == {up(2), up(3)}
+    table.listed([registered(1), registered(2), ZoneDrained("b")], kit.at(10))
+    table.changed([UpstreamWithdrawn("i-1"), ZoneRestored("b"), registered(3)], kit.at(11))
+    assert set(table.whole()) == {registered(2), registered(3)}
--- a/packages/feed/tests/test_factcodec.py
+++ b/packages/feed/tests/test_factcodec.py
@@ -1,4 +1,4 @@
-"""Facts on the wire: what comes back is what was sent, and garbage is told as such."""
+"""Encoding of facts: round trips, and errors for invalid data."""
 
 from datetime import timedelta
 
@@ -21,9 +21,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-HOME_RULE = kit.RULE._replace(homes=frozenset({"east", "west"}))
+RULE_WITH_HOME_REGIONS = kit.RULE._replace(homes=frozenset({"east", "west"}))
 FACTS = (
-    PlanRead(kit.plan(7, rules=[HOME_RULE])),
+    PlanRead(kit.plan(7, rules=[RULE_WITH_HOME_REGIONS])),
     UpstreamRegistered(kit.registration(1, cold_left=timedelta(milliseconds=1234), started_ms=5)),
     UpstreamWithdrawn("i-1"),
     UpstreamUnreadable("i-2", "no slots"),
@@ -35,11 +35,11 @@
 )
 
 
-def test_every_fact_comes_back_as_it_was():
+def test_every_fact_is_unchanged_after_encoding_and_decoding():
     assert decode_facts(encode_facts(FACTS)).ok == FACTS
 
 
-def test_no_facts_are_no_fault():
+def test_empty_list_is_valid():
     assert decode_facts(encode_facts([])).ok == ()
 
 
@@ -55,16 +55,16 @@
         None,
     ],
 )
-def test_what_is_no_list_of_facts_is_an_error(rows):
+def test_invalid_list_of_facts_is_an_error(rows):
     assert decode_facts(msgspec.msgpack.encode(rows)).is_error()
 
 
 @given(st.binary(max_size=200))
-def test_arbitrary_bytes_raise_nothing(data):
+def test_decoding_arbitrary_bytes_never_raises(data):
     decode_facts(data)
 
 
-def test_a_part_of_a_message_is_no_message():
+def test_truncated_message_is_an_error():
     whole = encode_facts(FACTS)
     for end in range(0, len(whole), 7):
         assert decode_facts(whole[:end]).is_error()
--- a/packages/feed/tests/test_noticecodec.py
+++ b/packages/feed/tests/test_noticecodec.py
@@ -1,4 +1,4 @@
-"""Notices between gateways: whole and with their age, or none of them."""
+"""Encoding of notices: ages are kept across clocks, and invalid data is an error."""
 
 from datetime import timedelta
 
@@ -16,22 +16,22 @@
 ]
 
 
-def test_what_is_read_is_as_old_by_the_readers_clock():
+def test_decoded_notices_keep_their_age_on_the_receivers_clock():
     later = timedelta(hours=1000)
     read = decode_notices(encode_notices(HELD, NOW), later).ok
     assert read == tuple(Dated(notice, later - (NOW - at)) for notice, at in HELD)
 
 
 @given(st.binary(max_size=60))
-def test_whatever_comes_is_read_or_refused(data):
+def test_decoding_arbitrary_bytes_never_raises(data):
     assert isinstance(decode_notices(data, NOW).is_ok(), bool)
 
 
 @given(st.integers(0, 200), st.binary(min_size=1, max_size=3))
-def test_spoilt_bytes_are_read_or_refused(place, patch):
+def test_corrupted_bytes_give_an_error_or_a_bounded_age(offset, patch):
     data = encode_notices(HELD, NOW)
-    spoilt = data[:place] + patch + data[place + len(patch) :]
-    outcome = decode_notices(spoilt, NOW)
+    corrupted = data[:offset] + patch + data[offset + len(patch) :]
+    outcome = decode_notices(corrupted, NOW)
     if outcome.is_ok():
         assert all(NOW - MAX_AGE_MS * MS <= dated.at <= NOW for dated in outcome.ok)
 
@@ -39,5 +39,5 @@
 @pytest.mark.parametrize(
     "notice", [UpstreamLeaving("x" * 501, 0), CrashUnderRequest("x" * 501, "i", 0, 1)]
 )
-def test_endless_texts_are_refused(notice):
+def test_overlong_texts_are_an_error(notice):
     assert decode_notices(encode_notices([Dated(notice, NOW)], NOW), NOW).is_error()
--- a/packages/feed/tests/test_sources.py
+++ b/packages/feed/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""Whom a gateway asks, and how long it may go on without the store's own word."""
+"""Which source a gateway queries, and how old its data may get without the store."""
 
 from datetime import timedelta
 
@@ -9,7 +9,7 @@
 DRAIN = timedelta(seconds=4)
 KNOWN = entries(20)
 RELAYS = relays_of("east", KNOWN)
-LISTENER = next(row for row in KNOWN if row not in RELAYS)
+SUBSCRIBER = next(row for row in KNOWN if row not in RELAYS)
 START = timedelta(seconds=100)
 
 
@@ -17,70 +17,70 @@
     return timedelta(seconds=value)
 
 
-def listener():
-    sources = Sources(LISTENER, DRAIN)
+def subscriber():
+    sources = Sources(SUBSCRIBER, DRAIN)
     sources.complete(START)
     return sources
 
 
-def test_a_relay_asks_the_store_and_its_knowledge_gets_half_of_the_drain_time_old():
+def test_relay_queries_the_store_and_its_data_is_at_most_half_a_drain_time_old():
     sources = Sources(RELAYS[0], DRAIN)
     assert sources.next(KNOWN, START).wait == timedelta(0)
     sources.complete(START)
-    question = sources.next(KNOWN, START)
-    assert question.relay is None and question.wait == DRAIN / 2
-    after_a_pause = sources.next(KNOWN, START + question.pause)
-    assert after_a_pause.wait + question.pause == DRAIN / 2
+    query = sources.next(KNOWN, START)
+    assert query.relay is None and query.wait == DRAIN / 2
+    after_a_pause = sources.next(KNOWN, START + query.pause)
+    assert after_a_pause.wait + query.pause == DRAIN / 2
 
 
-def test_without_relays_it_is_as_if_there_were_none():
-    assert listener().next(entries(5), START) == Question(None)
+def test_region_without_relays_queries_the_store_with_defaults():
+    assert subscriber().next(entries(5), START) == Question(None)
 
 
-def test_a_gateway_without_an_address_for_peers_asks_the_store():
-    sources = Sources(LISTENER._replace(peers=""), DRAIN)
+def test_gateway_without_a_peer_address_queries_the_store():
+    sources = Sources(SUBSCRIBER._replace(peers=""), DRAIN)
     sources.complete(START)
     assert sources.next(KNOWN, START) == Question(None)
 
 
-def test_a_gateway_that_the_others_do_not_know_asks_the_store():
-    others = [row for row in KNOWN if row != LISTENER]
-    assert listener().next(others, START) == Question(None)
+def test_gateway_without_a_record_queries_the_store():
+    others = [row for row in KNOWN if row != SUBSCRIBER]
+    assert subscriber().next(others, START) == Question(None)
 
 
-def test_a_listener_asks_a_relay():
-    question = listener().next(KNOWN, START)
-    assert question.relay in RELAYS
-    assert question.wait == DRAIN * 0.3
+def test_subscriber_queries_a_relay():
+    query = subscriber().next(KNOWN, START)
+    assert query.relay in RELAYS
+    assert query.wait == DRAIN * 0.3
 
 
-def test_nobody_is_asked_before_the_store_was():
-    question = Sources(LISTENER, DRAIN).next(KNOWN, START)
-    assert question.relay is None and question.wait == timedelta(0)
+def test_first_query_goes_to_the_store():
+    query = Sources(SUBSCRIBER, DRAIN).next(KNOWN, START)
+    assert query.relay is None and query.wait == timedelta(0)
 
 
-def test_a_question_to_a_relay_ends_before_knowledge_is_too_old():
-    sources = listener()
-    question = sources.next(KNOWN, START + seconds(2.5))
-    assert question.relay in RELAYS
-    assert timedelta(0) < question.wait <= seconds(0.3)
-    later = START + seconds(2.5) + question.wait + sources.patience
+def test_query_to_a_relay_ends_before_the_data_is_too_old():
+    sources = subscriber()
+    query = sources.next(KNOWN, START + seconds(2.5))
+    assert query.relay in RELAYS
+    assert timedelta(0) < query.wait <= seconds(0.3)
+    later = START + seconds(2.5) + query.wait + sources.patience
     assert later - START <= DRAIN * 0.8
 
 
-def test_old_knowledge_is_renewed_by_the_store_at_once():
-    question = listener().next(KNOWN, START + DRAIN * 0.7)
-    assert question.relay is None and question.wait == timedelta(0)
+def test_old_data_is_refreshed_from_the_store_immediately():
+    query = subscriber().next(KNOWN, START + DRAIN * 0.7)
+    assert query.relay is None and query.wait == timedelta(0)
 
 
-def test_what_a_relay_knew_earlier_makes_nothing_younger():
-    sources = listener()
+def test_older_data_of_a_relay_does_not_reduce_the_age():
+    sources = subscriber()
     sources.complete(START - seconds(1))
     assert sources.age(START) == timedelta(0)
 
 
-def test_a_silent_relay_is_left_alone_for_a_while_and_the_other_is_asked():
-    sources = listener()
+def test_unresponsive_relay_is_skipped_for_a_while():
+    sources = subscriber()
     first = sources.next(KNOWN, START).relay
     sources.silent(first.name, START)
     second = sources.next(KNOWN, START).relay
@@ -92,14 +92,14 @@
     assert sources.next(KNOWN, later).relay == first
 
 
-def test_a_gateway_that_stood_still_asks_the_store_first():
-    assert listener().next(KNOWN, START + seconds(60)).relay is None
+def test_gateway_that_was_suspended_queries_the_store_first():
+    assert subscriber().next(KNOWN, START + seconds(60)).relay is None
 
 
-AT_ONCE = Question(None, timedelta(0))
+STORE_IMMEDIATELY = Question(None, timedelta(0))
 
 
-def failing(times, at=START, own=LISTENER):
+def sources_after_failures(times, at=START, own=SUBSCRIBER):
     sources = Sources(own, DRAIN)
     sources.complete(START)
     for _ in range(times):
@@ -107,46 +107,46 @@
     return sources
 
 
-def test_after_one_failure_the_store_is_asked_once_more():
-    assert failing(1).next_while_failing(KNOWN, START) == AT_ONCE
+def test_store_is_queried_again_after_one_failure():
+    assert sources_after_failures(1).next_while_failing(KNOWN, START) == STORE_IMMEDIATELY
 
 
-def test_a_store_that_is_away_is_left_to_the_relays():
-    question = failing(2).next_while_failing(KNOWN, START)
-    assert question.relay in RELAYS
-    assert question.wait == DRAIN * 0.2
+def test_subscriber_queries_a_relay_while_the_store_is_unavailable():
+    query = sources_after_failures(2).next_while_failing(KNOWN, START)
+    assert query.relay in RELAYS
+    assert query.wait == DRAIN * 0.2
 
 
-def test_relays_ask_for_a_store_that_is_away_all_the_time():
-    sources = failing(9, own=RELAYS[0])
-    assert sources.next_while_failing(KNOWN, START) == AT_ONCE
+def test_relay_queries_an_unavailable_store_continuously():
+    sources = sources_after_failures(9, own=RELAYS[0])
+    assert sources.next_while_failing(KNOWN, START) == STORE_IMMEDIATELY
 
 
-def test_where_no_relay_is_to_be_had_each_asks_for_the_store():
-    sources = failing(9)
-    assert sources.next_while_failing(entries(5), START) == AT_ONCE
+def test_gateway_without_a_usable_relay_queries_an_unavailable_store():
+    sources = sources_after_failures(9)
+    assert sources.next_while_failing(entries(5), START) == STORE_IMMEDIATELY
     for relay in RELAYS:
         sources.silent(relay.name, START)
-    assert sources.next_while_failing(KNOWN, START) == AT_ONCE
+    assert sources.next_while_failing(KNOWN, START) == STORE_IMMEDIATELY
 
 
-def test_relays_that_are_cut_off_alone_hide_the_stores_return_for_less_than_the_drain_time():
-    sources = failing(2)
-    question = sources.next_while_failing(KNOWN, START + DRAIN * 0.65)
-    assert question.relay in RELAYS
-    asked_at_the_latest = DRAIN * 0.65 + question.wait + sources.patience
-    assert asked_at_the_latest <= DRAIN * 0.8
-    assert sources.next_while_failing(KNOWN, START + DRAIN * 0.7) == AT_ONCE
+def test_recovered_store_is_queried_in_time_when_only_the_relays_cannot_reach_it():
+    sources = sources_after_failures(2)
+    query = sources.next_while_failing(KNOWN, START + DRAIN * 0.65)
+    assert query.relay in RELAYS
+    latest_store_query = DRAIN * 0.65 + query.wait + sources.patience
+    assert latest_store_query <= DRAIN * 0.8
+    assert sources.next_while_failing(KNOWN, START + DRAIN * 0.7) == STORE_IMMEDIATELY
 
 
-def test_what_a_relay_heard_before_the_failure_does_not_show_that_the_store_is_back():
-    sources = failing(2)
+def test_relay_data_older_than_the_failure_does_not_show_a_recovery():
+    sources = sources_after_failures(2)
     assert not sources.is_back(START)
     assert sources.is_back(START + seconds(0.1))
 
 
-def test_an_answer_of_the_store_ends_the_row_of_failures():
-    sources = failing(5)
+def test_answer_of_the_store_resets_the_failure_count():
+    sources = sources_after_failures(5)
     sources.store_answered()
     sources.store_failed(START)
-    assert sources.next_while_failing(KNOWN, START) == AT_ONCE
+    assert sources.next_while_failing(KNOWN, START) == STORE_IMMEDIATELY
