--- a/packages/feed/src/cardamomloft/feed/sources.py
+++ b/packages/feed/src/cardamomloft/feed/sources.py
@@ -60,7 +60,7 @@
 
 
 class Question(t.NamedTuple):
-    """The next query for changes.
+    """The source of the next query for changes, and how to query it.
 
     Attributes
     ----------
