--- a/packages/callers/src/cardamomloft/callers/app.py
+++ b/packages/callers/src/cardamomloft/callers/app.py
@@ -184,7 +184,7 @@
         answered.addErrback(self._handle_error)
         answered.addCallback(self._respond_in_order, request)
         answered.addErrback(request.processingFailed)
-        answered.addBoth(lambda _: self._request_finished())
+        answered.addBoth(lambda _: self._finished())
 
     def _handle_error(self, failure: Failure) -> Answer:
         self._on_fault(failure)
@@ -205,7 +205,7 @@
         request.write_answer(answer)
         return None
 
-    def _request_finished(self) -> None:
+    def _finished(self) -> None:
         self.in_flight -= 1
         self._drained.check()
 
