--- a/packages/store/src/cardamomloft/store/keyvalue.py
+++ b/packages/store/src/cardamomloft/store/keyvalue.py
@@ -29,7 +29,7 @@
 
 
 class CallKind(enum.StrEnum):
-    """Kinds of call, each with its own rate limit at the store."""
+    """Kinds of call that count against the rate limits of the store."""
 
     GET = enum.auto()
     LIST = enum.auto()
