--- a/packages/entry/src/cardamomloft/entry/steward.py
+++ b/packages/entry/src/cardamomloft/entry/steward.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 
 CONFIGURATION_KEY = "config/current"
-WATCH_WAIT = timedelta(minutes=5)
+WATCH_TIMEOUT = timedelta(minutes=5)
 FIRST_BACK_OFF = timedelta(milliseconds=500)
 LAST_BACK_OFF = timedelta(seconds=10)
 
@@ -104,10 +104,10 @@
             case Renew():
                 following = await self._renew()
             case WatchLease():
-                result = await self._store.watch(self._key, self._lease_index, WATCH_WAIT)
+                result = await self._store.watch(self._key, self._lease_index, WATCH_TIMEOUT)
                 following = self._looked(result)
             case ReadLease():
-                result = await self._store.watch(self._key, 0, WATCH_WAIT)
+                result = await self._store.watch(self._key, 0, WATCH_TIMEOUT)
                 following = self._looked(result)
         self._do(following)
 
@@ -150,7 +150,7 @@
 
     async def _watch(self) -> None:
         while self.stewardship.watches_configuration:
-            result = await self._store.watch(CONFIGURATION_KEY, self._config_index, WATCH_WAIT)
+            result = await self._store.watch(CONFIGURATION_KEY, self._config_index, WATCH_TIMEOUT)
             match result:
                 case Result(tag="ok", ok=Watched(record, index)):
                     self._config_index = index
--- a/packages/entry/tests/test_node.py
+++ b/packages/entry/tests/test_node.py
@@ -15,8 +15,8 @@
 from cardamomloft.core.messages import Digest, DocumentReply, DocumentRequest
 from cardamomloft.core.model import Incarnation, Refusal, RefusalReason
 from cardamomloft.core.replication import pack
+from cardamomloft.entry.adapters import Outside
 from cardamomloft.entry.node import EntryNode
-from cardamomloft.entry.outside import Outside
 from cardamomloft.store.failures import StoreFailure
 from cardamomloft.store.keyvalue import Record
 from expression import Error, Ok
--- a/packages/entry/tests/test_steward.py
+++ b/packages/entry/tests/test_steward.py
@@ -101,7 +101,7 @@
         self.clock, self.store, self.replica = ManualClock(), FakeStore(), FakeReplica()
         self.faults, self.offered = [], 0
         stewardship = Stewardship("r1", self.clock, random.Random(1))
-        stewardship.place(standby=standby, size=4)
+        stewardship.set_role(standby=standby, size=4)
         self.runner = StewardRunner(
             Incarnation("e1", "1"),
             "r1",
--- a/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
@@ -10,7 +10,7 @@
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.sources import Question, Sources
 from cardamomloft.gateway.control import Changes, Control, Listing
-from cardamomloft.gateway.relaying import Passed, RelayPort, Silence
+from cardamomloft.gateway.relaying import RelayedChanges, RelayPort, Silence
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.store.failures import StoreFailure
@@ -76,9 +76,9 @@
         """Return what has changed after the revision `after`; without a wait, by the store."""
         return ensureDeferred(self._changes(after, wait))
 
-    def record(self, record: EntryRecord, life: timedelta) -> "Deferred[Result[str, StoreFailure]]":
+    def record(self, record: EntryRecord, ttl: timedelta) -> "Deferred[Result[str, StoreFailure]]":
         """Record an entry under a new lease."""
-        return self._control.record(record, life)
+        return self._control.record(record, ttl)
 
     def renew(self, lease: str) -> "Deferred[Result[bool, StoreFailure]]":
         """Renew a lease."""
@@ -94,7 +94,7 @@
         if outcome.is_ok():
             self._table.listed(outcome.ok.facts, outcome.ok.index)
             self._sources.complete(asked_at)
-            self._port.publish()
+            self._port.answer_held_requests()
         return outcome
 
     async def _changes(self, after: Position, wait: timedelta) -> Result[Changes, StoreFailure]:
@@ -112,7 +112,7 @@
         if question.relay is None:
             return await self._from_store_at_once(after)
         wait = question.wait or timedelta(0)
-        match await self._port.ask(question.relay, after, wait, self._sources.patience):
+        match await self._port.request_changes(question.relay, after, wait, self._sources.patience):
             case Result(tag="ok", ok=passed) if self._is_no_news_of_store(passed, after):
                 left = StoreFailure(False, f"left to {question.relay.name} to ask")
                 return Ok(self._passed(passed, after, None)._replace(failure=left))
@@ -130,7 +130,7 @@
         relay = self._sources.relay(self._records(), self._clock.monotonic())
         if relay is None:
             return outcome
-        match await self._port.ask(relay, after, timedelta(0), self._sources.patience):
+        match await self._port.request_changes(relay, after, timedelta(0), self._sources.patience):
             case Result(tag="ok", ok=passed) if self._is_of_use(passed, after):
                 return Ok(self._passed(passed, after, None)._replace(failure=outcome.error))
             case Result(tag="error", error=silence) if not silence.cancelled:
@@ -141,7 +141,7 @@
         self, relay: EntryRecord, question: Question, after: Position
     ) -> Result[Changes, StoreFailure]:
         wait = question.wait or timedelta(0)
-        match await self._port.ask(relay, after, wait, self._sources.patience):
+        match await self._port.request_changes(relay, after, wait, self._sources.patience):
             case Result(tag="ok", ok=passed) if self._is_of_use(passed, after):
                 return Ok(self._passed(passed, after, question.pause))
             case Result(tag="error", error=Silence(cancelled=True, detail=detail)):
@@ -150,27 +150,27 @@
                 self._silent(relay, silence)
         return await self._from_store(after, timedelta(0), question.pause)
 
-    def _passed(self, passed: Passed, after: Position, pause: timedelta | None) -> Changes:
+    def _passed(self, passed: RelayedChanges, after: Position, pause: timedelta | None) -> Changes:
         self._metrics.count("changes_from_relay")
         self._sources.complete(passed.complete_at)
         if passed.whole:
             self._table.listed(passed.facts, passed.index)
-            self._port.publish()
+            self._port.answer_held_requests()
             return Changes(passed.facts, passed.index, whole=True, pause=pause)
         index = max(after, passed.index)
         self._learn(passed.facts, index)
         return Changes(passed.facts, index, pause=pause)
 
-    def _is_no_news_of_store(self, passed: Passed, after: Position) -> bool:
+    def _is_no_news_of_store(self, passed: RelayedChanges, after: Position) -> bool:
         return not self._sources.is_back(passed.complete_at) and self._is_of_use(passed, after)
 
-    def _is_of_use(self, passed: Passed, after: Position) -> bool:
+    def _is_of_use(self, passed: RelayedChanges, after: Position) -> bool:
         """Tell whether an answer tells nothing that is older than what is known here."""
         if passed.whole:
             return passed.index >= after
         return passed.index.era == after.era and not self._went_back(passed, after)
 
-    def _went_back(self, passed: Passed, after: Position) -> bool:
+    def _went_back(self, passed: RelayedChanges, after: Position) -> bool:
         """Tell whether a relay heard a lower revision later: then the store counts anew."""
         own = self._sources.known_at
         return passed.index < after and own is not None and passed.complete_at > own
@@ -199,4 +199,4 @@
 
     def _learn(self, facts: t.Iterable[t.Any], index: int) -> None:
         self._table.changed(facts, index)
-        self._port.publish()
+        self._port.answer_held_requests()
--- a/packages/gateway/src/cardamomloft/gateway/storecontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/storecontrol.py
@@ -90,12 +90,12 @@
         self._index = _position(listed)
         return tuple(fact for fact in facts if fact is not None)
 
-    def record(self, record: EntryRecord, life: timedelta) -> "Deferred[Result[str, StoreFailure]]":
+    def record(self, record: EntryRecord, ttl: timedelta) -> "Deferred[Result[str, StoreFailure]]":
         """Record an entry under a new lease."""
-        return ensureDeferred(self._record(record, life))
+        return ensureDeferred(self._record(record, ttl))
 
-    async def _record(self, record: EntryRecord, life: timedelta) -> Result[str, StoreFailure]:
-        match await self._store.create_lease(life):
+    async def _record(self, record: EntryRecord, ttl: timedelta) -> Result[str, StoreFailure]:
+        match await self._store.create_lease(ttl):
             case Result(tag="error", error=failure):
                 return Error(failure)
             case Result(ok=lease):
--- a/packages/gateway/tests/test_following.py
+++ b/packages/gateway/tests/test_following.py
@@ -2,7 +2,7 @@
 
 from cardamomloft.core.registrations import UpstreamWithdrawn
 from cardamomloft.gateway.control import Changes
-from cardamomloft.gateway.following import Follower, Pace
+from cardamomloft.gateway.following import Follower, PollTiming
 from cardamomloft_standins import gateway as kit
 from expression import Ok
 from twisted.internet.defer import Deferred
@@ -23,7 +23,7 @@
             self.time.clock,
             control,
             kit.rng(),
-            Pace(INTERVAL, WAIT),
+            PollTiming(INTERVAL, WAIT),
             self.listings.append,
             self.changes.append,
             lambda *told: self.returned.append(told),
@@ -75,7 +75,7 @@
     run = Run(_listed())
     run.control.next = kit.AWAY
     run.time.advance(INTERVAL + 100 * MS)
-    assert not run.follower.away
+    assert not run.follower.store_unavailable
     run.control.next = kit.no_changes()
     run.time.advance(INTERVAL)
     assert run.returned == []
@@ -85,7 +85,7 @@
     run = Run(_listed())
     run.control.next = kit.AWAY
     run.time.advance(5 * INTERVAL)
-    assert run.follower.away
+    assert run.follower.store_unavailable
     run.control.next = kit.no_changes()
     run.time.advance(3 * INTERVAL)
     assert run.returned == [()]
@@ -133,10 +133,10 @@
     run.control.pending = Deferred(lambda asked: asked.callback(kit.AWAY))
     run.time.advance(1500 * MS)
     run.control.pending = None
-    run.follower.doubt()
+    run.follower.poll_now()
     run.time.advance(600 * MS)
     assert run.control.waits[:2] == [WAIT, 0 * MS]
-    assert not run.follower.away and run.faults == []
+    assert not run.follower.store_unavailable and run.faults == []
 
 
 def test_a_doubt_changes_nothing_while_the_store_fails_anyway_or_nothing_is_asked():
@@ -144,8 +144,8 @@
     run.control.next = kit.AWAY
     run.time.advance(3 * INTERVAL)
     asked = len(run.control.calls)
-    run.follower.doubt()
-    assert len(run.control.calls) == asked and run.follower.away
+    run.follower.poll_now()
+    assert len(run.control.calls) == asked and run.follower.store_unavailable
 
 
 def test_an_end_is_final():
--- a/packages/gateway/tests/test_gateway_forwarding.py
+++ b/packages/gateway/tests/test_gateway_forwarding.py
@@ -158,7 +158,7 @@
     for _ in range(2):
         bench.answer("/orders/1")
     (upstream,) = bench.book.of_service("menus")
-    assert upstream.rest_until > bench.time.clock.monotonic()
+    assert upstream.ejected_until > bench.time.clock.monotonic()
 
 
 def test_when_the_caller_leaves_its_work_is_given_up():
--- a/packages/gateway/tests/test_gateway_store.py
+++ b/packages/gateway/tests/test_gateway_store.py
@@ -110,7 +110,7 @@
     assert run.ask().status == 200
     run.change(UpstreamRegistered(kit.registration(2)), index=21)
     run.time.advance(2000 * MS)
-    assert [up.id for up in run.gateway.book.all()] == ["i-2"]
+    assert [up.id for up in run.gateway.upstream_table.all()] == ["i-2"]
 
 
 def test_lapses_are_no_sign_that_the_store_was_there():
@@ -130,7 +130,7 @@
 def test_what_left_while_this_entry_was_cut_off_alone_gets_nothing_more():
     run = _run_with(4)
     _outage(run, UpstreamWithdrawn("i-1"), UpstreamWithdrawn("i-3"))
-    assert [up.id for up in run.gateway.book.all()] == ["i-2", "i-4"]
+    assert [up.id for up in run.gateway.upstream_table.all()] == ["i-2", "i-4"]
 
 
 def test_registrations_that_lapsed_and_came_back_meanwhile_are_not_awaited():
@@ -138,14 +138,14 @@
     gone = [UpstreamWithdrawn(f"i-{number}") for number in (1, 2, 3, 4)]
     back = [UpstreamRegistered(kit.registration(number)) for number in (1, 2, 3)]
     _outage(run, *gone, *back)
-    assert [up.id for up in run.gateway.book.all()] == ["i-1", "i-2", "i-3"]
+    assert [up.id for up in run.gateway.upstream_table.all()] == ["i-1", "i-2", "i-3"]
 
 
 def test_a_restored_zone_is_used_again_as_cold():
     run = Run()
     run.change(ZoneDrained("a"))
     run.change(ZoneRestored("a"))
-    (upstream,) = run.gateway.book.of_service("menus")
+    (upstream,) = run.gateway.upstream_table.of_service("menus")
     assert upstream.cold_until > run.time.clock.monotonic()
     assert run.ask().status == 200
 
--- a/packages/gateway/tests/test_gossip.py
+++ b/packages/gateway/tests/test_gossip.py
@@ -5,10 +5,10 @@
 
 import pytest
 from cardamomloft.core.messages import (
-    ChangesQuestion,
-    ConfigurationTold,
-    NoticesCompared,
-    NoticesTold,
+    ChangesRequest,
+    ConfigurationPush,
+    NoticeDigest,
+    NoticePush,
 )
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.notices import CrashUnderRequest, UpstreamLeaving
@@ -97,7 +97,7 @@
         if self.rng.random() < self.loss or {sender.me.seat, address} & self.cut:
             return
         delay = LINK.total_seconds()
-        self.time.reactor.callLater(delay, receiver.gossip.take, sender.me, message)
+        self.time.reactor.callLater(delay, receiver.gossip.receive, sender.me, message)
 
     def run(self, duration: timedelta) -> None:
         self.time.advance(duration, 10 * MS)
@@ -111,7 +111,7 @@
 def test_a_notice_reaches_everybody_in_time(count, seed):
     fleet = Fleet(count, seed)
     fleet.run(CATCH_UP_TIME)
-    fleet.members[0].gossip.tell([CRASH])
+    fleet.members[0].gossip.publish([CRASH])
     fleet.run(IN_TIME)
     assert fleet.ignorant(CRASH) == []
 
@@ -120,7 +120,7 @@
 def test_it_reaches_everybody_in_time_though_messages_are_lost(count):
     fleet = Fleet(count)
     fleet.loss = 0.2
-    fleet.members[0].gossip.tell([CRASH])
+    fleet.members[0].gossip.publish([CRASH])
     fleet.run(IN_TIME)
     assert fleet.ignorant(CRASH) == []
 
@@ -128,7 +128,7 @@
 def test_it_reaches_the_others_in_time_though_a_third_is_cut_off_and_then_those_too():
     fleet = Fleet(60)
     fleet.cut = {f"e-{number}" for number in range(20, 40)}
-    fleet.members[0].gossip.tell([CRASH])
+    fleet.members[0].gossip.publish([CRASH])
     fleet.run(IN_TIME)
     assert set(fleet.ignorant(CRASH)) == fleet.cut
     fleet.cut = set()
@@ -138,7 +138,7 @@
 
 def test_a_gateway_that_starts_later_hears_it_once_others_know_of_it():
     fleet = Fleet(10)
-    fleet.members[0].gossip.tell([CRASH])
+    fleet.members[0].gossip.publish([CRASH])
     fleet.run(CATCH_UP_TIME)
     late = fleet.add("late")
     late.known = False
@@ -166,7 +166,7 @@
     fleet = Fleet(10)
     fleet.run(CATCH_UP_TIME)
     fleet.members[0].plans = [kit.plan(7)]
-    fleet.members[1].gossip.tell([CRASH])
+    fleet.members[1].gossip.publish([CRASH])
     fleet.run(IN_TIME)
     assert [member.plans for member in fleet.members[1:]] == [[]] * 9
 
@@ -184,7 +184,7 @@
     fleet.run(CATCH_UP_TIME)
     before = sum(member.sent for member in fleet.members)
     notices = [CRASH._replace(upstream=f"i-{number}") for number in range(20)]
-    fleet.members[0].gossip.tell(notices)
+    fleet.members[0].gossip.publish(notices)
     fleet.run(400 * MS)
     sent = sum(member.sent for member in fleet.members) - before
     assert sent <= len(fleet.members) * (FANOUT + 1)
@@ -192,8 +192,8 @@
 
 def test_an_excuse_overtakes_what_it_excuses():
     fleet = Fleet(10)
-    fleet.members[0].gossip.tell([CRASH])
-    fleet.members[1].gossip.tell([CRASH._replace(excused=True)])
+    fleet.members[0].gossip.publish([CRASH])
+    fleet.members[1].gossip.publish([CRASH._replace(excused=True)])
     fleet.run(IN_TIME)
     for member in fleet.members:
         assert member.heard[-1].notice.excused
@@ -204,14 +204,14 @@
     fleet = Fleet(2)
     member, stranger = fleet.members[0], Incarnation("stranger", "1")
     for message in (
-        NoticesTold(b"\xc1"),
-        NoticesCompared((), False, False, 0, ""),
-        NoticesCompared((1,) * 1000, True, False, 0, ""),
-        ConfigurationTold(b"x"),
-        ConfigurationTold(encode_facts([ZoneDrained("a")])),
-        ChangesQuestion(1, 0, 1, 1),
+        NoticePush(b"\xc1"),
+        NoticeDigest((), False, False, 0, ""),
+        NoticeDigest((1,) * 1000, True, False, 0, ""),
+        ConfigurationPush(b"x"),
+        ConfigurationPush(encode_facts([ZoneDrained("a")])),
+        ChangesRequest(1, 0, 1, 1),
     ):
-        member.gossip.take(stranger, message)
+        member.gossip.receive(stranger, message)
     assert member.heard == []
     assert member.metrics.counters["notices_unreadable"] == 3
     assert member.metrics.counters["peer_messages_of_another_kind"] == 1
@@ -235,11 +235,11 @@
         member = fleet.members[at]
         match kind:
             case "tell":
-                member.gossip.tell([CRASH._replace(upstream=f"i-{at}")])
+                member.gossip.publish([CRASH._replace(upstream=f"i-{at}")])
             case "excuse":
-                member.gossip.tell([CRASH._replace(upstream=f"i-{at}", excused=True)])
+                member.gossip.publish([CRASH._replace(upstream=f"i-{at}", excused=True)])
             case "leave":
-                member.gossip.tell([UpstreamLeaving(f"i-{at}", 0)])
+                member.gossip.publish([UpstreamLeaving(f"i-{at}", 0)])
             case "cut":
                 fleet.cut.add(member.me.seat)
             case "heal":
@@ -252,4 +252,4 @@
     fleet.cut, fleet.loss = set(), 0.0
     fleet.run(2 * IN_TIME)
     now = fleet.time.clock.monotonic()
-    assert len({member.gossip._board.sums(now) for member in fleet.members}) == 1
+    assert len({member.gossip._board.checksums(now) for member in fleet.members}) == 1
--- a/packages/gateway/tests/test_heeding.py
+++ b/packages/gateway/tests/test_heeding.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 import pytest
-from cardamomloft.core.notices import REQUEST_LIFE
+from cardamomloft.core.notices import CRASH_RETENTION
 from cardamomloft.core.quarantine import RESTART_TIME
 from cardamomloft_standins import gateway as kit
 from cardamomloft_standins.carrying import (
@@ -27,7 +27,7 @@
     answer = bench.answer()
     assert answer.status == 503
     assert header(answer, "cardamomloft-reason") == "upstreams-crash-under-it"
-    left = REQUEST_LIFE - 2 * RESTART_TIME
+    left = CRASH_RETENTION - 2 * RESTART_TIME
     assert float(header(answer, "retry-after")) == pytest.approx(left.total_seconds())
     assert len(bench.client.sent) == 3
 
@@ -38,7 +38,7 @@
     for _ in range(2):
         bench.answer()
         bench.time.advance(RESTART_TIME)
-    assert len(bench.forwarder.noticing.refused()) == 1
+    assert len(bench.forwarder.notice_handler.quarantined()) == 1
     bench.client.outcomes = deque(outcomes)
     return bench
 
@@ -68,7 +68,7 @@
     for _ in range(3):
         bench.answer()
         bench.time.advance(RESTART_TIME)
-    assert bench.forwarder.noticing.refused() == []
+    assert bench.forwarder.notice_handler.quarantined() == []
     assert bench.answer().status == 200
 
 
@@ -78,7 +78,7 @@
     for _ in range(10):
         bench.answer()
         bench.time.advance(RESTART_TIME)
-    assert bench.forwarder.noticing.refused() == []
+    assert bench.forwarder.notice_handler.quarantined() == []
 
 
 @pytest.mark.parametrize("status", [200, 404, 500])
@@ -102,7 +102,7 @@
 def test_what_another_endpoint_at_the_address_says_of_its_leaving_does_not_count():
     bench = Bench(kit.answer(421, b"", not_run=True, x_leaving="1"), kit.answer())
     told = []
-    bench.forwarder.noticing.tell = told.extend
+    bench.forwarder.notice_handler.publish = told.extend
     bench.answer()
     assert told == []
 
--- a/packages/gateway/tests/test_plaintext.py
+++ b/packages/gateway/tests/test_plaintext.py
@@ -5,8 +5,8 @@
 from cardamomloft.gateway import plaintext
 
 SCRIPT = """
-from cardamomloft.gateway.plaintext import leave_out_tls
-leave_out_tls()
+from cardamomloft.gateway.plaintext import block_openssl_import
+block_openssl_import()
 import sys
 import cardamomloft.gateway.node
 from twisted.internet import reactor
@@ -21,4 +21,4 @@
 def test_it_is_too_late_once_tls_is_there(monkeypatch):
     monkeypatch.setitem(sys.modules, "OpenSSL", sys)
     with pytest.raises(RuntimeError, match="already"):
-        plaintext.leave_out_tls()
+        plaintext.block_openssl_import()
--- a/packages/gateway/tests/test_presence.py
+++ b/packages/gateway/tests/test_presence.py
@@ -17,37 +17,37 @@
 def test_it_is_recorded_once_and_renewed_after_that():
     control, presence = _presence()
     for _ in range(3):
-        presence.keep()
+        presence.refresh()
     assert control.calls == ["record e-1", "renew 7", "renew 7"]
     assert presence.interval == 1500 * kit.MS
 
 
 def test_a_lapsed_lease_is_replaced_at_once():
     control, presence = _presence()
-    presence.keep()
+    presence.refresh()
     control.renewed = Ok(False)
-    presence.keep()
+    presence.refresh()
     assert control.calls[-2:] == ["renew 7", "record e-1"]
 
 
 def test_a_failed_renewal_keeps_the_lease_and_a_failed_record_is_tried_again():
     control, presence = _presence()
     control.lease = kit.AWAY
-    presence.keep()
+    presence.refresh()
     control.lease = Ok("7")
-    presence.keep()
+    presence.refresh()
     control.renewed = kit.AWAY
-    presence.keep()
-    presence.keep()
+    presence.refresh()
+    presence.refresh()
     assert control.calls == ["record e-1", "record e-1", *["renew 7"] * 4]
 
 
 def test_a_renewal_that_fails_is_tried_again_at_once_and_not_more_often():
     """A lease must bear two lost calls: the next regular renewal would come too late after one."""
     control, presence = _presence()
-    presence.keep()
+    presence.refresh()
     control.renewed = kit.AWAY
-    presence.keep()
+    presence.refresh()
     assert control.calls == ["record e-1", "renew 7", "renew 7"]
 
 
@@ -55,8 +55,8 @@
     control, presence = _presence()
     answers = [kit.AWAY, Ok(False)]
     control.renew = lambda lease: succeed(answers.pop(0))
-    presence.keep()
-    presence.keep()
+    presence.refresh()
+    presence.refresh()
     assert control.calls == ["record e-1", "record e-1"]
 
 
@@ -64,18 +64,18 @@
     told = []
     control = kit.FakeControl()
     presence = Presence(control, RECORD, 3000 * kit.MS, lambda: told.append("failed"))
-    presence.keep()
+    presence.refresh()
     control.renewed = Ok(False)
-    presence.keep()
+    presence.refresh()
     assert told == []
     control.renewed = kit.AWAY
-    presence.keep()
+    presence.refresh()
     assert told == ["failed"]
 
 
 def test_after_it_was_withdrawn_it_is_not_recorded_again():
     control, presence = _presence()
-    presence.keep()
+    presence.refresh()
     presence.withdraw()
-    presence.keep()
+    presence.refresh()
     assert control.calls == ["record e-1", "withdraw 7"]
--- a/packages/gateway/tests/test_relayed_changes.py
+++ b/packages/gateway/tests/test_relayed_changes.py
@@ -8,8 +8,8 @@
 from types import SimpleNamespace
 
 import pytest
-from cardamomloft.core.entrybook import EntryBook
-from cardamomloft.core.messages import ChangesAnswer, ChangesQuestion
+from cardamomloft.core.entrytable import EntryTable
+from cardamomloft.core.messages import ChangesRequest, ChangesResponse
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.registrations import (
     EntryWithdrawn,
@@ -120,13 +120,13 @@
     for _ in range(6):
         run.configure()
         for _ in range(2):
-            alone.follower.doubt()
+            alone.follower.poll_now()
             run.run(1500 * MS)
         assert run.late() == []
-    assert alone.follower.away
+    assert alone.follower.store_unavailable
     getattr(run.store, fault).clear()
     run.run(2000 * MS)
-    assert not alone.follower.away
+    assert not alone.follower.store_unavailable
 
 
 def test_a_store_that_is_away_for_all_is_noticed_as_soon_as_without_relays():
@@ -134,9 +134,9 @@
     names = {gateway.name for gateway in run.gateways}
     run.store.refused |= names
     for gateway in run.gateways:
-        gateway.follower.doubt()
+        gateway.follower.poll_now()
     run.run(1200 * MS)
-    assert {gateway.name for gateway in run.gateways if gateway.follower.away} == names
+    assert {gateway.name for gateway in run.gateways if gateway.follower.store_unavailable} == names
 
 
 def test_while_the_store_is_away_listeners_leave_it_to_relays_to_ask():
@@ -211,7 +211,7 @@
     listener = run.listeners()[0]
     before = listener.metrics.counters["changes_from_store"]
     run.run(DRAIN * 0.2)
-    listener.follower.doubt()
+    listener.follower.poll_now()
     run.run(700 * MS)
     assert listener.metrics.counters["changes_from_store"] == before + 1
 
@@ -219,7 +219,7 @@
 def test_numbers_beyond_all_bounds_raise_nothing():
     run = Deployment()
     listener, relay = run.listeners()[0], run.by_name(run.relays[0])
-    relay.receive(listener.me, ChangesQuestion(10**6, run.store.era, run.store.revision, 2**61))
+    relay.receive(listener.me, ChangesRequest(10**6, run.store.era, run.store.revision, 2**61))
     assert relay.feed.port.held > 0
     run.run(31_000 * MS)
     assert all(gateway.faults == [] for gateway in run.gateways)
@@ -237,12 +237,12 @@
     port.peers = SimpleNamespace(send=lambda *message: sent.append(message) or True)
     relay = kit.entry_records(1)[0]
     outcomes = []
-    port.ask(relay, kit.at(5), DRAIN, DRAIN).addCallback(outcomes.append)
+    port.request_changes(relay, kit.at(5), DRAIN, DRAIN).addCallback(outcomes.append)
     time.advance(40 * MS)
     asked = sent[0][1]
-    port.take(
+    port.receive(
         Incarnation(relay.name, "1"),
-        ChangesAnswer(asked.number, 0, 5, encode_facts([]), False, age_ms, held_ms),
+        ChangesResponse(asked.number, 0, 5, encode_facts([]), False, age_ms, held_ms),
     )
     assert outcomes[0].ok.complete_at <= time.clock.monotonic()
 
@@ -251,11 +251,11 @@
     run = Deployment()
     listener, stranger = run.listeners()[0], Incarnation("stranger", "1")
     for number in range(200):
-        listener.receive(stranger, ChangesAnswer(number, 1, 10**9, b"", False, 0, 0))
+        listener.receive(stranger, ChangesResponse(number, 1, 10**9, b"", False, 0, 0))
         listener.receive(
-            Incarnation(run.relays[0], "9"), ChangesAnswer(number, 1, 10**9, b"x", True, 0, 0)
+            Incarnation(run.relays[0], "9"), ChangesResponse(number, 1, 10**9, b"x", True, 0, 0)
         )
-    listener.receive(stranger, ChangesQuestion(1, 0, 0, 10**9))
+    listener.receive(stranger, ChangesRequest(1, 0, 0, 10**9))
     run.configure()
     run.run(DRAIN)
     assert run.late() == []
@@ -382,7 +382,7 @@
 def test_records_and_leases_are_left_to_the_store():
     control = kit.FakeControl()
     record = kit.entry_records(1)[0]
-    book = EntryBook(record, timedelta(seconds=10))
+    book = EntryTable(record, timedelta(seconds=10))
     time = kit.Time(Clock())
     feed = ChangeFeed(
         time.reactor,
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 import pytest
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.registrations import (
     EntryRecord,
     EntryRecorded,
@@ -16,15 +16,15 @@
     ZoneDrained,
     ZoneRestored,
 )
-from cardamomloft.core.restoration import DOUBT_TIME
+from cardamomloft.core.restoration import CONFIRMATION_TIMEOUT
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.relays import relays_of
 from cardamomloft.feed.sources import Sources
 from cardamomloft.gateway.control import Changes, Listing
 from cardamomloft.gateway.relayedcontrol import RelayedControl
-from cardamomloft.gateway.relaying import Passed
+from cardamomloft.gateway.relaying import RelayedChanges
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft_standins import gateway as kit
@@ -52,9 +52,9 @@
 
     def __init__(self) -> None:
         self.time = kit.Time(Clock())
-        self.book = UpstreamBook({"a": "east", "b": "east"})
+        self.book = UpstreamTable({"a": "east", "b": "east"})
         own = EntryRecord("e-0", "10.0.0.1:80", "a", "east")
-        self.entries = EntryBook(own, timedelta(seconds=10))
+        self.entries = EntryTable(own, timedelta(seconds=10))
         selector = Selector(self.book, "e-0", "a", None, Preferences())
         self.plans = []
         self.metrics = Metrics()
@@ -69,7 +69,7 @@
         )
 
     def listed(self, *facts, era=1) -> None:
-        self.view.take_listing(Listing(facts, kit.at(10, era)))
+        self.view.apply_listing(Listing(facts, kit.at(10, era)))
 
     def pass_by(self, duration) -> None:
         for _ in range(duration // (100 * MS)):
@@ -90,7 +90,7 @@
     view.listed(up(1), era=2)
     assert view.usable() == ["i-1", "i-2"]
     view.pass_by(1500 * MS)
-    view.view.take_changes((up(2),))
+    view.view.apply_changes((up(2),))
     view.pass_by(5000 * MS)
     assert view.usable() == ["i-1", "i-2"]
 
@@ -107,12 +107,12 @@
 def test_an_endpoint_that_had_left_gets_nothing_on_the_word_of_the_copy(left):
     view = View()
     view.listed(up(1), up(2))
-    view.view.take_changes((left,))
+    view.view.apply_changes((left,))
     view.listed(up(1), up(2), era=2)
     view.pass_by(RENEWED)
     assert view.usable() == ["i-2"]
     assert view.metrics.counters["doubted_facts"] == 1
-    view.view.take_changes((up(1),))
+    view.view.apply_changes((up(1),))
     assert view.usable() == ["i-1", "i-2"]
 
 
@@ -122,9 +122,9 @@
     view = View()
     entry = EntryRecorded(kit.entry_records(1)[0])
     view.listed(up(1), entry)
-    view.view.take_changes((UpstreamWithdrawn("i-1"), EntryWithdrawn(entry.record.name)))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"), EntryWithdrawn(entry.record.name)))
     view.listed(up(1), entry, era=2)
-    view.pass_by(DOUBT_TIME - 200 * MS)
+    view.pass_by(CONFIRMATION_TIMEOUT - 200 * MS)
     if listed_again:
         view.listed(up(1), entry, era=2)
     assert (view.usable(), len(view.entries.records(with_own=False))) == ([], 0)
@@ -135,32 +135,32 @@
 def test_one_that_is_withdrawn_while_it_is_doubted_is_not_believed():
     view = View()
     view.listed(up(1))
-    view.view.take_changes((UpstreamWithdrawn("i-1"),))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), era=2)
-    view.view.take_changes((UpstreamWithdrawn("i-1"),))
-    view.pass_by(2 * DOUBT_TIME)
+    view.view.apply_changes((UpstreamWithdrawn("i-1"),))
+    view.pass_by(2 * CONFIRMATION_TIMEOUT)
     assert view.usable() == []
 
 
 def test_one_that_is_missing_in_a_later_list_is_not_believed():
     view = View()
     view.listed(up(1), up(2))
-    view.view.take_changes((UpstreamWithdrawn("i-1"),))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), up(2), era=2)
     view.listed(up(2), era=2)
-    view.pass_by(2 * DOUBT_TIME)
+    view.pass_by(2 * CONFIRMATION_TIMEOUT)
     assert view.usable() == ["i-2"]
 
 
 def test_a_zone_drained_since_the_copy_stays_so_until_operators_write_it_again():
     view = View()
     view.listed(up(1))
-    view.view.take_changes((ZoneDrained("a"),))
+    view.view.apply_changes((ZoneDrained("a"),))
     view.listed(up(1), era=2)
     view.pass_by(WRITTEN_AGAIN)
     assert view.usable() == []
-    view.view.take_changes((ZoneDrained("a"),))
-    view.pass_by(2 * DOUBT_TIME)
+    view.view.apply_changes((ZoneDrained("a"),))
+    view.pass_by(2 * CONFIRMATION_TIMEOUT)
     assert view.usable() == []
 
 
@@ -169,7 +169,7 @@
     view.listed(up(1), ZoneDrained("a"))
     view.listed(up(1), era=2)
     view.listed(up(1), era=2)
-    view.pass_by(DOUBT_TIME - 200 * MS)
+    view.pass_by(CONFIRMATION_TIMEOUT - 200 * MS)
     assert view.usable() == []
     view.pass_by(400 * MS)
     assert view.usable() == ["i-1"]
@@ -179,7 +179,7 @@
     view = View()
     view.listed(up(1), ZoneDrained("a"))
     view.listed(up(1), era=2)
-    view.view.take_changes((ZoneRestored("a"),))
+    view.view.apply_changes((ZoneRestored("a"),))
     assert view.usable() == ["i-1"]
 
 
@@ -189,7 +189,7 @@
     view.listed(*records)
     view.listed(*records[:1], era=2)
     assert len(view.entries.records(with_own=True)) == 5
-    assert view.entries.sharing(view.time.clock.monotonic()) == 5
+    assert view.entries.max_recent_count(view.time.clock.monotonic()) == 5
 
 
 def test_without_eras_a_list_is_the_whole_truth():
@@ -273,7 +273,7 @@
         run.store.write(("zone", "c"), ZoneDrained("c"))
     run.run(DRAIN)
     assert {"c" in gateway.drained for gateway in run.gateways} == {True}
-    run.run(DOUBT_TIME)
+    run.run(CONFIRMATION_TIMEOUT)
     assert {frozenset(gateway.drained) for gateway in run.gateways} == {frozenset("c")}
 
 
@@ -324,8 +324,10 @@
     table.listed((), kit.at(60, era=2))
     sources.complete(time.clock.monotonic())
     time.advance(100 * MS)
-    answer = Passed((OLD_PLAN,), index, time.clock.monotonic(), whole)
-    port = SimpleNamespace(ask=lambda *question: succeed(Ok(answer)), publish=lambda: None)
+    answer = RelayedChanges((OLD_PLAN,), index, time.clock.monotonic(), whole)
+    port = SimpleNamespace(
+        request_changes=lambda *question: succeed(Ok(answer)), answer_held_requests=lambda: None
+    )
     store = SimpleNamespace(changes=lambda after, wait: succeed(Ok(FROM_STORE)))
     control = RelayedControl(store, time.clock, table, sources, port, lambda: records, Metrics())
     found = []
@@ -388,7 +390,7 @@
     run.configure()
     run.run(DRAIN)
     assert run.late() == []
-    run.run(DOUBT_TIME)
+    run.run(CONFIRMATION_TIMEOUT)
     drained = {key[1] for key in run.store.held if key[0] == "zone"}
     for gateway in run.gateways:
         assert gateway.faults == []
--- a/tests/adapter/test_folder.py
+++ b/tests/adapter/test_folder.py
@@ -14,7 +14,7 @@
     r"|ttl_time|asOf|waitMs|/v1/(?:resolve|ready)|x-cardamomloft-",
     re.IGNORECASE,
 )
-DECIDING = {"selection", "affinity", "budgets", "regions", "naming", "entrybook", "retries"}
+DECIDING = {"selection", "affinity", "budgets", "regions", "naming", "entrytable", "retries"}
 
 
 def _sources(folder: pathlib.Path) -> list[pathlib.Path]:
