--- a/packages/callers/src/cardamomloft/callers/app.py
+++ b/packages/callers/src/cardamomloft/callers/app.py
@@ -122,17 +122,17 @@
             self._factory.closing = self._closing
         return self._factory
 
-    def keep_idle(self, duration: timedelta) -> None:
+    def set_idle_timeout(self, duration: timedelta) -> None:
         """Set how long an idle connection is kept open."""
         if self._factory is not None:
             self._factory.timeOut = duration.total_seconds()
 
-    def bound_heads(self, size: int, duration: timedelta) -> None:
+    def set_head_limits(self, size: int, duration: timedelta) -> None:
         """Limit request heads on new connections to `size` bytes of header lines and `duration`."""
         if self._factory is not None:
             self._factory.head_limits = HeadLimits(size, duration.total_seconds())
 
-    def closing(self) -> None:
+    def start_closing(self) -> None:
         """Send ``Connection: close`` with all further answers."""
         self._closing = True
         if self._factory is not None:
@@ -184,7 +184,7 @@
         answered.addErrback(self._handle_error)
         answered.addCallback(self._respond_in_order, request)
         answered.addErrback(request.processingFailed)
-        answered.addBoth(lambda _: self._finished())
+        answered.addBoth(lambda _: self._request_finished())
 
     def _handle_error(self, failure: Failure) -> Answer:
         self._on_fault(failure)
@@ -205,7 +205,7 @@
         request.write_answer(answer)
         return None
 
-    def _finished(self) -> None:
+    def _request_finished(self) -> None:
         self.in_flight -= 1
         self._drained.check()
 
--- a/packages/callers/src/cardamomloft/callers/body.py
+++ b/packages/callers/src/cardamomloft/callers/body.py
@@ -79,7 +79,7 @@
         self._discarding = False
 
     @property
-    def untouched(self) -> bool:
+    def unconsumed(self) -> bool:
         """Whether no byte has been consumed, so that the body can still go to any upstream."""
         return not self._consumed
 
--- a/packages/callers/src/cardamomloft/callers/channel.py
+++ b/packages/callers/src/cardamomloft/callers/channel.py
@@ -100,7 +100,7 @@
 
     # Request heads.
 
-    def bound_heads(self, limits: HeadLimits) -> None:
+    def set_head_limits(self, limits: HeadLimits) -> None:
         """Apply `limits` to the heads that are read from now on."""
         self.head_limits = limits
         self.totalHeadersSize = _PARSER_LIMIT_FACTOR * limits.size
--- a/packages/callers/tests/test_callers_body.py
+++ b/packages/callers/tests/test_callers_body.py
@@ -51,7 +51,7 @@
     body.data_received(b"x" * (HIGH_WATER - 1))
     assert not flow.paused
     body.data_received(b"x")
-    assert flow.paused and body.untouched
+    assert flow.paused and body.unconsumed
 
 
 def test_paused_consumer_is_notified_of_a_truncated_body():
@@ -72,7 +72,7 @@
     body.collect(10).addCallback(results.append)
     body.data_received(b"x" * 11)
     assert results[0].is_error()
-    assert body.untouched == (announced is not None)
+    assert body.unconsumed == (announced is not None)
 
 
 def test_collect_returns_the_whole_body_or_a_truncation_error():
--- a/packages/callers/tests/test_callers_channel.py
+++ b/packages/callers/tests/test_callers_channel.py
@@ -298,7 +298,7 @@
 def test_closing_ends_connections_after_their_answers_and_drained_waits():
     harness = Harness()
     harness.receive(GET)
-    harness.app.closing()
+    harness.app.start_closing()
     drained = harness.app.drained()
     assert not drained.called and harness.app.in_flight == 1
     harness.answers[0].callback(text(b"ok"))
@@ -348,7 +348,7 @@
 
 def test_head_size_limit_does_not_count_the_request_line():
     harness = Harness()
-    harness.channel.bound_heads(HeadLimits(64, 1))
+    harness.channel.set_head_limits(HeadLimits(64, 1))
     harness.receive(b"GET /" + b"x" * 100 + b" HTTP/1.1\r\nHost: a\r\n\r\n")
     assert len(harness.calls) == 1
     harness.answers[0].callback(text(b"ok"))
@@ -359,7 +359,7 @@
 
 def test_head_size_limit_can_be_raised_above_the_default():
     harness = Harness()
-    harness.channel.bound_heads(HeadLimits(64 * 1024, 1))
+    harness.channel.set_head_limits(HeadLimits(64 * 1024, 1))
     harness.receive(b"GET / HTTP/1.1\r\nHost: a\r\nB: " + b"x" * 30_000 + b"\r\n\r\n")
     assert len(harness.calls) == 1
 
--- a/packages/callers/tests/test_pipelining.py
+++ b/packages/callers/tests/test_pipelining.py
@@ -164,7 +164,7 @@
 def test_only_the_last_answer_closes_the_connection_during_shutdown():
     conn = Connection()
     conn.receive(get(1) + get(2))
-    conn.app.closing()
+    conn.app.start_closing()
     conn.receive(get(3))
     conn.answer(2)
     conn.answer(1)
@@ -443,7 +443,7 @@
         arrived = self.arrived(2)
         self.peer.transport.write(get(1) + get(2))
         yield arrived
-        self.app.closing()
+        self.app.start_closing()
         for name in (2, 1):
             self.answer(name)
         yield self.peer.lost
--- a/packages/feed/src/cardamomloft/feed/changetable.py
+++ b/packages/feed/src/cardamomloft/feed/changetable.py
@@ -69,22 +69,22 @@
     def __len__(self) -> int:
         return len(self._rows) - len(self._removed)
 
-    def listed(self, facts: Iterable[Fact], index: Position) -> None:
+    def apply_listing(self, facts: Iterable[Fact], index: Position) -> None:
         """Apply a complete listing of the store at the position `index`."""
         if index < self.index or index.era != self.index.era or self.index == BEGINNING:
             self._reset(index)
         given = {key_of(fact): fact for fact in facts}
         gone = (row.fact for key, row in self._rows.items() if key not in given)
         removals = [removal for removal in map(_removal, gone) if removal is not None]
-        self.changed([*removals, *given.values()], index)
+        self.apply_changes([*removals, *given.values()], index)
 
-    def changed(self, facts: Iterable[Fact], index: Position) -> None:
+    def apply_changes(self, facts: Iterable[Fact], index: Position) -> None:
         """Apply the changes up to the position `index`, in order."""
         self.index = max(self.index, index)
         for fact in facts:
             self._set(fact, self.index)
 
-    def since(self, after: Position) -> tuple[Fact, ...] | None:
+    def changes_since(self, after: Position) -> tuple[Fact, ...] | None:
         """Return the facts of all keys that have changed after the position `after`.
 
         Returns
@@ -102,7 +102,7 @@
             found.append(row.fact)
         return tuple(reversed(found))
 
-    def whole(self) -> tuple[Fact, ...]:
+    def all_facts(self) -> tuple[Fact, ...]:
         """Return the facts of all keys that exist, as a listing of the store would."""
         return tuple(row.fact for key, row in self._rows.items() if key not in self._removed)
 
@@ -116,7 +116,7 @@
         key = key_of(fact)
         previous = self._rows.get(key)
         if previous is not None and (
-            is_same(previous.fact, fact) or _supersedes(previous.fact, fact)
+            is_same_fact(previous.fact, fact) or _supersedes(previous.fact, fact)
         ):
             return
         self._rows.pop(key, None)
@@ -134,7 +134,7 @@
             self._oldest_index = max(self._oldest_index, self._rows.pop(key).index)
 
 
-def is_same(held: Fact, received: Fact) -> bool:
+def is_same_fact(held: Fact, received: Fact) -> bool:
     """Return whether two facts are equal in type too, such as zone drained and restored."""
     return type(held) is type(received) and held == received
 
--- a/packages/feed/src/cardamomloft/feed/sources.py
+++ b/packages/feed/src/cardamomloft/feed/sources.py
@@ -50,7 +50,7 @@
 """Fraction of the drain time for which a relay may wait before it answers a subscriber during an
 outage of the store."""
 
-FAILURES_UNTIL_AWAY = 2
+FAILURES_UNTIL_UNAVAILABLE = 2
 """Consecutive failed calls after which the store counts as unavailable."""
 
 SUSPECT_DRAIN_TIMES = 2.0
@@ -59,7 +59,7 @@
 _NEVER = timedelta(0)
 
 
-class Question(t.NamedTuple):
+class SourceChoice(t.NamedTuple):
     """The source of the next query for changes, and how to query it.
 
     Attributes
@@ -77,7 +77,7 @@
     pause: timedelta | None = None
 
 
-class Sources:
+class SourceSelector:
     """Selects the source of the next query for changes.
 
     Parameters
@@ -89,24 +89,24 @@
 
     Attributes
     ----------
-    known_at
+    complete_until
         Time up to which the data is complete; None before the first answer.
     """
 
     def __init__(self, own: EntryRecord, drain_time: timedelta) -> None:
         self._own = own
         self.drain_time = drain_time
-        self.known_at: timedelta | None = None
+        self.complete_until: timedelta | None = None
         self._suspected_until: dict[str, timedelta] = {}
         self._failures = 0
         self._failed_at = timedelta(0)
 
     @property
-    def patience(self) -> timedelta:
+    def relay_timeout(self) -> timedelta:
         """How much longer than its wait a relay may take to answer."""
         return self.drain_time * RELAY_TIMEOUT_FRACTION
 
-    def next(self, records: Iterable[EntryRecord], now: timedelta) -> Question:
+    def next_source(self, records: Iterable[EntryRecord], now: timedelta) -> SourceChoice:
         """Return the next query, given the recorded gateways.
 
         A relay answers only recorded gateways, so a gateway without a record queries the store.
@@ -116,21 +116,25 @@
             return self._query_as_relay(now)
         relay = self._nearest(relays, now)
         if relay is None:
-            return Question(None)
+            return SourceChoice(None)
         pause = self.drain_time * SUBSCRIBER_PAUSE_FRACTION
         time_left = self._time_left(MAX_AGE_FRACTION, now)
         if not time_left:
-            return Question(None, timedelta(0), pause)
-        return Question(relay, min(time_left, self.drain_time * SUBSCRIBER_WAIT_FRACTION), pause)
+            return SourceChoice(None, timedelta(0), pause)
+        return SourceChoice(
+            relay, min(time_left, self.drain_time * SUBSCRIBER_WAIT_FRACTION), pause
+        )
 
-    def relay(self, records: Iterable[EntryRecord], now: timedelta) -> EntryRecord | None:
+    def usable_relay(self, records: Iterable[EntryRecord], now: timedelta) -> EntryRecord | None:
         """Return a relay that may have data while the store does not answer, or None.
 
         A relay gets the other relay.
         """
         return self._nearest(self._relays(records), now)
 
-    def next_while_failing(self, records: Iterable[EntryRecord], now: timedelta) -> Question:
+    def next_source_during_outage(
+        self, records: Iterable[EntryRecord], now: timedelta
+    ) -> SourceChoice:
         """Return the next query after a failed query to the store."""
         relays = self._relays(records)
         relay = self._nearest(relays, now)
@@ -139,34 +143,34 @@
         if (
             relay is None
             or is_relay
-            or self._failures < FAILURES_UNTIL_AWAY
+            or self._failures < FAILURES_UNTIL_UNAVAILABLE
             or time_left <= timedelta(0)
         ):
-            return Question(None, timedelta(0))
-        return Question(relay, min(time_left, self.drain_time * OUTAGE_WAIT_FRACTION))
+            return SourceChoice(None, timedelta(0))
+        return SourceChoice(relay, min(time_left, self.drain_time * OUTAGE_WAIT_FRACTION))
 
-    def store_failed(self, sent_at: timedelta) -> None:
+    def record_store_failure(self, sent_at: timedelta) -> None:
         """Record that the store did not answer a query sent at `sent_at`."""
         self._failures += 1
         self._failed_at = sent_at
 
-    def store_answered(self) -> None:
+    def record_store_answer(self) -> None:
         """Record that the store answered this gateway."""
         self._failures = 0
 
-    def is_back(self, complete_at: timedelta) -> bool:
+    def shows_recovery(self, complete_at: timedelta) -> bool:
         """Return whether a relay's data, complete at that time, is newer than the last failure."""
         return complete_at > self._failed_at
 
-    def complete(self, at: timedelta) -> None:
+    def record_complete(self, at: timedelta) -> None:
         """Record that the data is complete up to the time `at`."""
-        self.known_at = at if self.known_at is None else max(self.known_at, at)
+        self.complete_until = at if self.complete_until is None else max(self.complete_until, at)
 
     def age(self, now: timedelta) -> timedelta | None:
         """Return the age of the data; None before the first answer."""
-        return None if self.known_at is None else now - self.known_at
+        return None if self.complete_until is None else now - self.complete_until
 
-    def silent(self, name: str, now: timedelta) -> None:
+    def record_relay_timeout(self, name: str, now: timedelta) -> None:
         """Record that the relay `name` did not answer."""
         self._suspected_until[name] = now + self.drain_time * SUSPECT_DRAIN_TIMES
 
@@ -183,15 +187,15 @@
         )
         return next(responsive, None)
 
-    def _query_as_relay(self, now: timedelta) -> Question:
+    def _query_as_relay(self, now: timedelta) -> SourceChoice:
         wait = self._time_left(RELAY_MAX_AGE_FRACTION, now)
-        return Question(None, wait, self.drain_time * RELAY_PAUSE_FRACTION)
+        return SourceChoice(None, wait, self.drain_time * RELAY_PAUSE_FRACTION)
 
     def _time_left(self, fraction: float, now: timedelta) -> timedelta:
         """Return the time until the data is `fraction` drain times old."""
-        if self.known_at is None:
+        if self.complete_until is None:
             return timedelta(0)
-        return max(timedelta(0), self.known_at + self.drain_time * fraction - now)
+        return max(timedelta(0), self.complete_until + self.drain_time * fraction - now)
 
     def _is_responsive(self, row: EntryRecord, now: timedelta) -> bool:
         if self._suspected_until.get(row.name, _NEVER) > now:
