--- a/tests/adapter/columns.py
+++ b/tests/adapter/columns.py
@@ -1,4 +1,4 @@
-"""The columns of the platform's routes, as its pages name them."""
+"""Columns of the route table in the platform's configuration."""
 
 ROUTE_COLUMNS = [
     "name",
--- a/tests/adapter/restorable.py
+++ b/tests/adapter/restorable.py
@@ -1,6 +1,6 @@
-"""The platform's store in threads of the test: history, leases, eras, and its older copies.
+"""In-process stand-in of the platform's store, which can be restored from backups of itself.
 
-Each gateway reaches it by a port of its own, so that one can be cut off alone.
+Each gateway has its own port, so that single gateways can be disconnected.
 """
 
 import base64
@@ -15,7 +15,7 @@
 
 
 class Item(t.NamedTuple):
-    """A key's value as it lies in the store; a lease of 0 stands for none."""
+    """A stored key with its value; a lease of 0 stands for none."""
 
     key: str
     value: str
@@ -23,8 +23,8 @@
     lease: int
 
 
-class Copy(t.NamedTuple):
-    """All that the store held at an instant."""
+class Backup(t.NamedTuple):
+    """The content of the store at one instant."""
 
     at: float
     revision: int
@@ -34,7 +34,7 @@
 
 
 class RestorableStore:
-    """The state of the store; one lock, and a condition for those who wait for a change."""
+    """Keys, history, leases and backups of the store; the condition `changed` guards them all."""
 
     def __init__(self) -> None:
         self.changed = threading.Condition()
@@ -43,16 +43,17 @@
         self.items: dict[str, Item] = {}
         self.events: list[tuple[int, dict[str, t.Any]]] = []
         self.leases: dict[int, float] = {}
-        self.lives: dict[int, float] = {}
+        self.lease_ttls_s: dict[int, float] = {}
         self.next_lease = 1
-        self.copies: list[Copy] = []
-        self.away_until = 0.0
-        self.cut: set[int] = set()
+        self.backups: list[Backup] = []
+        self.unavailable_until = 0.0
+        self.disconnected_ports: set[int] = set()
         self.calls = 0
+        # Without a lease, this takes a backup.
         self._keep()
 
     def put(self, key: str, value: object, lease: int = 0) -> None:
-        """Write a key as operators and endpoints do."""
+        """Write a key as JSON."""
         with self.changed:
             self._put(key, base64.b64encode(json.dumps(value).encode()).decode(), lease)
 
@@ -61,37 +62,40 @@
         with self.changed:
             self._remove(key)
 
-    def restore(self, age_s: float, away_s: float) -> None:
-        """Be away for a moment and come back from a copy of that age."""
+    def restore(self, age_s: float, outage_s: float) -> None:
+        """Restore the newest backup of at least that age, and be unavailable for `outage_s`."""
         with self.changed:
             instant = time.monotonic() - age_s
-            copy = next((c for c in reversed(self.copies) if c.at <= instant), self.copies[0])
+            backup = next((c for c in reversed(self.backups) if c.at <= instant), self.backups[0])
             self.era += 1
-            self.revision, self.items = copy.revision, dict(copy.items)
-            self.leases, self.next_lease = dict(copy.leases), copy.next_lease
+            self.revision, self.items = backup.revision, dict(backup.items)
+            self.leases, self.next_lease = dict(backup.leases), backup.next_lease
             now = time.monotonic()
-            self.leases = {lease: now + self.lives[lease] for lease in self.leases}
+            self.leases = {lease: now + self.lease_ttls_s[lease] for lease in self.leases}
             self.events = [row for row in self.events if row[0] <= self.revision]
-            self.copies = [c for c in self.copies if c.revision <= self.revision]
-            self.away_until = now + away_s
+            self.backups = [c for c in self.backups if c.revision <= self.revision]
+            self.unavailable_until = now + outage_s
             self.changed.notify_all()
 
-    def lapse(self) -> None:
-        """End leases whose time is over."""
+    def expire_leases(self) -> None:
+        """End expired leases."""
         with self.changed:
             now = time.monotonic()
             for lease in [lease for lease, until in self.leases.items() if until < now]:
-                self.end(lease)
+                self.end_lease(lease)
 
-    def end(self, lease: int) -> bool:
-        """End a lease and remove its keys."""
-        known = self.leases.pop(lease, None) is not None
+    def end_lease(self, lease: int) -> bool:
+        """End a lease and remove its keys; return whether the lease existed."""
+        existed = self.leases.pop(lease, None) is not None
         for key in [item.key for item in self.items.values() if item.lease == lease]:
             self._remove(key)
-        return known
+        return existed
 
     def answer(self, method: str, path: str, query: dict[str, str], body: t.Any) -> t.Any:
-        """Return the status and body of an answer to a call."""
+        """Return the status and body of an answer, or None to close the connection without one.
+
+        A call of ``/v1/kv-NAME`` is handled by the method ``_NAME``.
+        """
         with self.changed:
             self.calls += 1
             name, _, number = path.removeprefix("/v1/kv-").partition("/")
@@ -125,42 +129,42 @@
         return 200, {"revision": self.revision}
 
     def _lease(self, query, body, number):
-        life = int(body["ttl_time"].removesuffix("ms")) / 1000
+        ttl_s = int(body["ttl_time"].removesuffix("ms")) / 1000
         lease, self.next_lease = self.next_lease, self.next_lease + 1
-        self.lives[lease] = life
-        self.leases[lease] = time.monotonic() + life
+        self.lease_ttls_s[lease] = ttl_s
+        self.leases[lease] = time.monotonic() + ttl_s
         return 200, {"lease": lease, "ttl_time": body["ttl_time"]}
 
     def _keep(self, query=None, body=None, number=0):
         if not number:
-            self._copy()
+            self._take_backup()
             return None
         if number not in self.leases:
             return 404, {}
-        self.leases[number] = time.monotonic() + self.lives[number]
+        self.leases[number] = time.monotonic() + self.lease_ttls_s[number]
         return 200, {}
 
     def _lease_end(self, query, body, number):
-        return (200, {}) if self.end(number) else (404, {})
+        return (200, {}) if self.end_lease(number) else (404, {})
 
     def _put(self, key: str, value: str, lease: int) -> None:
         self.revision += 1
         self.items[key] = item = Item(key, value, self.revision, lease)
-        self._note(item._asdict())
+        self._append_event(item._asdict())
 
     def _remove(self, key: str) -> None:
         if self.items.pop(key, None) is not None:
             self.revision += 1
-            self._note({"key": key, "revision": self.revision, "removed": True})
+            self._append_event({"key": key, "revision": self.revision, "removed": True})
 
-    def _note(self, event: dict[str, t.Any]) -> None:
+    def _append_event(self, event: dict[str, t.Any]) -> None:
         self.events.append((self.revision, event))
-        self._copy()
+        self._take_backup()
         self.changed.notify_all()
 
-    def _copy(self) -> None:
+    def _take_backup(self) -> None:
         state = (dict(self.items), dict(self.leases), self.next_lease)
-        self.copies.append(Copy(time.monotonic(), self.revision, *state))
+        self.backups.append(Backup(time.monotonic(), self.revision, *state))
 
 
 class _Handler(http.server.BaseHTTPRequestHandler):
@@ -171,12 +175,12 @@
         store: RestorableStore = self.server.store
         length = int(self.headers.get("Content-Length") or 0)
         body = json.loads(self.rfile.read(length)) if length else None
-        if self._is_out_of_reach(store):
+        if self._is_unreachable(store):
             self.close_connection = True
             return
         path, _, query = self.path.partition("?")
         answer = store.answer(self.command, path, dict(urllib.parse.parse_qsl(query)), body)
-        if answer is None or self._is_out_of_reach(store):
+        if answer is None or self._is_unreachable(store):
             self.close_connection = True
             return
         status, content = answer
@@ -189,11 +193,14 @@
 
     do_GET = do_POST = do_DELETE = _call  # noqa: N815
 
-    def _is_out_of_reach(self, store: RestorableStore) -> bool:
-        return time.monotonic() < store.away_until or self.server.server_port in store.cut
+    def _is_unreachable(self, store: RestorableStore) -> bool:
+        return (
+            time.monotonic() < store.unavailable_until
+            or self.server.server_port in store.disconnected_ports
+        )
 
     def log_message(self, *args: t.Any) -> None:
-        """Keep no log."""
+        """Write no access log."""
 
 
 class _Server(http.server.ThreadingHTTPServer):
@@ -204,21 +211,21 @@
         super().__init__(("127.0.0.1", 0), _Handler)
 
     def handle_error(self, request: t.Any, client_address: t.Any) -> None:
-        """Print nothing: connections end in any way here."""
+        """Ignore errors of connections, since gateways close and lose them during the tests."""
 
 
 @contextlib.contextmanager
-def served(store: RestorableStore, count: int) -> Iterator[list[int]]:
-    """Serve a store on `count` ports of its own."""
+def serve(store: RestorableStore, count: int) -> Iterator[list[int]]:
+    """Serve the store on `count` ports, and yield their numbers."""
     servers = [_Server(store) for _ in range(count)]
     stop = threading.Event()
 
-    def lapse() -> None:
+    def expire_leases() -> None:
         while not stop.wait(0.1):
-            store.lapse()
+            store.expire_leases()
 
-    for work in (*(server.serve_forever for server in servers), lapse):
-        threading.Thread(target=work, daemon=True).start()
+    for target in (*(server.serve_forever for server in servers), expire_leases):
+        threading.Thread(target=target, daemon=True).start()
     try:
         yield [server.server_port for server in servers]
     finally:
--- a/tests/adapter/test_build.py
+++ b/tests/adapter/test_build.py
@@ -1,3 +1,5 @@
+"""Building installs changed sources without disturbing processes that run from the old ones."""
+
 import importlib.util
 import pathlib
 
@@ -7,7 +9,7 @@
 SPEC.loader.exec_module(build)
 
 
-def checkout(folder):
+def make_checkout(folder):
     for name, text in (
         ("packages/core/src/cardamomloft/core/rates.py", "RATE = 1\n"),
         ("platform/src/cardamomloft/platform/names.py", "NAME = 'a'\n"),
@@ -20,8 +22,8 @@
     return deps
 
 
-def test_an_unchanged_tree_is_left_alone(tmp_path):
-    deps = checkout(tmp_path)
+def test_unchanged_sources_are_not_reinstalled(tmp_path):
+    deps = make_checkout(tmp_path)
     build.install_sources(tmp_path, deps)
     module = deps / "cardamomloft" / "core" / "rates.py"
     before = (module.stat().st_ino, (deps / "cardamomloft").lstat().st_ino)
@@ -30,8 +32,8 @@
     assert [path.name for path in deps.iterdir()] == ["cardamomloft"]
 
 
-def test_a_change_is_put_in_place_while_the_tree_before_stays(tmp_path):
-    deps = checkout(tmp_path)
+def test_changed_sources_are_installed_while_the_previous_tree_remains(tmp_path):
+    deps = make_checkout(tmp_path)
     build.install_sources(tmp_path, deps)
     running = (deps / "cardamomloft").resolve()
     source = tmp_path / "packages/core/src/cardamomloft/core/rates.py"
@@ -45,8 +47,8 @@
     assert not running.exists()
 
 
-def test_a_tree_that_was_copied_by_an_earlier_build_is_replaced(tmp_path):
-    deps = checkout(tmp_path)
+def test_plain_directory_of_an_earlier_build_is_replaced(tmp_path):
+    deps = make_checkout(tmp_path)
     (deps / "cardamomloft").mkdir()
     build.install_sources(tmp_path, deps)
     assert (deps / "cardamomloft" / "platform" / "names.py").exists()
--- a/tests/adapter/test_client.py
+++ b/tests/adapter/test_client.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store: pages, changes, leases, and what a failure means."""
+"""Client of the platform's store: listings, changes, leases, eras, and ambiguous failures."""
 
 import base64
 import json
@@ -20,10 +20,10 @@
 from twisted.internet.defer import succeed
 
 NO_WAIT = timedelta(0)
-LOST = Error(CallFailure(True, "no answer"))
+NO_ANSWER = Error(CallFailure(True, "no answer"))
 NOT_SENT = Error(CallFailure(False, "refused"))
 RECORD = EntryRecord("e-1", "10.0.0.1:80", "a", "east")
-SERVER = {
+REGISTRATION = {
     "service": "menus",
     "address": "10.1.0.9:80",
     "zone": "a",
@@ -36,7 +36,7 @@
 
 
 class FakeExchange:
-    """Answers a call by its path and prefix, each list in turn."""
+    """Gives the answers for a call's path and prefix in turn, and repeats the last one."""
 
     def __init__(self, **answers) -> None:
         self.answers = answers
@@ -90,12 +90,12 @@
     return [f.registration.id for f in listing.facts if isinstance(f, UpstreamRegistered)]
 
 
-def test_all_pages_are_read_and_what_changed_since_the_oldest_is_asked_of_the_store():
+def test_read_merges_all_pages_and_requests_changes_since_the_oldest():
     store = _store(
         range=[_page(at=60)],
         range_servers=[
-            _page(_item("servers/i-1", SERVER), more=True, at=55),
-            _page(_item("servers/i-2", SERVER), at=47),
+            _page(_item("servers/i-1", REGISTRATION), more=True, at=55),
+            _page(_item("servers/i-2", REGISTRATION), at=47),
         ],
         range_op=[_page(_item("op/evacuate/b", {}), at=50)],
         watch=[_ok({"events": [], "asOf": 64})],
@@ -104,22 +104,24 @@
     assert listing.index == Position(0, 64)
     assert [fact for fact in listing.facts if isinstance(fact, ZoneDrained)] == [ZoneDrained("b")]
     assert _ids(listing) == ["i-1", "i-2"]
-    *pages, question = [call[2] for call in store._exchange.calls]
+    *pages, watch = [call[2] for call in store._exchange.calls]
     assert {"prefix": "servers/", "after": "servers/i-1", "serializable": "1"} in pages
     assert all(page["serializable"] == "1" for page in pages)
-    assert question == {"prefix": "", "after": "47", "waitMs": "1"}
+    assert watch == {"prefix": "", "after": "47", "waitMs": "1"}
 
 
-def test_a_list_is_the_state_as_of_the_stores_own_answer():
-    """A replica is behind: one endpoint has gone since, another came, a drain was taken back."""
+def test_changes_are_applied_to_outdated_replica_pages():
+    """Guards against listing endpoints and drains that were removed after a replica's pages."""
     events = [
         {"key": "servers/i-1", "revision": 52, "removed": True},
-        _item("servers/i-3", SERVER),
+        _item("servers/i-3", REGISTRATION),
         {"key": "op/evacuate/b", "revision": 54, "removed": True},
     ]
     store = _store(
         range=[_page()],
-        range_servers=[_page(_item("servers/i-1", SERVER), _item("servers/i-2", SERVER))],
+        range_servers=[
+            _page(_item("servers/i-1", REGISTRATION), _item("servers/i-2", REGISTRATION))
+        ],
         range_op=[_page(_item("op/evacuate/b", {}))],
         watch=[_ok({"events": events, "asOf": 54})],
     )
@@ -129,50 +131,50 @@
     assert listing.index == Position(0, 54)
 
 
-def test_a_replica_from_before_the_known_history_is_not_used():
-    """The store's own pages are of different instants too: what changed between them is asked for.
+def test_replica_older_than_the_history_is_replaced_by_the_stores_own_pages():
+    """Guards against a listing with changes from after its own position.
 
-    A list that held a change from after its own revision would be passed on as if it were older,
-    and who had asked the store between the two would never have heard of it.
+    The store's own pages show different instants as well, and such a change would be passed on as
+    an older one, so that gateways which have read past that position never receive it.
     """
     store = _store(range=[_page(at=10), _page(at=70)], range_servers=[], watch=[])
     store._exchange.answers |= {
         "range_servers": [
-            _page(_item("servers/i-1", SERVER), at=10),
-            _page(_item("servers/i-2", SERVER), at=70),
+            _page(_item("servers/i-1", REGISTRATION), at=10),
+            _page(_item("servers/i-2", REGISTRATION), at=70),
         ],
         "range_op": [_page(at=10), _page(at=68)],
         "watch": [
             _status(410),
-            _ok({"events": [_item("servers/i-3", SERVER)], "asOf": 75}),
+            _ok({"events": [_item("servers/i-3", REGISTRATION)], "asOf": 75}),
         ],
     }
     listing = _result(store.read()).ok
     assert _ids(listing) == ["i-2", "i-3"]
     assert listing.index == Position(0, 75)
-    own_pages, question = store._exchange.calls[-4:-1], store._exchange.calls[-1]
+    own_pages, watch = store._exchange.calls[-4:-1], store._exchange.calls[-1]
     assert all("serializable" not in call[2] for call in own_pages)
-    assert question[2]["after"] == "68"
+    assert watch[2]["after"] == "68"
 
 
-def test_a_history_that_is_forgotten_again_and_again_gives_no_list():
+def test_read_fails_if_the_history_is_lost_repeatedly():
     assert _result(_store(range=[_page()], watch=[_status(410)]).read()).is_error()
 
 
-@pytest.mark.parametrize("bad", [LOST, _status(503), _ok({"events": [{}], "asOf": 60})])
-def test_a_replica_alone_is_no_list(bad):
+@pytest.mark.parametrize("bad", [NO_ANSWER, _status(503), _ok({"events": [{}], "asOf": 60})])
+def test_read_fails_without_the_changes_since_the_replicas_pages(bad):
     assert _result(_store(range=[_page()], watch=[bad]).read()).is_error()
 
 
-@pytest.mark.parametrize("bad", [LOST, _status(503), _ok({"items": 1}), _ok([])])
-def test_a_list_that_is_not_whole_is_a_failure(bad):
+@pytest.mark.parametrize("bad", [NO_ANSWER, _status(503), _ok({"items": 1}), _ok([])])
+def test_read_fails_if_a_page_is_missing_or_malformed(bad):
     store = _store(range=[_page()], range_servers=[bad])
     assert _result(store.read()).is_error()
 
 
-def test_changes_come_in_order():
+def test_changes_keep_their_order():
     events = [
-        _item("servers/i-1", SERVER),
+        _item("servers/i-1", REGISTRATION),
         {"key": "servers/i-1", "revision": 52, "removed": True},
         {"key": "elsewhere", "revision": 53, "removed": True},
     ]
@@ -182,7 +184,7 @@
     assert [type(fact) for fact in changes.facts] == [UpstreamRegistered, UpstreamWithdrawn]
 
 
-def test_the_store_is_told_how_long_to_wait_and_gets_its_usual_time_on_top():
+def test_wait_is_bounded_and_added_to_the_call_timeout():
     store = _store(watch=[_ok({"events": [], "asOf": 50})])
     _result(store.changes(Position(0, 50), timedelta(seconds=2)))
     _result(store.changes(Position(0, 50), timedelta(seconds=90)))
@@ -191,14 +193,14 @@
     assert store._exchange.timeouts == [CALL_TIMEOUT + wait for wait in longest]
 
 
-def test_a_lost_history_is_no_failure():
+def test_lost_history_is_reported_in_the_result():
     changes = _result(_store(watch=[_status(410)]).changes(Position(0, 50), NO_WAIT)).ok
     assert changes.lost
     assert changes.index == Position(0, 50)
 
 
-@pytest.mark.parametrize("bad", [LOST, _status(429), _status(503), _ok({"events": [{}]})])
-def test_changes_without_a_usable_answer_are_a_failure_that_is_not_ambiguous(bad):
+@pytest.mark.parametrize("bad", [NO_ANSWER, _status(429), _status(503), _ok({"events": [{}]})])
+def test_failure_to_read_changes_is_not_ambiguous(bad):
     failure = _result(_store(watch=[bad]).changes(Position(0, 50), NO_WAIT)).error
     assert not failure.ambiguous
 
@@ -206,8 +208,8 @@
 def test_an_entry_is_recorded_under_a_lease():
     store = _store(lease=[_ok({"lease": 77, "ttl_time": "3000ms"})], txn=[_ok({"revision": 9})])
     assert _result(store.record(RECORD, timedelta(seconds=3))) == Ok("77")
-    (_, _, _, asked), (_, _, _, written) = store._exchange.calls
-    assert asked == {"ttl_time": "3000ms"}
+    (_, _, _, lease_request), (_, _, _, written) = store._exchange.calls
+    assert lease_request == {"ttl_time": "3000ms"}
     (put,) = written["puts"]
     assert (put["key"], put["lease"]) == ("entries/e-1", 77)
     recorded = _result(
@@ -218,30 +220,30 @@
 
 @pytest.mark.parametrize(
     ("lease", "ambiguous"),
-    [(LOST, True), (NOT_SENT, False), (_status(429), False), (_ok({}), True)],
+    [(NO_ANSWER, True), (NOT_SENT, False), (_status(429), False), (_ok({}), True)],
 )
-def test_a_lease_that_may_have_been_made_is_ambiguous(lease, ambiguous):
+def test_failure_is_ambiguous_only_if_the_lease_may_exist(lease, ambiguous):
     failure = _result(_store(lease=[lease]).record(RECORD, timedelta(seconds=3))).error
     assert failure.ambiguous == ambiguous
 
 
-def test_a_lapsed_lease_is_told_from_a_failure():
+def test_expired_lease_is_distinguished_from_a_failed_renewal():
     assert _result(_store(keep=[_ok({"ttl_time": "3000ms"})]).renew("77")) == Ok(True)
     assert _result(_store(keep=[_status(404)]).renew("77")) == Ok(False)
     assert _result(_store(keep=[_status(503)]).renew("77")).is_error()
 
 
-def test_a_lease_is_ended():
+def test_withdraw_ends_the_lease():
     store = _store(lease_end=[Ok(Answer(200, None, b""))])
     assert _result(store.withdraw("77")) == Ok(None)
     assert store._exchange.calls[0][:2] == ("DELETE", "/v1/kv-lease-end/77")
 
 
-NO_NEWS = _ok({"events": [], "asOf": 64})
+NO_CHANGES = _ok({"events": [], "asOf": 64})
 
 
-def test_a_revision_that_a_restored_store_has_reached_again_is_another_one():
-    store = _store(watch=[_in_era(3, NO_NEWS)])
+def test_same_revision_in_another_era_is_a_lost_history():
+    store = _store(watch=[_in_era(3, NO_CHANGES)])
     changes = _result(store.changes(Position(2, 64), NO_WAIT)).ok
     assert changes.lost
     assert changes.index == Position(2, 64)
@@ -249,34 +251,36 @@
 
 
 @pytest.mark.parametrize("era", ["2", None, "x", "-1", "9" * 20, ""])
-def test_an_era_that_falls_is_missing_or_unreadable_means_to_list_anew(era):
-    answer = NO_NEWS if era is None else _in_era(era, NO_NEWS)
+def test_lower_missing_or_unreadable_era_is_a_lost_history(era):
+    answer = NO_CHANGES if era is None else _in_era(era, NO_CHANGES)
     assert _result(_store(watch=[answer]).changes(Position(3, 64), NO_WAIT)).ok.lost
 
 
-def test_a_list_of_pages_from_before_a_restoration_is_read_again_from_the_store_itself():
-    old, new = _in_era(2, _page(_item("servers/i-1", SERVER), at=90)), _in_era(3, _page(at=40))
-    store = _store(range=[new], range_servers=[old, new], watch=[_in_era(3, NO_NEWS)])
+def test_replica_pages_of_an_earlier_era_are_replaced_by_the_stores_own_pages():
+    old, new = _in_era(2, _page(_item("servers/i-1", REGISTRATION), at=90)), _in_era(
+        3, _page(at=40)
+    )
+    store = _store(range=[new], range_servers=[old, new], watch=[_in_era(3, NO_CHANGES)])
     listing = _result(store.read()).ok
     assert _ids(listing) == []
     assert listing.index == Position(3, 64)
 
 
-def test_a_store_that_is_restored_while_it_is_listed_is_no_list():
+def test_read_fails_if_the_store_is_restored_between_pages():
     old, new = _in_era(2, _page(at=90)), _in_era(3, _page(at=40))
-    store = _store(range=[new], range_op=[old], watch=[_in_era(3, NO_NEWS)])
+    store = _store(range=[new], range_op=[old], watch=[_in_era(3, NO_CHANGES)])
     assert _result(store.read()).is_error()
 
 
 LEASE, WRITTEN = _ok({"lease": 77, "ttl_time": "3000ms"}), _ok({"revision": 9})
-KEPT = _ok({"ttl_time": "3000ms"})
+RENEWED = _ok({"ttl_time": "3000ms"})
 
 
-def test_a_lease_whose_number_was_given_out_again_is_another_one():
+def test_lease_number_reused_in_a_later_era_is_not_taken_for_the_own_lease():
     store = _store(
         lease=[_in_era(2, LEASE)],
         txn=[_in_era(2, WRITTEN)],
-        keep=[_in_era(2, KEPT), _in_era(3, KEPT)],
+        keep=[_in_era(2, RENEWED), _in_era(3, RENEWED)],
         lease_end=[_in_era(3, _ok({}))],
     )
     lease = _result(store.record(RECORD, timedelta(seconds=3))).ok
@@ -286,12 +290,12 @@
     assert "DELETE" not in [call[0] for call in store._exchange.calls]
 
 
-def test_a_lease_of_this_era_is_ended():
-    store = _store(keep=[_in_era(2, KEPT)], lease_end=[_in_era(2, _ok({}))])
+def test_withdraw_ends_a_lease_of_the_current_era():
+    store = _store(keep=[_in_era(2, RENEWED)], lease_end=[_in_era(2, _ok({}))])
     assert _result(store.withdraw("77.2")) == Ok(None)
     assert store._exchange.calls[-1][:2] == ("DELETE", "/v1/kv-lease-end/77")
 
 
-def test_a_record_that_is_written_in_another_era_than_its_lease_is_written_again():
+def test_record_fails_if_the_era_changed_since_the_lease():
     store = _store(lease=[_in_era(2, LEASE)], txn=[_in_era(3, WRITTEN)])
     assert _result(store.record(RECORD, timedelta(seconds=3))).is_error()
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -1,4 +1,4 @@
-"""The platform's items become facts, and malformed ones say what is wrong with them."""
+"""Items of the platform's store are decoded to facts; malformed ones are reported as unreadable."""
 
 import json
 from datetime import timedelta
@@ -27,7 +27,7 @@
 
 MS = timedelta(milliseconds=1)
 
-SERVER = {
+REGISTRATION = {
     "service": "menus",
     "address": "10.1.0.9:8080",
     "zone": "a",
@@ -67,14 +67,14 @@
     return fact.plan
 
 
-def test_a_registration():
-    fact = decode_item("servers/i-7", json.dumps(SERVER).encode())
-    wanted = Registration("i-7", "menus", "10.1.0.9:8080", "a", 4, False, 2500 * MS)
-    assert fact == UpstreamRegistered(wanted)
+def test_valid_registration_is_decoded():
+    fact = decode_item("servers/i-7", json.dumps(REGISTRATION).encode())
+    expected = Registration("i-7", "menus", "10.1.0.9:8080", "a", 4, False, 2500 * MS)
+    assert fact == UpstreamRegistered(expected)
 
 
-def test_a_leaving_endpoint_with_fields_that_came_later_and_the_start_of_its_life():
-    row = {**SERVER, "state": "draining", "later": 1, "born": 1_700_000_000_123}
+def test_draining_state_start_time_and_unknown_fields_are_accepted():
+    row = {**REGISTRATION, "state": "draining", "later": 1, "born": 1_700_000_000_123}
     registration = decode_item("servers/i-7", json.dumps(row).encode()).registration
     assert registration.draining
     assert registration.started_ms == 1_700_000_000_123
@@ -109,22 +109,22 @@
         ("coldRemaining", 7),
     ],
 )
-def test_an_odd_registration_is_unreadable(name, value):
-    fact = decode_item("servers/i-7", json.dumps({**SERVER, name: value}).encode())
+def test_registration_with_an_invalid_field_is_unreadable(name, value):
+    fact = decode_item("servers/i-7", json.dumps({**REGISTRATION, name: value}).encode())
     assert isinstance(fact, UpstreamUnreadable)
     assert fact.id == "i-7"
     assert 0 < len(fact.detail) <= 200
 
 
-@pytest.mark.parametrize("name", sorted(SERVER))
-def test_a_registration_that_lacks_a_field_is_unreadable(name):
-    row = {key: value for key, value in SERVER.items() if key != name}
+@pytest.mark.parametrize("name", sorted(REGISTRATION))
+def test_registration_that_lacks_a_field_is_unreadable(name):
+    row = {key: value for key, value in REGISTRATION.items() if key != name}
     assert isinstance(decode_item("servers/i-7", json.dumps(row).encode()), UpstreamUnreadable)
 
 
 @pytest.mark.parametrize("name", ["", "i 7", "i-7\r\nX: 1", "i-\u00e9", "x" * 201])
-def test_an_id_that_fits_into_no_header_names_no_endpoint(name):
-    fact = decode_item(f"servers/{name}", json.dumps(SERVER).encode())
+def test_id_that_is_not_a_valid_header_value_is_unreadable(name):
+    fact = decode_item(f"servers/{name}", json.dumps(REGISTRATION).encode())
     assert isinstance(fact, UpstreamUnreadable)
 
 
@@ -134,7 +134,9 @@
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner),
     max_leaves=10,
 )
-_CHANGED = st.dictionaries(st.sampled_from([*SERVER, "born"]), _VALUES, min_size=1, max_size=3)
+_CHANGES = st.dictionaries(
+    st.sampled_from([*REGISTRATION, "born"]), _VALUES, min_size=1, max_size=3
+)
 
 
 def _is_usable(registration):
@@ -151,9 +153,9 @@
 
 
 @settings(max_examples=500, deadline=None)
-@given(_CHANGED)
-def test_what_another_writer_changes_is_read_rightly_or_not_at_all(changed):
-    fact = decode_item("servers/i-7", json.dumps({**SERVER, **changed}).encode())
+@given(_CHANGES)
+def test_changed_registration_is_valid_or_unreadable(changes):
+    fact = decode_item("servers/i-7", json.dumps({**REGISTRATION, **changes}).encode())
     if isinstance(fact, UpstreamRegistered):
         assert _is_usable(fact.registration)
     else:
@@ -162,13 +164,13 @@
 
 @settings(max_examples=500, deadline=None)
 @given(st.sampled_from(["servers/i-7", "entries/e-1", "op/config"]), st.binary(max_size=200))
-def test_bytes_that_are_no_value_are_unreadable(key, value):
+def test_arbitrary_bytes_are_unreadable(key, value):
     assert isinstance(decode_item(key, value), Unreadable | UpstreamUnreadable)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.sampled_from(sorted(CONFIG)), _VALUES)
-def test_a_configuration_with_an_odd_part_is_unreadable_or_whole(name, value):
+def test_configuration_with_a_changed_part_is_valid_or_unreadable(name, value):
     fact = decode_item("op/config", _config(**{name: value}))
     assert isinstance(fact, Unreadable) or type(fact.plan.number) is int
 
@@ -178,11 +180,11 @@
     "value",
     [b"[" * 100_000, b'{"a":' * 100_000, b"9" * 100_000, b'{"slots": 1e400}', b"\xff\xfe", b""],
 )
-def test_giant_and_nested_values_are_unreadable(key, value):
+def test_huge_or_deeply_nested_values_are_unreadable(key, value):
     assert isinstance(decode_item(key, value), Unreadable | UpstreamUnreadable)
 
 
-def test_a_configuration():
+def test_valid_configuration_is_decoded():
     plan = _plan(_config())
     (rule,) = plan.rules
     assert plan.number == 7
@@ -198,7 +200,7 @@
     assert plan.limits.idle_timeout == 15_000 * MS
 
 
-def test_divided_services_and_the_longest_prefix_first():
+def test_split_services_are_decoded_and_rules_sorted_by_longest_prefix():
     split = [*SPLIT[:-1], [{"service": "a", "weight": 90}, {"service": "b", "weight": 10}]]
     rows = {"columns": ROUTE_COLUMNS, "rows": [ROUTE, split]}
     first, second = _plan(_config(routes=rows)).rules
@@ -208,7 +210,7 @@
 
 
 @pytest.mark.parametrize("kind", ["unsafe", "upload", "never-heard-of"])
-def test_only_safe_requests_may_be_repeated(kind):
+def test_only_safe_rules_are_idempotent(kind):
     row = [
         kind if column == "kind" else cell
         for column, cell in zip(ROUTE_COLUMNS, ROUTE, strict=True)
@@ -229,23 +231,23 @@
         _config(routes={"columns": ["name"], "rows": [["r-1"]]}),
     ],
 )
-def test_a_configuration_that_cannot_be_decoded_is_unreadable(value):
+def test_configuration_that_cannot_be_decoded_is_unreadable(value):
     assert isinstance(decode_item("op/config", value), Unreadable)
 
 
-def test_zones_that_are_drained_and_restored():
+def test_drained_zone_keys_are_decoded():
     assert decode_item("op/evacuate/a", b"{}") == ZoneDrained("a")
     assert decode_removal("op/evacuate/a") == ZoneRestored("a")
 
 
-def test_an_entrys_own_record_reads_as_written():
+def test_entry_record_is_decoded_as_it_was_encoded():
     record = EntryRecord("e-1", "10.0.0.1:80", "a", "east")
     assert decode_item("entries/e-1", encode_entry(record)) == EntryRecorded(record)
     assert decode_removal("entries/e-1") == EntryWithdrawn("e-1")
     assert isinstance(decode_item("entries/e-1", b'{"name": 1}'), Unreadable)
 
 
-def test_removed_registrations_and_keys_of_others():
+def test_removed_registration_is_withdrawn_and_unknown_keys_are_ignored():
     assert decode_removal("servers/i-7") == UpstreamWithdrawn("i-7")
     assert decode_removal("op/config") is None
     assert decode_item("elsewhere/x", b"") is None
--- a/tests/adapter/test_folder.py
+++ b/tests/adapter/test_folder.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its folder, and the folder decides nothing."""
+"""Names of the platform are used in its folder only, and the folder makes no routing decisions."""
 
 import ast
 import pathlib
@@ -7,14 +7,14 @@
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 FOLDER = ROOT / "platform"
 
-NAMES = re.compile(
+PLATFORM_NAMES = re.compile(
     r"coldRemaining|coldPerS|coldStart|maxAttempts|targetLatency|stickySessions|homeRegions"
     r"|maxConnections|healthPath|maxHeaderBytes|maxBodyBytes|headerTimeout|idleTimeout"
     r"|kv-(?:key|range|watch|txn|lease|keep)|op/config|op/evacuate|servers/"
     r"|ttl_time|asOf|waitMs|/v1/(?:resolve|ready)|x-cardamomloft-",
     re.IGNORECASE,
 )
-DECIDING = {"selection", "affinity", "budgets", "regions", "naming", "entrybook", "retries"}
+DECISION_MODULES = {"selection", "affinity", "budgets", "regions", "naming", "entrybook", "retries"}
 
 
 def _sources(folder: pathlib.Path) -> list[pathlib.Path]:
@@ -31,24 +31,24 @@
     return found
 
 
-def test_no_other_folder_knows_the_platforms_names():
+def test_no_other_folder_uses_the_platforms_names():
     for folder in ("packages", "standins", "scripts"):
         for path in _sources(ROOT / folder):
-            assert not NAMES.search(path.read_text()), path
+            assert not PLATFORM_NAMES.search(path.read_text()), path
 
 
-def test_the_names_are_those_that_the_folder_uses():
+def test_the_pattern_matches_names_in_the_folder():
     text = "".join(path.read_text() for path in _sources(FOLDER))
-    assert len(set(NAMES.findall(text))) > 10
+    assert len(set(PLATFORM_NAMES.findall(text))) > 10
 
 
-def test_the_folder_imports_no_decision():
+def test_the_folder_does_not_import_decision_modules():
     for path in _sources(FOLDER):
         used = {module.rpartition(".")[2] for module in _imports(path) if ".core." in module}
-        assert not used & DECIDING, path
+        assert not used & DECISION_MODULES, path
 
 
-def test_only_the_folder_imports_itself():
+def test_no_other_folder_imports_the_platform_package():
     for folder in ("packages", "standins", "scripts"):
         for path in _sources(ROOT / folder):
             assert not any("cardamomloft.platform" in module for module in _imports(path)), path
--- a/tests/adapter/test_restored_platform.py
+++ b/tests/adapter/test_restored_platform.py
@@ -1,6 +1,6 @@
-"""Real gateways through drills: the platform's store comes back from older copies of itself.
+"""Gateway processes converge again after the platform's store is restored from backups.
 
-More seeds by hand: ``python -m tests.adapter.test_restored_platform FIRST COUNT``.
+To run more seeds: ``python -m tests.adapter.test_restored_platform FIRST COUNT``.
 """
 
 import base64
@@ -27,10 +27,10 @@
 )
 
 DRAIN_S = 2.5
-"""The drain time of the settings, within which a change is in force."""
+"""Drain time of the settings, within which each change must be in force."""
 
-SETTLED_S = 4.0
-"""Time without faults after which a gateway is held to its bounds again."""
+RECOVERY_S = 4.0
+"""Time without faults after which the time bounds apply again."""
 
 HEARTBEAT_S = 1.0
 LEASE_S = 3.0
@@ -39,7 +39,7 @@
 
 
 def configuration(version: int) -> dict:
-    """Return a configuration with one rule; versions differ in their number only."""
+    """Return a configuration with one rule; only the number depends on the version."""
     rule = [
         "menus",
         endpoints.HOST,
@@ -81,8 +81,8 @@
     }
 
 
-class Surroundings:
-    """Operators and endpoints: they write, and write again what a restored store has lost."""
+class Environment:
+    """Operators and endpoints, which repeat their writes after a restore has lost them."""
 
     def __init__(self, store: restorable.RestorableStore, rows) -> None:
         self.store, self.rows = store, rows
@@ -103,13 +103,13 @@
         else:
             self.store.remove("op/evacuate/b")
 
-    def write_again(self) -> None:
-        """Write what operators had written, as they do after a restoration."""
+    def repeat_operator_writes(self) -> None:
+        """Repeat the operators' last writes, as they do after a restore."""
         self.store.put("op/config", configuration(self.version))
         self.drain(self.drained)
 
-    def beat(self) -> None:
-        """Write each endpoint's registration, as it does at each heartbeat."""
+    def heartbeat(self) -> None:
+        """Renew each endpoint's lease, and write its registration if it changed or is missing."""
         store = self.store
         with store.changed:
             for row in self.rows:
@@ -137,10 +137,10 @@
         }
 
     def run(self) -> None:
-        """Write registrations until `stop`."""
+        """Send heartbeats until `stop` is called."""
         while not self._stop.wait(HEARTBEAT_S):
-            if time.monotonic() >= self.store.away_until:
-                self.beat()
+            if time.monotonic() >= self.store.unavailable_until:
+                self.heartbeat()
 
     def stop(self) -> None:
         self._stop.set()
@@ -151,23 +151,23 @@
 
 
 class Drill:
-    """One seeded series of restorations and faults, checked while it runs."""
+    """One seeded sequence of restores and faults, with checks while it runs."""
 
     def __init__(self, stack, folder: pathlib.Path, seed: int, gateways: int) -> None:
         self.rng = random.Random(seed)
         self.stack, self.folder = stack, folder
         self.store = restorable.RestorableStore()
-        self.ports = stack.enter_context(restorable.served(self.store, gateways))
+        self.ports = stack.enter_context(restorable.serve(self.store, gateways))
         consul = stack.enter_context(processes.store())
         self.rows, self.arrivals = stack.enter_context(endpoints.service(consul, ENDPOINTS))
-        self.around = Surroundings(self.store, self.rows)
-        self.around.configure()
-        self.around.beat()
-        threading.Thread(target=self.around.run, daemon=True).start()
-        stack.callback(self.around.stop)
+        self.environment = Environment(self.store, self.rows)
+        self.environment.configure()
+        self.environment.heartbeat()
+        threading.Thread(target=self.environment.run, daemon=True).start()
+        stack.callback(self.environment.stop)
         self.settings = []
         self.running = {}
-        self.in_force: dict[str, int] = {}
+        self.last_configuration: dict[str, int] = {}
         for number, port in enumerate(self.ports):
             owned = processes.settings(f"127.0.0.1:{port}", f"e-{number}", "ab"[number % 2])
             cfg = stack.enter_context(owned)
@@ -175,116 +175,116 @@
             self.start(cfg)
 
     def start(self, cfg) -> None:
-        """Start a gateway; a new life may begin by any configuration."""
+        """Start or restart a gateway, which may begin with any configuration."""
         name = cfg["name"]
         if name in self.running:
             self.running[name].close()
         self.running[name] = self.stack.enter_context(contextlib.ExitStack())
         self.running[name].enter_context(processes.gateway(self.folder, cfg, LAUNCH))
-        self.in_force[name] = 0
+        self.last_configuration[name] = 0
 
-    def look(self) -> list[dict]:
-        """Return all status pages; no configuration may have gone back."""
+    def read_status(self) -> list[dict]:
+        """Return all status pages, after checking that no configuration was reverted."""
         pages = []
         for cfg in self.settings:
             with contextlib.suppress(OSError):
                 page = processes.status(cfg)
-                assert page["configuration"] >= self.in_force[cfg["name"]], cfg["name"]
-                self.in_force[cfg["name"]] = page["configuration"]
+                assert page["configuration"] >= self.last_configuration[cfg["name"]], cfg["name"]
+                self.last_configuration[cfg["name"]] = page["configuration"]
                 pages.append(page)
         return pages
 
-    def agree(self) -> bool:
-        """Tell whether all gateways know what the surroundings have written."""
-        pages = self.look()
+    def has_converged(self) -> bool:
+        """Return whether all gateways have the state that was last written."""
+        pages = self.read_status()
         return len(pages) == len(self.settings) and all(
-            page["configuration"] == self.around.version
-            and page["drained_zones"] == (["b"] if self.around.drained else [])
+            page["configuration"] == self.environment.version
+            and page["drained_zones"] == (["b"] if self.environment.drained else [])
             and len(page["entries"]) == len(self.settings)
             and page["upstreams"] == len(self.rows)
             and not page["store_away"]
             for page in pages
         )
 
-    def disagreement(self) -> str:
-        """Return what each gateway knows, and what it should."""
+    def describe_state(self) -> str:
+        """Return the state of each gateway and the expected one, for assertion messages."""
         names = ("configuration", "drained_zones", "upstreams", "store_away")
-        known = [
+        actual = [
             {**{name: page[name] for name in names}, "entries": len(page["entries"])}
-            for page in self.look()
+            for page in self.read_status()
         ]
-        around = self.around
-        return f"{known}; {around.version=} {around.drained=} {around.leaving=}"
+        environment = self.environment
+        return f"{actual}; {environment.version=} {environment.drained=} {environment.leaving=}"
 
     def step(self) -> None:
-        """Bring one fault about, or let something be written."""
-        rng, around = self.rng, self.around
+        """Inject a random fault or write a random change."""
+        rng, environment = self.rng, self.environment
         kind = rng.choice(["restore", "restore", "configure", "drain", "leave", "kill", "cut"])
         match kind:
             case "restore":
                 self.store.restore(rng.uniform(0, 5), rng.uniform(0, 1))
-                threading.Timer(1 + rng.uniform(0, 1), around.write_again).start()
+                threading.Timer(1 + rng.uniform(0, 1), environment.repeat_operator_writes).start()
             case "configure":
-                around.configure()
+                environment.configure()
             case "drain":
-                around.drain(not around.drained)
-            case "leave" if len(around.leaving) < ENDPOINTS // 2 - 1:
-                around.leaving.add(rng.choice(self.rows).name)
-                around.beat()
+                environment.drain(not environment.drained)
+            case "leave" if len(environment.leaving) < ENDPOINTS // 2 - 1:
+                environment.leaving.add(rng.choice(self.rows).name)
+                environment.heartbeat()
             case "kill":
                 self.start(rng.choice(self.settings))
             case "cut":
-                self.store.cut = {rng.choice(self.ports)}
-        self.watch(rng.uniform(0, 2))
+                self.store.disconnected_ports = {rng.choice(self.ports)}
+        self.check_status_for(rng.uniform(0, 2))
 
-    def watch(self, duration_s: float) -> None:
-        """Look on for some time."""
+    def check_status_for(self, duration_s: float) -> None:
+        """Check the status pages repeatedly for some time."""
         end = time.monotonic() + duration_s
         while time.monotonic() < end:
-            self.look()
+            self.read_status()
             time.sleep(0.1)
 
-    def settle(self) -> None:
-        """End the faults, and check what is promised then."""
-        self.store.cut = set()
+    def check_recovery(self) -> None:
+        """End all faults, and check that the gateways converge within the time bounds."""
+        self.store.disconnected_ports = set()
         time.sleep(2.5)
-        self.around.write_again()
-        self.watch(SETTLED_S)
-        self.around.configure()
-        assert processes.eventually(self.agree, DRAIN_S + 10), self.disagreement()
-        self.around.configure()
-        assert processes.eventually(self.agree, DRAIN_S), self.disagreement()
+        self.environment.repeat_operator_writes()
+        self.check_status_for(RECOVERY_S)
+        self.environment.configure()
+        assert processes.eventually(self.has_converged, DRAIN_S + 10), self.describe_state()
+        self.environment.configure()
+        assert processes.eventually(self.has_converged, DRAIN_S), self.describe_state()
         self.arrivals.clear()
         for cfg in self.settings:
             for number in range(40):
                 path = f"/menus/{number}"
                 assert endpoints.ask(cfg["callers"], path, path, CALLER_HEADERS).status == 200
         reached = {arrival.endpoint for arrival in self.arrivals}
-        assert not reached & self.around.leaving
+        assert not reached & self.environment.leaving
         assert "cardamomloft:fault" not in self.logs()
 
     def logs(self) -> str:
         return "".join(processes.log_of(self.folder, cfg).read_text() for cfg in self.settings)
 
 
-def play(folder: pathlib.Path, seed: int, gateways: int) -> None:
-    """Play one drill."""
+def run_drill(folder: pathlib.Path, seed: int, gateways: int) -> None:
+    """Run one drill."""
     with contextlib.ExitStack() as stack:
         drill = Drill(stack, folder, seed, gateways)
-        assert processes.eventually(drill.agree, 60), drill.disagreement()
+        assert processes.eventually(drill.has_converged, 60), drill.describe_state()
         for _ in range(STEPS):
             drill.step()
-        drill.settle()
+        drill.check_recovery()
 
 
-@pytest.mark.parametrize(("seed", "gateways"), [(1, 3), (2, 9)], ids=["each asks", "relays"])
-def test_gateways_come_through_drills_with_nothing_taken_back(tmp_path, seed, gateways):
-    play(tmp_path, seed, gateways)
+@pytest.mark.parametrize(("seed", "gateways"), [(1, 3), (2, 9)], ids=["without relays", "relays"])
+def test_gateways_converge_after_restores_without_reverting_changes(tmp_path, seed, gateways):
+    run_drill(tmp_path, seed, gateways)
 
 
 if __name__ == "__main__":
     first, count = int(sys.argv[1]), int(sys.argv[2])
     for seed in range(first, first + count):
         with tempfile.TemporaryDirectory() as name:
-            play(pathlib.Path(name), seed, 9 if seed % 2 else 3)
+            run_drill(pathlib.Path(name), seed, 9 if seed % 2 else 3)
         print(json.dumps({"seed": seed, "passed": True}), flush=True)
