--- a/packages/gateway/tests/test_calls.py
+++ b/packages/gateway/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Reading callers' requests: what is refused and why, and what the decisions get to see."""
+"""Callers' requests are parsed to calls, or refused with a reason."""
 
 import pytest
 from cardamomloft.callers.exchange import RequestHead
@@ -10,9 +10,14 @@
 
 
 def _head(path="/menus/7", length=0, query="", **headers) -> RequestHead:
-    given = {"host": "a.example", "x_request_id": "id-1", "x_deadline_ms": "2500", "x_object": "17"}
-    rows = {**given, **headers}
-    pairs = tuple((name.replace("_", "-"), value) for name, value in rows.items() if value)
+    defaults = {
+        "host": "a.example",
+        "x_request_id": "id-1",
+        "x_deadline_ms": "2500",
+        "x_object": "17",
+    }
+    fields = {**defaults, **headers}
+    pairs = tuple((name.replace("_", "-"), value) for name, value in fields.items() if value)
     return RequestHead("GET", path, query, pairs, "10.0.0.9", length, length is None)
 
 
@@ -21,18 +26,18 @@
     return reader.read(head, 5000 * MS)
 
 
-def test_a_call():
+def test_valid_request_is_read_as_a_call():
     call = _read(_head(query="a=1"))
     assert (call.id, call.service, call.key, call.target) == ("id-1", "menus", "17", "/menus/7?a=1")
     assert call.until == 6000 * MS
 
 
 @pytest.mark.parametrize(("deadline", "until"), [("300", 5300), (None, 6000), ("9" * 18, 6000)])
-def test_the_answer_is_due_by_the_callers_deadline_and_the_rules_timeout(deadline, until):
+def test_deadline_is_the_earlier_of_the_callers_and_the_rules(deadline, until):
     assert _read(_head(x_deadline_ms=deadline)).until == until * MS
 
 
-def test_without_a_key_each_request_has_its_own():
+def test_request_id_is_the_key_without_an_affinity_key():
     assert _read(_head(x_object=None)).key == "id-1"
     assert _read(_head(), keyed=False).key == "id-1"
 
@@ -52,14 +57,14 @@
         (_head(length=2001), RefusalReason.TOO_LARGE),
     ],
 )
-def test_what_cannot_be_passed_on_is_refused_with_its_reason(head, reason):
+def test_invalid_request_is_refused_with_its_reason(head, reason):
     refusal = _read(head)
     assert isinstance(refusal, Refusal)
     assert refusal.reason == reason
     assert refusal.detail
 
 
-def test_the_homes_of_a_host_are_those_that_all_its_rules_have():
+def test_home_regions_of_a_host_are_common_to_all_its_rules():
     rules = [
         kit.RULE._replace(prefix="/a/", homes=frozenset({"east", "west"})),
         kit.RULE._replace(prefix="/b/", homes=frozenset({"east"})),
--- a/packages/gateway/tests/test_crashing_requests.py
+++ b/packages/gateway/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request under which endpoints crash is soon sent to none any more, by any gateway."""
+"""A request that crashes endpoints is quarantined by all gateway processes."""
 
 import contextlib
 import time
@@ -10,15 +10,15 @@
 
 POISON = "/menus/poison"
 
-CONTACT_S = 3.0
-"""Time within which all gateways know of a crash that one of them has seen."""
+NOTICE_TIME_S = 3.0
+"""Time within which a crash notice reaches all gateways."""
 
-ENDED = 3
-"""Endpoints that may end under one request."""
+MAX_CRASHES = 3
+"""Crashed endpoints after which a request is quarantined."""
 
 
 class Fleet:
-    """Gateways with their store, and endpoints that end without an answer at one path."""
+    """Gateways with their store, and endpoints that crash at the path `POISON`."""
 
     def __init__(self, stack, folder, gateways) -> None:
         self.folder = folder
@@ -36,7 +36,7 @@
         self.settings.append(cfg)
         return cfg
 
-    def know_each_other(self) -> bool:
+    def has_converged(self) -> bool:
         pages = [processes.status(cfg) for cfg in self.settings]
         return all(
             page["state"] == "ready"
@@ -45,56 +45,58 @@
             for page in pages
         )
 
-    def poison(self) -> int:
+    def poison_count(self) -> int:
         return sum(arrival.path == POISON for arrival in self.arrivals)
 
 
-@pytest.fixture(params=[3, 9], ids=["each asks the store", "relays"])
+@pytest.fixture(params=[3, 9], ids=["without relays", "relays"])
 def fleet(tmp_path, request):
     with contextlib.ExitStack() as stack:
         fleet = Fleet(stack, tmp_path, request.param)
-        assert processes.eventually(fleet.know_each_other, 60)
+        assert processes.eventually(fleet.has_converged, 60)
         assert bool(processes.status(fleet.settings[0])["relays"]) == (request.param > 8)
         fleet.stack = stack
         yield fleet
 
 
 def crash_three(fleet, gateways) -> None:
-    """Send the poison request to these gateways in turn until three endpoints have ended."""
+    """Send the poison request to these gateways in turn until three endpoints have crashed."""
     for number in range(50):
         endpoints.ask(gateways[number % len(gateways)]["callers"], POISON)
-        if len({arrival.endpoint for arrival in fleet.arrivals}) >= ENDED:
+        if len({arrival.endpoint for arrival in fleet.arrivals}) >= MAX_CRASHES:
             return
         time.sleep(0.4)
-    raise AssertionError(f"after 50 requests {fleet.arrivals[-4:]}")
+    raise AssertionError(
+        f"fewer than {MAX_CRASHES} endpoints crashed in 50 requests; last: {fleet.arrivals[-4:]}"
+    )
 
 
-@pytest.mark.parametrize("store", ["there", "away"])
+@pytest.mark.parametrize("store", ["available", "unavailable"])
 @pytest.mark.parametrize("seen_by", ["one gateway", "several"])
-def test_a_request_that_ended_three_endpoints_is_sent_to_no_more(fleet, store, seen_by):
-    if store == "away":
+def test_request_that_crashed_three_endpoints_is_sent_to_no_more(fleet, store, seen_by):
+    if store == "unavailable":
         endpoints.put(f"http://{fleet.store}/control", {"down": "hang"})
     crash_three(fleet, fleet.settings[:1] if seen_by == "one gateway" else fleet.settings[-3:])
-    time.sleep(CONTACT_S)
-    before = fleet.poison()
+    time.sleep(NOTICE_TIME_S)
+    before = fleet.poison_count()
     answers = [endpoints.ask(cfg["callers"], POISON) for cfg in fleet.settings * 2]
-    assert fleet.poison() == before
+    assert fleet.poison_count() == before
     assert {answer.status for answer in answers} == {503}
     assert all(float(answer.headers["Retry-After"]) > 0 for answer in answers)
 
 
-def test_other_requests_for_the_same_object_are_served_on(fleet):
+def test_other_requests_are_not_quarantined(fleet):
     crash_three(fleet, fleet.settings)
-    time.sleep(CONTACT_S)
+    time.sleep(NOTICE_TIME_S)
     answers = [endpoints.ask(cfg["callers"], "/menus/17") for cfg in fleet.settings]
     assert {answer.status for answer in answers} == {200}
 
 
-def test_a_gateway_that_starts_later_knows_it_too(fleet):
+def test_gateway_that_starts_later_refuses_the_quarantined_request(fleet):
     crash_three(fleet, fleet.settings)
     late = fleet.add(fleet.stack, "e-late", "a")
-    assert processes.eventually(fleet.know_each_other, 60)
-    time.sleep(CONTACT_S)
-    before = fleet.poison()
+    assert processes.eventually(fleet.has_converged, 60)
+    time.sleep(NOTICE_TIME_S)
+    before = fleet.poison_count()
     assert endpoints.ask(late["callers"], POISON).status == 503
-    assert fleet.poison() == before
+    assert fleet.poison_count() == before
--- a/packages/gateway/tests/test_documents.py
+++ b/packages/gateway/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""The gateway's own configuration document and registrations, strictly checked."""
+"""Configuration documents and registrations are checked strictly when they are read."""
 
 import copy
 import json
@@ -18,30 +18,30 @@
 def _changed(path: str, value: object) -> str:
     document = copy.deepcopy(DOCUMENT)
     *parents, last = path.split(".")
-    place = document
+    node = document
     for name in parents:
-        place = place[int(name) if name.isdigit() else name]
+        node = node[int(name) if name.isdigit() else name]
     if value is None:
-        del place[last]
+        del node[last]
     else:
-        place[last] = value
+        node[last] = value
     return json.dumps(document)
 
 
-def test_the_example_is_right():
+def test_example_document_is_valid():
     plan = load_plan(EXAMPLE.read_text(), 7).ok
     assert plan.number == 7
     menus = next(rule for rule in plan.rules if rule.name == "menus")
     assert (menus.host, menus.prefix) == ("kiosks.example", "/menus/")
     assert menus.idempotent
     assert menus.target < menus.timeout
-    pay = next(rule for rule in plan.rules if rule.name == "orders")
-    assert not pay.idempotent
-    assert sum(share.weight for share in pay.services) == 100
+    orders = next(rule for rule in plan.rules if rule.name == "orders")
+    assert not orders.idempotent
+    assert sum(share.weight for share in orders.services) == 100
     assert plan.services["menus"].cold_time == timedelta(seconds=3)
 
 
-def test_what_is_left_out_is_careful():
+def test_defaults_of_a_rule_do_not_allow_retries():
     rule = {"name": "r", "when": {"host": "a.example", "path": "/"}}
     rule["then"] = {"services": [{"service": "menus", "weight": 1}], "timeout": "1s"}
     (found,) = load_plan(_changed("rules", [rule]), 1).ok.rules
@@ -66,12 +66,12 @@
         ("limits.idle_timeout", None, "limits.idle_timeout"),
     ],
 )
-def test_every_mistake_is_named_with_its_path(path, value, where):
+def test_mistake_is_reported_with_its_path(path, value, where):
     mistakes = load_plan(_changed(path, value), 1).error
     assert where in [mistake.path for mistake in mistakes], mistakes
 
 
-def test_a_rule_behind_one_that_covers_it_can_never_match():
+def test_rule_that_can_never_match_is_a_mistake():
     rules = [{**DOCUMENT["rules"][0], "name": f"r{number}"} for number in range(2)]
     rules[1]["when"] = {"host": "kiosks.example", "path": "/menus/today/"}
     (mistake,) = load_plan(_changed("rules", rules), 1).error
@@ -80,14 +80,14 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", '{"format": "routes-1", "format": "routes-1"}'])
-def test_what_is_no_document_is_an_error(text):
+def test_malformed_document_is_an_error(text):
     assert load_plan(text, 1).is_error()
 
 
 REGISTRATION = {"service": "menus", "address": "10.0.0.1:80", "zone": "a", "slots": 4}
 
 
-def test_a_registration():
+def test_valid_registration_is_read():
     row = load_registration(json.dumps({**REGISTRATION, "cold_ms": 1500}).encode(), "i-1").ok
     assert (row.id, row.draining) == ("i-1", False)
     assert row.cold_left == timedelta(milliseconds=1500)
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize(
     ("name", "value"), [("slots", 0), ("address", "host:80"), ("state", "up"), ("zone", "")]
 )
-def test_an_odd_registration_is_an_error(name, value):
+def test_registration_with_an_invalid_field_is_an_error(name, value):
     text = json.dumps({**REGISTRATION, name: value}).encode()
     assert [mistake.path for mistake in load_registration(text, "i-1").error] == [name]
 
@@ -114,20 +114,20 @@
 _VALUES = _SCALARS | st.lists(_SCALARS, max_size=3) | st.dictionaries(st.text(), _SCALARS)
 
 
-def test_a_registration_says_when_its_life_began():
+def test_start_time_of_a_registration_is_read():
     row = load_registration(json.dumps(ROW).encode(), "i-1").ok
     assert (row.started_ms, row.cold_left) == (1_700_000_000_123, timedelta(milliseconds=20))
 
 
 @pytest.mark.parametrize("address", ["999.0.0.1:80", "10.0.0.1:0", "10.0.0.1:99999"])
-def test_an_address_that_nobody_can_have_is_a_mistake(address):
+def test_address_out_of_range_is_a_mistake(address):
     loaded = load_registration(json.dumps({**ROW, "address": address}).encode(), "i-1")
     assert [mistake.path for mistake in loaded.error] == ["address"]
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.dictionaries(st.sampled_from(sorted(ROW)), _VALUES, min_size=1, max_size=3))
-def test_an_odd_registration_is_read_rightly_or_not_at_all(changed):
+def test_changed_registration_is_valid_or_an_error(changed):
     loaded = load_registration(json.dumps({**ROW, **changed}).encode(), "i-1")
     if loaded.is_ok():
         row = loaded.ok
@@ -137,5 +137,5 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200))
-def test_bytes_that_are_no_registration_are_mistakes(value):
+def test_arbitrary_bytes_are_an_error(value):
     assert load_registration(value, "i-1").is_error()
--- a/packages/gateway/tests/test_following.py
+++ b/packages/gateway/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Following the store: a list, then changes, through outages and a lost history."""
+"""The follower lists the store and polls it for changes, through outages and lost histories."""
 
 from cardamomloft.core.registrations import UpstreamWithdrawn
 from cardamomloft.gateway.control import Changes
@@ -14,6 +14,8 @@
 
 
 class Run:
+    """A follower of a fake store, with what it has reported."""
+
     def __init__(self, control: kit.FakeControl) -> None:
         self.control = control
         self.time = kit.Time(Clock())
@@ -26,7 +28,7 @@
             Pace(INTERVAL, WAIT),
             self.listings.append,
             self.changes.append,
-            lambda *told: self.returned.append(told),
+            lambda *args: self.returned.append(args),
         )
         self.follower.start(self.faults.append)
 
@@ -37,7 +39,7 @@
     return control
 
 
-def test_it_lists_once_and_then_asks_for_changes_at_the_interval():
+def test_store_is_listed_once_and_then_polled_at_the_interval():
     run = Run(_listed())
     run.time.advance(5 * INTERVAL)
     assert run.control.calls[0] == "read"
@@ -46,7 +48,7 @@
     assert len(run.listings) == 1
 
 
-def test_changes_are_passed_on_and_the_index_moves():
+def test_changes_are_passed_on_and_advance_the_index():
     run = Run(_listed())
     fact = UpstreamWithdrawn("i-1")
     run.control.next = Ok(Changes((fact,), kit.at(14)))
@@ -55,7 +57,7 @@
     assert run.control.calls[-1] == "changes 14"
 
 
-def test_a_lost_history_leads_to_a_new_list_soon():
+def test_lost_history_leads_to_a_new_listing():
     run = Run(_listed())
     run.control.next = Ok(Changes((), kit.at(10), lost=True))
     run.time.advance(INTERVAL + 100 * MS)
@@ -65,13 +67,13 @@
     assert len(run.listings) == 2
 
 
-def test_failed_questions_are_repeated_within_half_a_second():
+def test_failed_calls_are_retried_within_half_a_second():
     run = Run(kit.FakeControl())
     run.time.advance(5000 * MS)
     assert 9 <= len(run.control.calls) <= 11
 
 
-def test_one_failure_is_no_outage():
+def test_single_failure_is_not_an_outage():
     run = Run(_listed())
     run.control.next = kit.AWAY
     run.time.advance(INTERVAL + 100 * MS)
@@ -81,7 +83,7 @@
     assert run.returned == []
 
 
-def test_the_return_after_an_outage_is_told_once():
+def test_end_of_an_outage_is_reported_once():
     run = Run(_listed())
     run.control.next = kit.AWAY
     run.time.advance(5 * INTERVAL)
@@ -91,24 +93,24 @@
     assert run.returned == [()]
 
 
-def test_the_store_may_wait_for_a_change_and_is_asked_again_at_once_when_there_was_none():
+def test_long_poll_without_changes_is_repeated_at_once():
     run = Run(_listed())
     run.control.pending = Deferred()
     run.time.advance(3000 * MS)
     assert run.control.calls == ["read", "changes 10"]
     assert run.control.waits == [WAIT]
-    answered, run.control.pending = run.control.pending, Deferred()
-    answered.callback(kit.no_changes())
+    poll, run.control.pending = run.control.pending, Deferred()
+    poll.callback(kit.no_changes())
     run.time.advance(10 * MS)
     assert run.control.calls == ["read", "changes 10", "changes 10"]
 
 
-def test_after_a_change_the_next_question_waits_for_the_interval():
+def test_poll_after_a_change_waits_for_the_interval():
     run = Run(_listed())
     run.control.pending = Deferred()
     run.time.advance(1500 * MS)
-    answered, run.control.pending = run.control.pending, Deferred()
-    answered.callback(Ok(Changes((UpstreamWithdrawn("i-1"),), kit.at(11))))
+    poll, run.control.pending = run.control.pending, Deferred()
+    poll.callback(Ok(Changes((UpstreamWithdrawn("i-1"),), kit.at(11))))
     assert run.changes == [(UpstreamWithdrawn("i-1"),)]
     run.time.advance(0.8 * INTERVAL)
     assert run.control.calls == ["read", "changes 10"]
@@ -116,21 +118,21 @@
     assert run.control.calls[2:] == ["changes 11"]
 
 
-def test_after_a_failure_the_store_is_not_to_wait():
+def test_first_poll_after_a_failure_does_not_wait():
     run = Run(_listed())
     run.time.advance(INTERVAL)
     run.control.next = kit.AWAY
     run.time.advance(3 * INTERVAL)
-    asked = len(run.control.waits)
+    waits_before = len(run.control.waits)
     run.control.next = kit.no_changes()
     run.time.advance(2 * INTERVAL)
-    assert run.control.waits[asked - 1] == run.control.waits[asked] == 0 * MS
+    assert run.control.waits[waits_before - 1] == run.control.waits[waits_before] == 0 * MS
     assert run.control.waits[-1] == WAIT
 
 
-def test_a_question_that_waits_is_asked_anew_when_another_call_has_failed():
+def test_pending_poll_is_replaced_when_another_call_has_failed():
     run = Run(_listed())
-    run.control.pending = Deferred(lambda asked: asked.callback(kit.AWAY))
+    run.control.pending = Deferred(lambda deferred: deferred.callback(kit.AWAY))
     run.time.advance(1500 * MS)
     run.control.pending = None
     run.follower.doubt()
@@ -139,32 +141,32 @@
     assert not run.follower.away and run.faults == []
 
 
-def test_a_doubt_changes_nothing_while_the_store_fails_anyway_or_nothing_is_asked():
+def test_extra_poll_is_ignored_during_an_outage():
     run = Run(_listed())
     run.control.next = kit.AWAY
     run.time.advance(3 * INTERVAL)
-    asked = len(run.control.calls)
+    calls_before = len(run.control.calls)
     run.follower.doubt()
-    assert len(run.control.calls) == asked and run.follower.away
+    assert len(run.control.calls) == calls_before and run.follower.away
 
 
-def test_an_end_is_final():
+def test_nothing_is_requested_after_a_stop():
     run = Run(_listed())
     run.follower.stop()
     assert run.time.reactor.getDelayedCalls() == []
-    asked = len(run.control.calls)
+    calls_before = len(run.control.calls)
     run.time.advance(5 * INTERVAL)
-    assert len(run.control.calls) == asked
+    assert len(run.control.calls) == calls_before
     assert run.faults == []
 
 
-def test_an_end_while_the_store_waits_is_final_too():
+def test_nothing_is_requested_after_a_stop_during_a_pending_poll():
     run = Run(_listed())
-    run.control.pending = Deferred(lambda asked: asked.callback(kit.AWAY))
+    run.control.pending = Deferred(lambda deferred: deferred.callback(kit.AWAY))
     run.time.advance(1500 * MS)
     run.follower.stop()
     assert run.time.reactor.getDelayedCalls() == []
-    asked = len(run.control.calls)
+    calls_before = len(run.control.calls)
     run.time.advance(5 * INTERVAL)
-    assert len(run.control.calls) == asked
+    assert len(run.control.calls) == calls_before
     assert run.faults == []
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The assembled gateway on fakes: when it serves, what it logs, how it stops."""
+"""The assembled gateway with a fake store and endpoints: readiness, logging and stopping."""
 
 from cardamomloft.core.model import Refusal
 from cardamomloft.core.registrations import EntryRecord, EntryRecorded, EntryWithdrawn, PlanRead
@@ -10,7 +10,7 @@
 from twisted.internet.defer import Deferred
 
 
-def test_it_serves_once_it_has_a_configuration_and_the_list():
+def test_gateway_is_ready_once_it_has_a_configuration_and_a_listing():
     control = kit.FakeControl()
     run = Run(control)
     assert not run.gateway.ready()
@@ -21,19 +21,19 @@
     assert run.ask().status == 200
 
 
-def test_a_request_without_a_rule_is_not_found_only_once_rules_are_known():
+def test_request_without_a_rule_is_404_only_once_rules_are_known():
     control = kit.FakeControl()
     run = Run(control)
     assert run.ask(host="unknown.example").status == 503
     assert Run().ask(host="unknown.example").status == 404
 
 
-def test_it_is_recorded_when_ready_and_not_before():
+def test_entry_is_recorded_only_once_it_is_ready():
     assert "record e-1" in Run().control.calls
     assert "record e-1" not in Run(kit.FakeControl()).control.calls
 
 
-def test_a_newer_configuration_is_in_force_and_an_older_one_never():
+def test_older_configuration_never_replaces_a_newer_one():
     run = Run()
     run.change(PlanRead(kit.plan(5, rules=[kit.RULE])))
     assert run.ask("/orders/1").status == 404
@@ -43,7 +43,7 @@
     assert run.ask("/orders/1").status == 200
 
 
-def test_look_ups_name_the_recorded_entries_of_the_region():
+def test_look_up_returns_the_recorded_entries_of_the_region():
     run = Run()
     for number, zone, region in ((2, "a", "east"), (3, "b", "west")):
         run.change(EntryRecorded(EntryRecord(f"e-{number}", f"10.0.0.{number}:80", zone, region)))
@@ -53,11 +53,11 @@
     assert run.lookup().addresses == ["127.0.0.1:7101"]
 
 
-def test_without_a_configuration_look_ups_are_refused():
+def test_look_up_is_refused_without_a_configuration():
     assert isinstance(Run(kit.FakeControl()).lookup(), Refusal)
 
 
-def test_a_planned_stop_leaves_the_look_ups_at_once_and_serves_on():
+def test_stopping_gateway_leaves_look_ups_at_once_and_keeps_serving():
     run = Run()
     run.change(EntryRecorded(EntryRecord("e-2", "10.0.0.2:80", "a", "east")))
     run.gateway.stop()
@@ -69,7 +69,7 @@
     assert not run.gateway.stopped.called
 
 
-def test_a_planned_stop_waits_for_requests_in_flight_and_ends_in_time():
+def test_stopping_gateway_waits_for_requests_in_flight():
     run = Run()
     run.gateway.app.in_flight = 1
     run.gateway.stop()
@@ -82,7 +82,7 @@
     assert run.gateway.stopped.called
 
 
-def test_a_planned_stop_ends_before_it_would_be_killed():
+def test_stop_ends_within_the_stop_time_despite_requests_in_flight():
     run = Run()
     run.gateway.app.in_flight = 1
     run.gateway.stop()
@@ -90,16 +90,16 @@
     assert run.gateway.stopped.called
 
 
-def test_a_process_that_has_stopped_asks_nothing_more():
+def test_stopped_gateway_makes_no_store_calls():
     run = Run()
     run.gateway.stop()
     run.time.advance(6000 * MS)
-    asked = len(run.control.calls)
+    calls_before = len(run.control.calls)
     run.time.advance(3000 * MS)
-    assert len(run.control.calls) == asked
+    assert len(run.control.calls) == calls_before
 
 
-def test_the_operators_pages_show_the_state():
+def test_status_page_and_metrics_show_the_state():
     run = Run()
     status = GatewayStatus(run.gateway)
     run.ask()
@@ -110,13 +110,13 @@
     assert "cardamomloft_requests_total 1" in status.metrics_text()
 
 
-def test_a_request_is_explained():
+def test_explain_names_the_rule_or_the_refusal():
     status = GatewayStatus(Run().gateway)
     assert status.explain({"host": "a.example", "path": "/menus/7"})["rule"] == "menus"
     assert status.explain({"host": "x.example"})["refused"] == "no-such-service"
 
 
-def test_each_refused_request_has_a_log_line_with_its_id_and_the_configuration(monkeypatch):
+def test_refused_request_is_logged_with_its_id_and_the_configuration(monkeypatch):
     lines = []
     monkeypatch.setattr(records, "log", lambda event, **fields: lines.append((event, fields)))
     run = Run()
@@ -130,7 +130,7 @@
     assert stopping["reason"] == "entry-is-stopping"
 
 
-def test_log_lines_of_requests_are_bounded_and_counted(monkeypatch):
+def test_request_log_is_rate_limited_and_skipped_lines_are_counted(monkeypatch):
     lines = []
     monkeypatch.setattr(records, "log", lambda event, **fields: lines.append((event, fields)))
     run = Run()
@@ -142,16 +142,15 @@
     assert ("requests-not-logged", {"count": 40}) in lines
 
 
-def test_a_stop_while_the_store_is_away_asks_nothing_more():
-    """Gateways logged a fault as they ended: the question that the stop cut short went on.
+def test_stop_during_an_outage_of_the_store_continues_no_request():
+    """Guards against a fault when a stop cancels a pending request for changes.
 
-    The store did not answer, so a relay was to be asked, in the middle of the last step of the
-    stop, where the state of the life cycle can't be read.
+    With the store unavailable, the cancelled request was continued at a relay during the stop.
     """
     run = Run()
     run.control.next = kit.AWAY
     run.time.advance(3000 * MS)
-    run.control.pending = Deferred(lambda asked: asked.callback(kit.AWAY))
+    run.control.pending = Deferred(lambda deferred: deferred.callback(kit.AWAY))
     run.time.advance(600 * MS)
     run.gateway.stop()
     run.time.advance(6000 * MS)
--- a/packages/gateway/tests/test_gateway_forwarding.py
+++ b/packages/gateway/tests/test_gateway_forwarding.py
@@ -1,4 +1,4 @@
-"""From a call to its answer: what is repeated, what is called not run, and what is not."""
+"""Forwarding a call: retries, answers that it was not run, and load reports."""
 
 import pytest
 from cardamomloft_standins import gateway as kit
@@ -14,7 +14,7 @@
 )
 
 
-def test_an_answer_is_passed_on_unchanged():
+def test_answer_is_passed_on_without_connection_headers():
     bench = Bench(kit.answer(207, b"whole", x_stamp="s-1", connection="close"))
     answer = bench.answer()
     assert (answer.status, answer.body) == (207, b"whole")
@@ -22,7 +22,7 @@
     assert header(answer, "connection") is None
 
 
-def test_the_endpoint_gets_the_request_as_it_was_and_the_time_left():
+def test_request_is_sent_unchanged_with_the_time_left():
     bench = Bench(kit.answer())
     bench.answer("/orders/1", b"two boxes")
     (sent,) = bench.client.sent
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("path", ["/menus/7", "/orders/1"])
 @pytest.mark.parametrize("first", [SHED, MISDIRECTED, NOT_CONNECTED])
-def test_what_was_not_run_goes_to_another_endpoint(path, first):
+def test_request_that_was_not_run_is_sent_to_another_endpoint(path, first):
     bench = Bench(first, kit.answer())
     assert bench.answer(path, b"two boxes").status == 200
     first_sent, second_sent = bench.client.sent
@@ -43,14 +43,14 @@
 
 
 @pytest.mark.parametrize("first", [RESET, CUT_SHORT])
-def test_an_idempotent_request_is_repeated_after_a_failure(first):
+def test_idempotent_request_is_retried_after_a_failure(first):
     bench = Bench(first, kit.answer())
     assert bench.answer().status == 200
     assert len(bench.client.sent) == 2
 
 
 @pytest.mark.parametrize("first", [RESET, CUT_SHORT])
-def test_a_request_that_may_have_run_is_never_sent_again_nor_called_not_run(first):
+def test_request_that_may_have_run_is_neither_retried_nor_reported_as_not_run(first):
     bench = Bench(first, kit.answer())
     answer = bench.answer("/orders/1")
     assert answer.status == 502
@@ -58,58 +58,58 @@
     assert len(bench.client.sent) == 1
 
 
-def test_a_failure_after_a_refusal_is_not_called_not_run():
+def test_failure_after_a_refusal_is_not_reported_as_not_run():
     bench = Bench(SHED, RESET)
     assert bench.answer("/orders/1").status == 502
 
 
-def test_a_refusal_after_a_failure_is_not_called_not_run():
+def test_refusal_after_a_failure_is_not_reported_as_not_run():
     bench = Bench(RESET, SHED)
     assert bench.answer().status == 502
 
 
-def test_no_more_endpoints_get_it_than_the_rule_allows():
+def test_attempts_are_limited_by_the_rule():
     bench = Bench(SHED)
     answer = bench.answer()
     assert answer.status == 503
     assert len(bench.client.sent) == kit.RULE.attempts
 
 
-def test_connections_that_failed_do_not_count_as_attempts_but_are_bounded():
+def test_failed_connections_are_not_attempts_but_are_limited():
     bench = Bench(NOT_CONNECTED, endpoints=8)
     assert bench.answer().status == 503
     assert len(bench.client.sent) <= 4
 
 
-def test_without_budget_nothing_is_repeated_after_an_arrival():
+def test_refused_request_is_not_retried_without_budget():
     bench = Bench(SHED, kit.answer(), slack=0)
     assert bench.answer().status == 503
     assert len(bench.client.sent) == 1
 
 
-def test_a_failed_connection_needs_no_budget():
+def test_failed_connection_is_retried_without_budget():
     bench = Bench(NOT_CONNECTED, kit.answer(), slack=0)
     assert bench.answer().status == 200
 
 
-def test_refused_callers_are_told_when_to_come_back_in_fractions():
+def test_retry_after_of_a_refusal_is_below_a_second():
     waits = {float(header(Bench(SHED).answer(), "retry-after")) for _ in range(3)}
     assert all(0.1 < wait < 1 for wait in waits)
 
 
 @pytest.mark.parametrize(("load", "keeps"), [("1,0,4", True), ("4,3,4", False), ("3,1,4", False)])
-def test_a_refusing_endpoint_keeps_its_keys_if_it_reports_a_free_slot(load, keeps):
+def test_refusing_endpoint_keeps_its_keys_only_if_it_reports_a_free_slot(load, is_kept):
     shed = kit.answer(503, b"", not_run=True, x_load=load)
     bench = Bench(shed, kit.answer())
     bench.answer()
     first, _ = bench.client.sent
     bench.answer()
-    assert (bench.client.sent[2].endpoint == first.endpoint) == keeps
+    assert (bench.client.sent[2].endpoint == first.endpoint) == is_kept
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
-def test_a_refusal_without_its_mark_is_not_passed_on_as_not_run(status):
-    """Callers would repeat an order that may have run."""
+def test_refusal_without_the_not_run_header_is_not_passed_on(status):
+    """Guards against callers that retry an order which may have run."""
     bench = Bench(kit.answer(status, b"busy", x_stamp="s-1"))
     answer = bench.answer("/orders/1")
     assert answer.status == 502
@@ -117,12 +117,12 @@
     assert len(bench.client.sent) == 1
 
 
-def test_an_idempotent_request_refused_without_a_mark_goes_to_another():
+def test_idempotent_request_refused_without_the_header_is_retried():
     bench = Bench(kit.answer(503, b"busy"), kit.answer())
     assert bench.answer().status == 200
 
 
-def test_a_body_that_does_not_come_in_time_is_refused_as_not_run():
+def test_incomplete_body_is_refused_at_the_deadline():
     bench = Bench(kit.answer())
     results = []
     bench.start("/orders/1", b"two boxes", whole=False).addBoth(results.append)
@@ -133,27 +133,27 @@
     assert bench.client.sent == []
 
 
-def test_a_failed_endpoints_own_status_is_passed_on():
+def test_server_error_of_an_endpoint_is_passed_on():
     bench = Bench(kit.answer(500, b"broken"))
     answer = bench.answer("/orders/1")
     assert (answer.status, answer.body) == (500, b"broken")
     assert len(bench.client.sent) == 1
 
 
-def test_an_idempotent_request_that_an_endpoint_failed_goes_to_another():
+def test_idempotent_request_is_retried_after_a_server_error():
     bench = Bench(kit.answer(500, b"broken"), kit.answer())
     assert bench.answer().status == 200
     assert len(bench.client.sent) == 2
 
 
 @pytest.mark.parametrize("second", [SHED, RESET, NOT_CONNECTED])
-def test_the_status_of_a_failed_endpoint_stands_if_nothing_better_comes(second):
+def test_server_error_is_passed_on_if_the_retry_fails(second):
     bench = Bench(kit.answer(500, b"broken"), second)
     answer = bench.answer()
     assert (answer.status, answer.body) == (500, b"broken")
 
 
-def test_an_endpoint_that_fails_again_and_again_rests():
+def test_endpoint_is_ejected_after_repeated_failures():
     bench = Bench(kit.answer(500, b"broken"), endpoints=1)
     for _ in range(2):
         bench.answer("/orders/1")
@@ -161,7 +161,7 @@
     assert upstream.rest_until > bench.time.clock.monotonic()
 
 
-def test_when_the_caller_leaves_its_work_is_given_up():
+def test_request_is_cancelled_when_the_caller_disconnects():
     bench = Bench(None)
     done = bench.start()
     bench.gone.callback(None)
@@ -175,26 +175,26 @@
     assert not any(up.failures for up in bench.book.of_service("menus"))
 
 
-def test_log_lines_of_a_request_say_where_it_went_and_by_what_knowledge():
+def test_request_log_shows_each_attempt_with_the_known_load():
     bench = Bench(SHED, RESET)
     lines = []
     bench.forwarder.records.write = lambda call, outcome, now, **fields: lines.append(fields)
     bench.answer("/orders/1")
-    first, second = [note.fields() for note in lines[-1]["sends"]]
+    first, second = [attempt.fields() for attempt in lines[-1]["sends"]]
     assert (first["outcome"], first["detail"]) == ("refused", "status 503")
     assert (second["outcome"], second["detail"]) == ("failed", "reset")
     assert first["load"] == "0.0/4"
     assert first["report_age_ms"] is None
 
 
-def test_a_misdirected_endpoint_gets_nothing_more():
+def test_misdirected_endpoint_gets_no_further_requests():
     bench = Bench(MISDIRECTED, kit.answer())
     bench.answer()
     refused = bench.client.sent[0].endpoint.name
     assert refused not in [up.id for up in bench.book.of_service("menus")]
 
 
-def test_a_load_report_is_kept_without_the_request_that_brought_it():
+def test_load_report_does_not_count_the_request_that_carried_it():
     bench = Bench(kit.answer(x_load="3,2,4"))
     bench.answer()
     name = bench.client.sent[0].endpoint.name
@@ -203,13 +203,13 @@
 
 
 @pytest.mark.parametrize("text", ["3,2", "a,b,c", "", "3,2,4,5"])
-def test_an_odd_load_report_is_ignored(text):
+def test_malformed_load_report_is_ignored(text):
     bench = Bench(kit.answer(x_load=text))
     assert bench.answer().status == 200
     assert bench.book.get(bench.client.sent[0].endpoint.name).report is None
 
 
-def test_without_endpoints_it_is_refused_as_not_run():
+def test_request_is_refused_without_endpoints():
     bench = Bench(kit.answer(), endpoints=0)
     assert bench.answer().status == 503
     assert bench.client.sent == []
--- a/packages/gateway/tests/test_gateway_settings.py
+++ b/packages/gateway/tests/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway: checked, read again, and put in force."""
+"""Settings of a gateway are validated, read again when the file changes, and applied."""
 
 import json
 
@@ -20,21 +20,21 @@
         ("unheard_of", 1),
     ],
 )
-def test_wrong_settings_are_named(path, value):
+def test_invalid_setting_is_reported_with_its_path(path, value):
     outcome = load_settings(json.dumps({**SETTINGS, path: value}))
     assert any(str(mistake).startswith(path) for mistake in outcome.error)
 
 
 @pytest.mark.parametrize("text", ["", "{", '{"name": "e-1"', "[]"])
-def test_a_settings_file_half_written_is_an_error(text):
+def test_incomplete_settings_file_is_an_error(text):
     assert load_settings(text).is_error()
 
 
-def test_settings():
+def test_valid_settings_are_loaded():
     assert load_settings(json.dumps(SETTINGS)).ok == SETTINGS
 
 
-def test_changed_settings_are_in_force_and_fixed_ones_wait_for_a_new_start():
+def test_changed_settings_apply_at_once_except_those_that_need_a_restart():
     run = Run()
     run.ask()
     retries = {"ratio": 0.0, "slack": 0.0, "window": "10s"}
@@ -47,14 +47,14 @@
     assert run.ask().status == 503
 
 
-def test_a_zone_that_changes_its_region_is_placed_anew():
+def test_endpoints_follow_their_zone_to_another_region():
     run = Run()
     run.gateway.reconfigure({**SETTINGS, "zones": {"a": "west", "b": "west"}})
     (upstream,) = run.gateway.book.of_service("menus")
     assert upstream.region == "west"
 
 
-def test_a_settings_file_is_read_again_when_it_changes(tmp_path):
+def test_settings_file_is_read_again_when_it_changes(tmp_path):
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(SETTINGS))
     settings = SettingsFile(path)
@@ -70,7 +70,7 @@
     assert settings.read() is None
 
 
-def test_a_start_waits_for_settings_that_are_being_written(tmp_path):
+def test_start_waits_for_an_incomplete_settings_file(tmp_path):
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(SETTINGS)[:40])
     slept = []
@@ -84,7 +84,7 @@
     assert len(slept) == 3
 
 
-def test_a_start_gives_up_settings_that_stay_wrong(tmp_path):
+def test_start_gives_up_if_the_settings_stay_invalid(tmp_path):
     slept = []
     assert SettingsFile(tmp_path / "none.json").wait(2, slept.append) is None
     assert sum(slept) == pytest.approx(2)
--- a/packages/gateway/tests/test_gateway_store.py
+++ b/packages/gateway/tests/test_gateway_store.py
@@ -1,4 +1,4 @@
-"""What the assembled gateway makes of the store: registrations, drains, outages."""
+"""The assembled gateway applies changes from the store: registrations, drains, outages."""
 
 import pytest
 from cardamomloft.core.registrations import (
@@ -18,38 +18,38 @@
 UNREADABLE = UpstreamUnreadable("i-1", "no slots")
 
 
-def listed(run, *facts):
+def relist(run, *facts):
     run.control.next = Ok(Changes((), kit.at(10), lost=True))
     run.control.listing = Ok(kit.listing()._replace(facts=facts))
     run.time.advance(2000 * MS)
     run.control.next = kit.no_changes()
 
 
-def test_an_unreadable_item_leaves_the_last_good_state():
+def test_unreadable_item_keeps_the_last_valid_state():
     run = Run()
     run.change(Unreadable("config", "no rules"), Unreadable("upstreams/i-1", "no slots"))
     assert run.ask().status == 200
 
 
-def test_a_list_with_an_unreadable_registration_names_no_endpoint_there_and_keeps_the_others():
+def test_listing_with_an_unreadable_registration_keeps_the_other_endpoints():
     run = Run()
     run.change(UpstreamRegistered(kit.registration(2)), UpstreamRegistered(kit.registration(3)))
-    listed(run, UNREADABLE, UpstreamRegistered(kit.registration(2)))
+    relist(run, UNREADABLE, UpstreamRegistered(kit.registration(2)))
     assert run.ask().status == 200
     assert {request.endpoint.name for request in run.client.sent} == {"i-2"}
 
 
-def test_an_unreadable_registration_is_not_used_until_it_is_readable_again():
+def test_endpoint_is_not_used_while_its_registration_is_unreadable():
     run = Run()
     run.change(UNREADABLE)
     assert run.ask().status == 503 and run.client.sent == []
     run.change(UpstreamRegistered(kit.registration(1)), index=12)
     assert run.ask().status == 200
-    listed(run, UNREADABLE)
+    relist(run, UNREADABLE)
     assert run.ask().status == 503
 
 
-def test_what_is_unreadable_is_logged_once_and_again_when_it_was_mended(monkeypatch):
+def test_unreadable_item_is_logged_once_until_it_has_been_readable_again(monkeypatch):
     lines = []
     monkeypatch.setattr(
         "cardamomloft.gateway.storeview.log", lambda name, **row: lines.append(name)
@@ -63,7 +63,7 @@
     assert lines.count("unreadable") == 3
 
 
-def test_a_new_life_under_an_old_id_gets_no_kept_connection_of_the_one_before():
+def test_new_incarnation_does_not_reuse_connections_of_the_previous_one():
     run = Run()
     run.change(UpstreamRegistered(kit.registration(1, started_ms=5)))
     run.change(UpstreamRegistered(kit.registration(1, started_ms=5, draining=True)), index=12)
@@ -83,7 +83,7 @@
         ZoneDrained("a"),
     ],
 )
-def test_what_leaves_gets_nothing_more(fact):
+def test_withdrawn_or_draining_endpoint_gets_no_requests(fact):
     run = Run()
     run.change(fact)
     assert run.ask().status == 503
@@ -91,7 +91,7 @@
 
 
 def _outage(run, *facts):
-    """Play an outage of the store of 4 s, after which `facts` are what has changed."""
+    """Simulate a 4 s outage of the store, after which it reports `facts` as changes."""
     run.control.next = kit.AWAY
     run.time.advance(4000 * MS)
     run.control.next = Ok(Changes(facts, kit.at(20)))
@@ -104,7 +104,7 @@
     return Run(kit.FakeControl(Ok(kit.listing(*rows))))
 
 
-def test_registrations_that_lapsed_in_an_outage_for_all_serve_until_they_are_back():
+def test_endpoints_whose_registrations_expired_in_an_outage_keep_serving():
     run = _run_with(4)
     _outage(run, *(UpstreamWithdrawn(f"i-{number}") for number in (1, 2, 3, 4)))
     assert run.ask().status == 200
@@ -113,8 +113,8 @@
     assert [up.id for up in run.gateway.book.all()] == ["i-2"]
 
 
-def test_lapses_are_no_sign_that_the_store_was_there():
-    """Registrations come by the dozen at a start, later nothing changes, then all of them lapse."""
+def test_expiration_of_all_registrations_in_an_outage_removes_no_endpoint():
+    """Guards against taking revisions of expirations for a sign that the store was available."""
     run = _run_with(40)
     run.control.next = kit.no_changes(80)
     run.time.advance(10_000 * MS)
@@ -127,13 +127,13 @@
     assert run.ask().status == 200
 
 
-def test_what_left_while_this_entry_was_cut_off_alone_gets_nothing_more():
+def test_endpoints_withdrawn_while_only_this_gateway_was_disconnected_are_removed():
     run = _run_with(4)
     _outage(run, UpstreamWithdrawn("i-1"), UpstreamWithdrawn("i-3"))
     assert [up.id for up in run.gateway.book.all()] == ["i-2", "i-4"]
 
 
-def test_registrations_that_lapsed_and_came_back_meanwhile_are_not_awaited():
+def test_expired_registration_is_not_retained_if_others_were_renewed_meanwhile():
     run = _run_with(4)
     gone = [UpstreamWithdrawn(f"i-{number}") for number in (1, 2, 3, 4)]
     back = [UpstreamRegistered(kit.registration(number)) for number in (1, 2, 3)]
@@ -141,7 +141,7 @@
     assert [up.id for up in run.gateway.book.all()] == ["i-1", "i-2", "i-3"]
 
 
-def test_a_restored_zone_is_used_again_as_cold():
+def test_endpoints_of_a_restored_zone_are_cold():
     run = Run()
     run.change(ZoneDrained("a"))
     run.change(ZoneRestored("a"))
@@ -150,7 +150,7 @@
     assert run.ask().status == 200
 
 
-def test_a_zone_drained_no_longer_in_a_new_list_is_restored():
+def test_zone_without_a_drain_in_a_new_listing_is_restored():
     run = Run()
     run.change(ZoneDrained("a"))
     run.control.next = Ok(Changes((), kit.at(11), lost=True))
@@ -158,8 +158,8 @@
     assert run.ask().status == 200
 
 
-class DeafControl(kit.FakeControl):
-    """Its questions hear of nothing while the store forgets its history, and then tell of that."""
+class HangingControl(kit.FakeControl):
+    """Its calls for changes receive none, and report a lost history when their wait is over."""
 
     def __init__(self, first) -> None:
         super().__init__(first)
@@ -167,23 +167,19 @@
 
     def changes(self, after, wait):
         self.calls.append(f"changes {after}")
-        told = Deferred()
+        deferred = Deferred()
         lost = Ok(Changes((), after, lost=True))
-        self.reactor.callLater(wait.total_seconds(), told.callback, lost)
-        return told
+        self.reactor.callLater(wait.total_seconds(), deferred.callback, lost)
+        return deferred
 
 
-def test_a_change_is_in_force_soon_though_the_question_for_it_hears_nothing():
-    """What users saw: 404 for a route whose configuration was confirmed 5.5 s before.
+def test_change_is_in_force_in_time_while_a_call_for_changes_hangs():
+    """Guards against 404 answers for new rules while a call for changes hangs.
 
-    The store forgot its history while an entry was about to ask for changes. The question heard
-    neither of the new configuration nor of the loss until the next change, 5 s later; only then was
-    it told that the history is gone, and the entry listed everything again. Evidence: the entry's
-    log of such a day has changes taken at second 6.9 and `store-history-lost` at 13.3, and between
-    them no failure of the store and no lapsed lease. That the question stayed open is concluded
-    from that; a play with each answer logged did not hit it again.
+    If the store loses its history just before the call, it reports neither the change nor the loss
+    until the call's wait is over.
     """
-    control = DeafControl(Ok(kit.listing(kit.registration(1))))
+    control = HangingControl(Ok(kit.listing(kit.registration(1))))
     run = Run(control, start=False)
     control.reactor = run.time.reactor
     run.start()
--- a/packages/gateway/tests/test_gossip.py
+++ b/packages/gateway/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Notices reach every gateway in time: few and hundreds, whoever is cut off or lost meanwhile."""
+"""Notices reach all gateways in time despite lost messages, disconnections and late starts."""
 
 import random
 from datetime import timedelta
@@ -23,22 +23,22 @@
 
 MS = kit.MS
 
-LINK = 35 * MS
-"""How long a message takes, as between regions."""
+MESSAGE_DELAY = 35 * MS
+"""Delay of a message, as between regions."""
 
-IN_TIME = 3000 * MS
-"""How soon every gateway is to know a notice."""
+DELIVERY_TIME = 3000 * MS
+"""Time within which a notice must reach every gateway."""
 
 CRASH = CrashUnderRequest("f", "i-1", 0, 1)
 
 
 class Member:
-    """One gateway's gossip."""
+    """The gossip of one gateway, with what it has received."""
 
     def __init__(self, run: "Fleet", name: str) -> None:
         self.run, self.me = run, Incarnation(name, "1")
-        self.heard = []
-        self.known = True
+        self.received = []
+        self.listed = True
         self.sent = 0
         self.metrics = Metrics()
         self.gossip = Gossip(
@@ -47,7 +47,7 @@
             random.Random(f"{run.seed} {name}"),
             self._others,
             self._send,
-            self.heard.append,
+            self.received.append,
             self.metrics,
             name,
         )
@@ -59,30 +59,30 @@
         timer.start(COMPARE_INTERVAL.total_seconds(), now=False)
 
     def knows(self, notice) -> bool:
-        return notice in {dated.notice for dated in self.heard}
+        return notice in {dated.notice for dated in self.received}
 
     def _others(self):
         return {
             other.me.seat: other.me.seat
             for other in self.run.members
-            if other is not self and other.known
+            if other is not self and other.listed
         }
 
     def _send(self, address, message):
         self.sent += 1
-        self.run.bring(self, address, message)
+        self.run.deliver(self, address, message)
         return True
 
 
 class Fleet:
-    """Gateways and the network between them, on one clock."""
+    """Gateways and a simulated network between them, on one clock."""
 
     def __init__(self, count: int, seed: int = 1) -> None:
         self.time = kit.Time(Clock())
         self.seed = seed
         self.rng = random.Random(seed)
         self.loss = 0.0
-        self.cut: set[str] = set()
+        self.disconnected: set[str] = set()
         self.members: list[Member] = []
         for number in range(count):
             self.add(f"e-{number}")
@@ -92,86 +92,86 @@
         self.members.append(member)
         return member
 
-    def bring(self, sender: Member, address: str, message) -> None:
+    def deliver(self, sender: Member, address: str, message) -> None:
         receiver = next(member for member in self.members if member.me.seat == address)
-        if self.rng.random() < self.loss or {sender.me.seat, address} & self.cut:
+        if self.rng.random() < self.loss or {sender.me.seat, address} & self.disconnected:
             return
-        delay = LINK.total_seconds()
+        delay = MESSAGE_DELAY.total_seconds()
         self.time.reactor.callLater(delay, receiver.gossip.take, sender.me, message)
 
     def run(self, duration: timedelta) -> None:
         self.time.advance(duration, 10 * MS)
 
-    def ignorant(self, notice) -> list[str]:
+    def members_without(self, notice) -> list[str]:
         return [member.me.seat for member in self.members if not member.knows(notice)]
 
 
 @pytest.mark.parametrize("count", [2, 3, 10, 63, 195])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_notice_reaches_everybody_in_time(count, seed):
+def test_notice_reaches_all_gateways_in_time(count, seed):
     fleet = Fleet(count, seed)
     fleet.run(CATCH_UP_TIME)
     fleet.members[0].gossip.tell([CRASH])
-    fleet.run(IN_TIME)
-    assert fleet.ignorant(CRASH) == []
+    fleet.run(DELIVERY_TIME)
+    assert fleet.members_without(CRASH) == []
 
 
 @pytest.mark.parametrize("count", [10, 195])
-def test_it_reaches_everybody_in_time_though_messages_are_lost(count):
+def test_notice_reaches_all_gateways_in_time_despite_lost_messages(count):
     fleet = Fleet(count)
     fleet.loss = 0.2
     fleet.members[0].gossip.tell([CRASH])
-    fleet.run(IN_TIME)
-    assert fleet.ignorant(CRASH) == []
+    fleet.run(DELIVERY_TIME)
+    assert fleet.members_without(CRASH) == []
 
 
-def test_it_reaches_the_others_in_time_though_a_third_is_cut_off_and_then_those_too():
+def test_notice_reaches_disconnected_gateways_once_they_are_reconnected():
     fleet = Fleet(60)
-    fleet.cut = {f"e-{number}" for number in range(20, 40)}
+    fleet.disconnected = {f"e-{number}" for number in range(20, 40)}
     fleet.members[0].gossip.tell([CRASH])
-    fleet.run(IN_TIME)
-    assert set(fleet.ignorant(CRASH)) == fleet.cut
-    fleet.cut = set()
-    fleet.run(IN_TIME)
-    assert fleet.ignorant(CRASH) == []
+    fleet.run(DELIVERY_TIME)
+    assert set(fleet.members_without(CRASH)) == fleet.disconnected
+    fleet.disconnected = set()
+    fleet.run(DELIVERY_TIME)
+    assert fleet.members_without(CRASH) == []
 
 
-def test_a_gateway_that_starts_later_hears_it_once_others_know_of_it():
+def test_gateway_that_starts_later_receives_earlier_notices():
     fleet = Fleet(10)
     fleet.members[0].gossip.tell([CRASH])
     fleet.run(CATCH_UP_TIME)
     late = fleet.add("late")
-    late.known = False
+    late.listed = False
     fleet.run(2000 * MS)
-    late.known = True
-    fleet.run(IN_TIME)
+    late.listed = True
+    fleet.run(DELIVERY_TIME)
     assert late.knows(CRASH)
 
 
-def test_a_gateway_that_starts_by_an_older_copy_takes_the_newest_configuration_that_others_have():
+def test_starting_gateway_takes_the_newest_configuration_of_its_peers():
     fleet = Fleet(10)
     for number, member in enumerate(fleet.members):
         member.plans = [kit.plan(7 if number % 2 else 6)]
     fleet.run(2 * CATCH_UP_TIME)
     late = fleet.add("late")
-    late.known, late.plans = False, [kit.plan(5)]
+    late.listed, late.plans = False, [kit.plan(5)]
     late.gossip.catch_up()
-    fleet.run(3 * LINK)
+    fleet.run(3 * MESSAGE_DELAY)
     assert late.plans[-1].number > 5
-    fleet.run(IN_TIME)
+    fleet.run(DELIVERY_TIME)
     assert max(plan.number for plan in late.plans) == 7
 
 
-def test_only_a_gateway_that_has_just_started_is_told_of_configurations():
+def test_configurations_are_sent_to_starting_gateways_only():
     fleet = Fleet(10)
     fleet.run(CATCH_UP_TIME)
     fleet.members[0].plans = [kit.plan(7)]
     fleet.members[1].gossip.tell([CRASH])
-    fleet.run(IN_TIME)
+    fleet.run(DELIVERY_TIME)
     assert [member.plans for member in fleet.members[1:]] == [[]] * 9
 
 
-def test_without_notices_nothing_is_sent_after_the_start():
+def test_no_messages_are_sent_without_notices():
     fleet = Fleet(10)
     fleet.run(CATCH_UP_TIME)
     before = [member.sent for member in fleet.members]
@@ -179,7 +179,7 @@
     assert [member.sent for member in fleet.members] == before
 
 
-def test_what_is_noticed_at_once_goes_in_one_message_and_costs_little():
+def test_simultaneous_notices_are_sent_in_one_message():
     fleet = Fleet(195)
     fleet.run(CATCH_UP_TIME)
     before = sum(member.sent for member in fleet.members)
@@ -190,17 +190,17 @@
     assert sent <= len(fleet.members) * (FANOUT + 1)
 
 
-def test_an_excuse_overtakes_what_it_excuses():
+def test_excuse_prevails_over_the_crash_notice():
     fleet = Fleet(10)
     fleet.members[0].gossip.tell([CRASH])
     fleet.members[1].gossip.tell([CRASH._replace(excused=True)])
-    fleet.run(IN_TIME)
+    fleet.run(DELIVERY_TIME)
     for member in fleet.members:
-        assert member.heard[-1].notice.excused
-        assert len(member.heard) <= 2
+        assert member.received[-1].notice.excused
+        assert len(member.received) <= 2
 
 
-def test_messages_that_cannot_be_read_or_are_of_another_kind_change_nothing():
+def test_unreadable_and_unexpected_messages_are_ignored():
     fleet = Fleet(2)
     member, stranger = fleet.members[0], Incarnation("stranger", "1")
     for message in (
@@ -212,7 +212,7 @@
         ChangesQuestion(1, 0, 1, 1),
     ):
         member.gossip.take(stranger, message)
-    assert member.heard == []
+    assert member.received == []
     assert member.metrics.counters["notices_unreadable"] == 3
     assert member.metrics.counters["peer_messages_of_another_kind"] == 1
 
@@ -221,7 +221,7 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["tell", "excuse", "leave", "cut", "heal", "loss", "join"]),
+            st.sampled_from(["crash", "excuse", "leave", "cut", "heal", "loss", "join"]),
             st.integers(0, 11),
             st.integers(0, 30),
         ),
@@ -229,27 +229,27 @@
     ),
     st.integers(0, 99),
 )
-def test_under_any_series_of_faults_all_hold_the_same_in_the_end(steps, seed):
+def test_gateways_converge_after_any_sequence_of_faults(steps, seed):
     fleet = Fleet(12, seed)
     for kind, at, pause in steps:
         member = fleet.members[at]
         match kind:
-            case "tell":
+            case "crash":
                 member.gossip.tell([CRASH._replace(upstream=f"i-{at}")])
             case "excuse":
                 member.gossip.tell([CRASH._replace(upstream=f"i-{at}", excused=True)])
             case "leave":
                 member.gossip.tell([UpstreamLeaving(f"i-{at}", 0)])
             case "cut":
-                fleet.cut.add(member.me.seat)
+                fleet.disconnected.add(member.me.seat)
             case "heal":
-                fleet.cut, fleet.loss = set(), 0.0
+                fleet.disconnected, fleet.loss = set(), 0.0
             case "loss":
                 fleet.loss = 0.3
             case "join":
                 fleet.add(f"late-{len(fleet.members)}")
         fleet.run(pause * 50 * MS)
-    fleet.cut, fleet.loss = set(), 0.0
-    fleet.run(2 * IN_TIME)
+    fleet.disconnected, fleet.loss = set(), 0.0
+    fleet.run(2 * DELIVERY_TIME)
     now = fleet.time.clock.monotonic()
     assert len({member.gossip._board.sums(now) for member in fleet.members}) == 1
--- a/packages/gateway/tests/test_heeding.py
+++ b/packages/gateway/tests/test_heeding.py
@@ -1,4 +1,4 @@
-"""Requests that endpoints crash under, and what endpoints tell of themselves in answers."""
+"""Quarantine of requests that crash endpoints; leaving and Retry-After in answers."""
 
 from collections import deque
 
@@ -18,7 +18,7 @@
 )
 
 
-def test_a_request_is_sent_to_no_more_endpoints_after_three_have_crashed_under_it():
+def test_request_is_refused_after_it_crashed_three_endpoints():
     bench = Bench(CRASH, endpoints=8)
     for sent in (2, 3):
         assert bench.answer().status == 502
@@ -27,13 +27,13 @@
     answer = bench.answer()
     assert answer.status == 503
     assert header(answer, "cardamomloft-reason") == "upstreams-crash-under-it"
-    left = REQUEST_LIFE - 2 * RESTART_TIME
-    assert float(header(answer, "retry-after")) == pytest.approx(left.total_seconds())
+    time_left = REQUEST_LIFE - 2 * RESTART_TIME
+    assert float(header(answer, "retry-after")) == pytest.approx(time_left.total_seconds())
     assert len(bench.client.sent) == 3
 
 
 def quarantined(*outcomes) -> Bench:
-    """Return a bench where a request has met three crashes, and then `outcomes`."""
+    """Return a bench whose request has crashed three endpoints; further sends give `outcomes`."""
     bench = Bench(CRASH, endpoints=8)
     for _ in range(2):
         bench.answer()
@@ -43,7 +43,7 @@
     return bench
 
 
-def test_refusing_a_poison_request_makes_no_other_caller_wait_longer():
+def test_refusals_of_a_poison_request_do_not_raise_the_retry_after_of_others():
     bench = quarantined(SHED)
     for _ in range(40):
         assert bench.answer().status == 503
@@ -53,18 +53,18 @@
 @pytest.mark.parametrize(
     "other", [{"path": "/menus/8"}, {"body": b"?"}, {"caller": "app/2"}], ids=str
 )
-def test_another_path_body_or_caller_is_another_request(other):
+def test_request_with_another_path_body_or_caller_is_not_quarantined(change):
     bench = quarantined(kit.answer())
-    assert bench.answer(**other).status == 200
+    assert bench.answer(**change).status == 200
 
 
-def test_a_caller_that_comes_by_another_network_is_known_all_the_same():
+def test_request_from_another_address_is_quarantined_as_well():
     assert quarantined(kit.answer()).answer(address="10.9.0.1").status == 503
 
 
 @pytest.mark.parametrize("answered", [kit.answer(), kit.answer(404, b"none"), kit.answer(500, b"")])
-def test_a_request_that_got_an_answer_is_not_the_cause_of_crashes_before(answered):
-    bench = Bench(CRASH, CRASH, answered, CRASH, CRASH, kit.answer(), endpoints=8)
+def test_answer_to_a_request_clears_its_earlier_crashes(answer):
+    bench = Bench(CRASH, CRASH, answer, CRASH, CRASH, kit.answer(), endpoints=8)
     for _ in range(3):
         bench.answer()
         bench.time.advance(RESTART_TIME)
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("outcome", [RESET, NOT_CONNECTED, SHED, CUT_SHORT])
-def test_what_is_no_crash_is_never_taken_for_one(outcome):
+def test_other_failures_are_not_counted_as_crashes(outcome):
     bench = Bench(outcome, endpoints=8)
     for _ in range(10):
         bench.answer()
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 404, 500])
-def test_an_endpoint_whose_answer_says_that_it_leaves_gets_nothing_more(status):
+def test_endpoint_that_reports_leaving_gets_no_further_requests(status):
     bench = Bench(kit.answer(status, b"last", x_leaving="1"), kit.answer(), endpoints=2)
     bench.answer()
     leaving = bench.client.sent[0].endpoint.name
@@ -91,7 +91,7 @@
     assert leaving not in [req.endpoint.name for req in bench.client.sent[1:]]
 
 
-def test_a_refusal_that_says_that_its_endpoint_leaves_counts_as_well():
+def test_leaving_reported_in_a_refusal_is_applied():
     shed = kit.answer(503, b"", not_run=True, x_leaving="1")
     bench = Bench(shed, kit.answer(), endpoints=2)
     assert bench.answer().status == 200
@@ -99,31 +99,31 @@
     assert leaving not in [up.id for up in bench.book.of_service("menus")]
 
 
-def test_what_another_endpoint_at_the_address_says_of_its_leaving_does_not_count():
+def test_leaving_reported_by_another_endpoint_at_the_address_is_ignored():
     bench = Bench(kit.answer(421, b"", not_run=True, x_leaving="1"), kit.answer())
-    told = []
-    bench.forwarder.noticing.tell = told.extend
+    published = []
+    bench.forwarder.noticing.tell = published.extend
     bench.answer()
-    assert told == []
+    assert published == []
 
 
 @pytest.mark.parametrize("marked", [True, False])
-def test_an_endpoint_that_wants_nothing_for_a_time_gets_nothing_for_so_long(marked):
+def test_endpoint_is_paused_for_its_retry_after(marked):
     shed = kit.answer(503, b"", not_run=marked, retry_after="2.5")
     bench = Bench(shed, kit.answer(), endpoints=2)
     bench.answer()
-    full = bench.client.sent[0].endpoint.name
+    paused = bench.client.sent[0].endpoint.name
     bench.client.sent.clear()
     for _ in range(24):
         bench.time.advance(100 * MS)
         assert bench.answer().status == 200
-    assert full not in [req.endpoint.name for req in bench.client.sent]
+    assert paused not in [req.endpoint.name for req in bench.client.sent]
     bench.time.advance(200 * MS)
     bench.answer()
-    assert bench.client.sent[-1].endpoint.name == full
+    assert bench.client.sent[-1].endpoint.name == paused
 
 
-def test_when_all_want_nothing_callers_are_told_when_the_first_wants_something_again():
+def test_retry_after_is_the_first_end_of_a_pause_if_all_endpoints_are_paused():
     shed = kit.answer(503, b"", not_run=True, retry_after="2.5")
     bench = Bench(shed, endpoints=2)
     assert bench.answer().status == 503
@@ -135,7 +135,7 @@
     assert len(bench.client.sent) == 2
 
 
-def test_a_time_in_any_other_answer_is_the_callers_matter():
+def test_retry_after_of_a_successful_answer_does_not_pause_the_endpoint():
     bench = Bench(kit.answer(200, retry_after="2.5"), endpoints=1)
     for _ in range(2):
         assert bench.answer().status == 200
--- a/packages/gateway/tests/test_leaving_answers.py
+++ b/packages/gateway/tests/test_leaving_answers.py
@@ -1,4 +1,4 @@
-"""What endpoints tell of themselves in answers binds gateways, also while the store is away."""
+"""Gateway processes honor Leaving and Retry-After in answers while the store is unavailable."""
 
 import contextlib
 import itertools
@@ -10,18 +10,18 @@
 LAUNCH = ("-m", "cardamomloft.gateway.main")
 
 DRAIN_S = 2.5
-"""The drain time of the settings."""
+"""Drain time of the settings."""
 
-ALONE_S = 3.0
-"""For how long a refusing endpoint wants nothing."""
+PAUSE_S = 3.0
+"""Retry-After of the refusing endpoint."""
 
 PATHS = [f"/menus/{number}" for number in range(60)]
-"""Enough objects that each endpoint is the first of some."""
+"""Enough affinity keys for each endpoint to be the primary endpoint of some."""
 
 
-@pytest.fixture(params=[3, 9], ids=["each asks the store", "relays"])
+@pytest.fixture(params=[3, 9], ids=["without relays", "relays"])
 def fleet(tmp_path, request):
-    """Return settings of gateways, endpoints and what reaches these; the store is away."""
+    """Yield gateway settings, endpoints and their arrivals, with the store unavailable."""
     with contextlib.ExitStack() as stack:
         store = stack.enter_context(processes.store())
         processes.configure(store)
@@ -33,13 +33,13 @@
         settings = [stack.enter_context(cfg) for cfg in owned]
         for cfg in settings:
             stack.enter_context(processes.gateway(tmp_path, cfg, LAUNCH))
-        assert processes.eventually(lambda: all(map(knows(settings, rows), settings)), 60)
+        assert processes.eventually(lambda: all(map(has_converged(settings, rows), settings)), 60)
         assert bool(processes.status(settings[0])["relays"]) == (request.param > 8)
         endpoints.put(f"http://{store}/control", {"down": "hang"})
         yield settings, rows, arrivals
 
 
-def knows(settings, rows):
+def has_converged(settings, rows):
     def check(cfg):
         page = processes.status(cfg)
         ready = page["state"] == "ready" and page["upstreams"] == len(rows)
@@ -48,8 +48,8 @@
     return check
 
 
-def ask_until(gateway, condition) -> None:
-    """Send requests for one object after the other until `condition` holds."""
+def send_until(gateway, condition) -> None:
+    """Send requests with one affinity key after the other until `condition` holds."""
     for path in PATHS:
         assert endpoints.ask(gateway, path, key=path).status == 200
         if condition():
@@ -57,11 +57,11 @@
     raise AssertionError("no request reached the endpoint")
 
 
-def test_an_endpoint_that_says_it_leaves_gets_nothing_more_from_any_gateway(fleet):
+def test_endpoint_that_reports_leaving_gets_no_requests_from_any_gateway(fleet):
     settings, rows, arrivals = fleet
     leaving = rows[0]
     leaving.headers["X-Leaving"] = "1"
-    ask_until(settings[0]["callers"], lambda: arrivals[-1].endpoint == leaving.name)
+    send_until(settings[0]["callers"], lambda: arrivals[-1].endpoint == leaving.name)
     time.sleep(DRAIN_S)
     arrivals.clear()
     for cfg in settings:
@@ -71,18 +71,18 @@
     assert leaving.name not in {arrival.endpoint for arrival in arrivals}
 
 
-def test_an_endpoint_that_wants_nothing_for_a_time_gets_nothing_for_so_long(fleet):
+def test_endpoint_is_paused_for_its_retry_after(fleet):
     settings, rows, arrivals = fleet
-    gateway, full = settings[0]["callers"], rows[0]
-    full.behaviour = endpoints.refuse(f"{ALONE_S:.1f}")
-    ask_until(gateway, lambda: full.name in {arrival.endpoint for arrival in arrivals})
+    gateway, paused = settings[0]["callers"], rows[0]
+    paused.behaviour = endpoints.refuse(f"{PAUSE_S:.1f}")
+    send_until(gateway, lambda: paused.name in {arrival.endpoint for arrival in arrivals})
     refused_at = time.monotonic()
     arrivals.clear()
     for path in itertools.cycle(PATHS):
         endpoints.ask(gateway, path, key=path)
-        if time.monotonic() - refused_at > ALONE_S * 0.9:
+        if time.monotonic() - refused_at > PAUSE_S * 0.9:
             break
-    assert full.name not in {arrival.endpoint for arrival in arrivals}
-    full.behaviour = endpoints.serve
-    time.sleep(ALONE_S * 0.2)
-    ask_until(gateway, lambda: arrivals[-1].endpoint == full.name)
+    assert paused.name not in {arrival.endpoint for arrival in arrivals}
+    paused.behaviour = endpoints.serve
+    time.sleep(PAUSE_S * 0.2)
+    send_until(gateway, lambda: arrivals[-1].endpoint == paused.name)
--- a/packages/gateway/tests/test_plaintext.py
+++ b/packages/gateway/tests/test_plaintext.py
@@ -1,3 +1,5 @@
+"""A gateway without TLS does not import OpenSSL."""
+
 import subprocess
 import sys
 
@@ -14,11 +16,11 @@
 """
 
 
-def test_a_gateway_can_be_imported_without_tls():
+def test_gateway_is_imported_without_openssl():
     subprocess.run([sys.executable, "-c", SCRIPT], check=True, timeout=60)
 
 
-def test_it_is_too_late_once_tls_is_there(monkeypatch):
+def test_openssl_that_is_already_imported_is_an_error(monkeypatch):
     monkeypatch.setitem(sys.modules, "OpenSSL", sys)
     with pytest.raises(RuntimeError, match="already"):
         plaintext.leave_out_tls()
--- a/packages/gateway/tests/test_presence.py
+++ b/packages/gateway/tests/test_presence.py
@@ -1,4 +1,4 @@
-"""The entry's own record: kept under a lease, made anew when the lease has lapsed."""
+"""The entry's own record is kept under a lease, and written again once the lease has expired."""
 
 from cardamomloft.core.registrations import EntryRecord
 from cardamomloft.gateway.presence import Presence
@@ -14,7 +14,7 @@
     return control, Presence(control, RECORD, 3000 * kit.MS)
 
 
-def test_it_is_recorded_once_and_renewed_after_that():
+def test_record_is_written_once_and_then_renewed():
     control, presence = _presence()
     for _ in range(3):
         presence.keep()
@@ -22,7 +22,7 @@
     assert presence.interval == 1500 * kit.MS
 
 
-def test_a_lapsed_lease_is_replaced_at_once():
+def test_expired_lease_is_replaced_at_once():
     control, presence = _presence()
     presence.keep()
     control.renewed = Ok(False)
@@ -30,7 +30,7 @@
     assert control.calls[-2:] == ["renew 7", "record e-1"]
 
 
-def test_a_failed_renewal_keeps_the_lease_and_a_failed_record_is_tried_again():
+def test_failed_renewal_keeps_the_lease_and_failed_record_is_retried():
     control, presence = _presence()
     control.lease = kit.AWAY
     presence.keep()
@@ -42,8 +42,8 @@
     assert control.calls == ["record e-1", "record e-1", *["renew 7"] * 4]
 
 
-def test_a_renewal_that_fails_is_tried_again_at_once_and_not_more_often():
-    """A lease must bear two lost calls: the next regular renewal would come too late after one."""
+def test_failed_renewal_is_retried_at_once_and_only_once():
+    """Guards against a lease that expires after lost calls, before the next regular renewal."""
     control, presence = _presence()
     presence.keep()
     control.renewed = kit.AWAY
@@ -51,7 +51,7 @@
     assert control.calls == ["record e-1", "renew 7", "renew 7"]
 
 
-def test_a_lease_that_lapsed_meanwhile_is_replaced_after_the_second_try():
+def test_lease_that_the_retry_finds_expired_is_replaced():
     control, presence = _presence()
     answers = [kit.AWAY, Ok(False)]
     control.renew = lambda lease: succeed(answers.pop(0))
@@ -60,20 +60,20 @@
     assert control.calls == ["record e-1", "record e-1"]
 
 
-def test_a_failed_renewal_is_told_and_a_lapsed_one_is_not():
-    told = []
+def test_failed_renewal_is_reported_and_an_expired_lease_is_not():
+    failures = []
     control = kit.FakeControl()
-    presence = Presence(control, RECORD, 3000 * kit.MS, lambda: told.append("failed"))
+    presence = Presence(control, RECORD, 3000 * kit.MS, lambda: failures.append("failed"))
     presence.keep()
     control.renewed = Ok(False)
     presence.keep()
-    assert told == []
+    assert failures == []
     control.renewed = kit.AWAY
     presence.keep()
-    assert told == ["failed"]
+    assert failures == ["failed"]
 
 
-def test_after_it_was_withdrawn_it_is_not_recorded_again():
+def test_withdrawn_record_is_not_written_again():
     control, presence = _presence()
     presence.keep()
     presence.withdraw()
--- a/packages/gateway/tests/test_relay_processes.py
+++ b/packages/gateway/tests/test_relay_processes.py
@@ -1,4 +1,4 @@
-"""Real gateways that pass changes on: who asks the store, and what a frozen relay delays."""
+"""Gateway processes relay changes: only relays call the store, and frozen ones cause no delay."""
 
 import contextlib
 import signal
@@ -9,7 +9,7 @@
 
 GATEWAYS = 9
 DRAIN_S = 2.5
-"""The drain time of the settings, within which a change must be in force."""
+"""Drain time of the settings, within which a change must be in force."""
 
 LAUNCH = ("-m", "cardamomloft.gateway.main")
 
@@ -30,7 +30,7 @@
             running = processes.gateway(folder, cfg, LAUNCH)
             self.processes[cfg["name"]] = stack.enter_context(running)
 
-    def know_each_other(self) -> bool:
+    def has_converged(self) -> bool:
         pages = [processes.status(cfg) for cfg in self.settings.values()]
         return all(len(page["entries"]) == GATEWAYS and page["relays"] for page in pages)
 
@@ -50,16 +50,18 @@
 def fleet(tmp_path):
     with contextlib.ExitStack() as stack:
         fleet = Fleet(stack, tmp_path)
-        assert processes.eventually(fleet.know_each_other, 60), fleet.logs()
+        assert processes.eventually(fleet.has_converged, 60), fleet.logs()
         yield fleet
 
 
-def test_only_relays_ask_the_store_and_all_have_a_change_in_time(fleet):
+def test_only_relays_call_the_store_and_all_gateways_get_a_change_in_time(fleet):
     relays = fleet.relays()
     others = fleet.settings.keys() - set(relays)
-    # The questions that were under way when they came to know each other.
+    # Calls that were pending when the gateways learned of each other still end at the store.
     time.sleep(DRAIN_S)
-    asked = {name: processes.metric(fleet.settings[name], "changes_from_store") for name in others}
+    calls_before = {
+        name: processes.metric(fleet.settings[name], "changes_from_store") for name in others
+    }
     before = fleet.configuration(fleet.settings)
     processes.configure(fleet.store, head_bytes=8192)
     assert processes.eventually(
@@ -68,7 +70,7 @@
     time.sleep(DRAIN_S)
     for name in others:
         cfg = fleet.settings[name]
-        assert processes.metric(cfg, "changes_from_store") == asked[name]
+        assert processes.metric(cfg, "changes_from_store") == calls_before[name]
         assert processes.metric(cfg, "changes_from_relay") > 0
     assert "cardamomloft:fault" not in fleet.logs()
 
--- a/packages/gateway/tests/test_relayed_changes.py
+++ b/packages/gateway/tests/test_relayed_changes.py
@@ -1,7 +1,7 @@
-"""Changes that gateways pass on: in force in time everywhere, never back, whatever relays do.
+"""Relayed changes are in force in time at all gateways and never reverted, despite faults.
 
-The gateways here run their own following, asking and answering; the store, the network between
-them and the faults are in memory, on one clock.
+The gateways run their real polling and relaying code; the store, the network and the faults are
+simulated on one clock.
 """
 
 from datetime import timedelta
@@ -31,11 +31,11 @@
 
 MS = kit.MS
 
-IN_TOUCH = 4000 * MS
-"""How long a gateway must have reached the store undisturbed for the bound to count."""
+UNDISTURBED_TIME = 4000 * MS
+"""Time of undisturbed contact with the store after which the time bound applies."""
 
 
-def test_only_relays_ask_the_store_once_all_know_each_other():
+def test_only_relays_call_the_store_once_all_gateways_are_known():
     run = Deployment()
     before = counted(run.listeners(), "changes_from_store")
     run.run(20_000 * MS)
@@ -45,7 +45,7 @@
         assert gateway.feed.status()["relays"] == run.relays
 
 
-def test_a_change_is_passed_on_within_milliseconds_of_the_relay_hearing_it():
+def test_relay_passes_on_a_change_within_milliseconds():
     run = Deployment()
     run.run(5000 * MS)
     run.configure()
@@ -53,7 +53,7 @@
     assert run.late() == []
 
 
-def test_changes_in_series_are_in_force_within_half_of_the_drain_time():
+def test_successive_changes_are_in_force_within_half_of_the_drain_time():
     run = Deployment()
     for _ in range(20):
         run.configure()
@@ -62,8 +62,8 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "refused", "silenced", "both"])
-def test_relays_that_lose_the_store_or_the_others_delay_no_change_too_long(fault):
-    """The change comes the moment after the relays were cut off: the worst that there is."""
+def test_disconnected_relays_delay_no_change_beyond_the_drain_time(fault):
+    """The change follows the fault at once, which is the worst case."""
     run = Deployment()
     for name in run.relays:
         if fault in ("cut", "both"):
@@ -78,7 +78,7 @@
     assert others.isdisjoint(run.late())
 
 
-def test_relays_that_stop_hand_over_at_once():
+def test_stopped_relays_are_replaced_in_time():
     run = Deployment()
     for name in run.relays:
         run.by_name(name).stop()
@@ -89,12 +89,12 @@
     assert others.isdisjoint(run.late())
     before = counted(run.listeners(), "changes_from_store")
     run.run(10_000 * MS)
-    asked = counted(run.listeners(), "changes_from_store") - before
-    assert asked < 2 * 10_000 * MS / (DRAIN * 0.35) + 2
+    calls = counted(run.listeners(), "changes_from_store") - before
+    assert calls < 2 * 10_000 * MS / (DRAIN * 0.35) + 2
 
 
-def test_a_gateway_that_leaves_hears_of_changes_from_the_store():
-    """Its record is gone, so no relay answers it; it still serves those who asked before."""
+def test_leaving_gateway_gets_changes_from_the_store():
+    """Relays do not answer a gateway without a record, but callers may still use it."""
     run = Deployment()
     leaving = run.listeners()[0]
     run.store.write(("entry", leaving.name), EntryWithdrawn(leaving.name), removes=True)
@@ -108,28 +108,27 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "refused"])
-def test_a_gateway_that_the_store_alone_does_not_answer_hears_of_changes_all_the_same(fault):
-    """Callers got 404 from one gateway for rules that all the others had.
+def test_gateway_that_only_the_store_rejects_gets_changes_from_its_relay(fault):
+    """Guards against 404 answers for new rules from a gateway that only the store rejects.
 
-    The store turned that gateway away. Each renewal of its lease failed, so it doubted whatever it
-    was asking, and asked the store, in vain; its relay would have answered.
+    Its failed lease renewals must not replace the request to its relay by calls to the store.
     """
     run = Deployment()
-    alone = run.listeners()[0]
-    getattr(run.store, fault).add(alone.name)
+    rejected = run.listeners()[0]
+    getattr(run.store, fault).add(rejected.name)
     for _ in range(6):
         run.configure()
         for _ in range(2):
-            alone.follower.doubt()
+            rejected.follower.doubt()
             run.run(1500 * MS)
         assert run.late() == []
-    assert alone.follower.away
+    assert rejected.follower.away
     getattr(run.store, fault).clear()
     run.run(2000 * MS)
-    assert not alone.follower.away
+    assert not rejected.follower.away
 
 
-def test_a_store_that_is_away_for_all_is_noticed_as_soon_as_without_relays():
+def test_outage_is_detected_with_relays_as_soon_as_without():
     run = Deployment()
     names = {gateway.name for gateway in run.gateways}
     run.store.refused |= names
@@ -139,21 +138,21 @@
     assert {gateway.name for gateway in run.gateways if gateway.follower.away} == names
 
 
-def test_while_the_store_is_away_listeners_leave_it_to_relays_to_ask():
-    """Each gateway asked twice a second: most of a day's calls fell into outages of 8 s."""
+def test_subscribers_leave_polling_to_relays_during_an_outage():
+    """Guards against frequent store calls from all gateways during an outage."""
     run = Deployment()
     before = counted(run.listeners(), "changes_from_store")
-    _away(run, 8000 * MS)
-    asked = counted(run.listeners(), "changes_from_store") - before
-    # Two until it counts as away, one each 0.7 of the drain time, and one when it is back.
-    assert asked <= len(run.listeners()) * (2 + 8000 * MS / (DRAIN * 0.7) + 1)
+    _make_unavailable(run, 8000 * MS)
+    calls = counted(run.listeners(), "changes_from_store") - before
+    # Two until the outage is detected, one per 0.7 of the drain time, and one at the end.
+    assert calls <= len(run.listeners()) * (2 + 8000 * MS / (DRAIN * 0.7) + 1)
 
 
 @pytest.mark.parametrize("relays", ["well", "cut", "silenced"])
-def test_the_return_of_a_store_is_noticed_in_time_and_before_what_lapsed(relays):
-    """Records that lapsed are kept for those who may record themselves again."""
+def test_end_of_an_outage_is_detected_in_time_and_before_expirations(relays):
+    """Guards against removing expired records before the end of the outage is known."""
     run = Deployment()
-    back_at = _away(run, 8000 * MS, lapses=True)
+    ended_at = _make_unavailable(run, 8000 * MS, lapses=True)
     if relays == "cut":
         run.store.cut |= set(run.relays)
     if relays == "silenced":
@@ -161,15 +160,15 @@
     run.run(DRAIN)
     for gateway in run.listeners():
         (noticed,) = gateway.returns
-        assert noticed - back_at <= (600 * MS if relays == "well" else DRAIN * 0.9)
+        assert noticed - ended_at <= (600 * MS if relays == "well" else DRAIN * 0.9)
         assert gateway.entries_gone and gateway.entries_gone[0] >= noticed
     run.configure()
     run.run(DRAIN)
     assert {row.name for row in run.listeners()}.isdisjoint(run.late())
 
 
-def _away(run: Deployment, duration: timedelta, *, lapses: bool = False) -> timedelta:
-    """Let the store be away for all, and return when it is back."""
+def _make_unavailable(run: Deployment, duration: timedelta, *, lapses: bool = False) -> timedelta:
+    """Make the store unavailable to all gateways for `duration`, and return when that ended."""
     run.store.refused |= {row.name for row in run.gateways}
     run.run(duration)
     run.store.refused.clear()
@@ -178,7 +177,7 @@
     return run.time.clock.monotonic()
 
 
-def test_a_history_that_is_forgotten_hides_nothing():
+def test_lost_history_hides_no_change():
     run = Deployment()
     run.store.write(("zone", "b"), ZoneDrained("b"))
     run.run(DRAIN)
@@ -190,7 +189,7 @@
     assert [row.name for row in run.gateways if row.drained] == []
 
 
-def test_a_gateway_that_restarts_is_answered_though_it_has_an_old_relay():
+def test_restarted_gateway_gets_changes_from_relays():
     run = Deployment()
     old = run.listeners()[0]
     old.stop()
@@ -206,20 +205,20 @@
     assert run.late() == []
 
 
-def test_a_doubted_question_to_a_relay_leads_to_the_store():
+def test_extra_poll_while_a_relay_holds_a_request_goes_to_the_store():
     run = Deployment()
-    listener = run.listeners()[0]
-    before = listener.metrics.counters["changes_from_store"]
+    subscriber = run.listeners()[0]
+    before = subscriber.metrics.counters["changes_from_store"]
     run.run(DRAIN * 0.2)
-    listener.follower.doubt()
+    subscriber.follower.doubt()
     run.run(700 * MS)
-    assert listener.metrics.counters["changes_from_store"] == before + 1
+    assert subscriber.metrics.counters["changes_from_store"] == before + 1
 
 
-def test_numbers_beyond_all_bounds_raise_nothing():
+def test_request_with_huge_numbers_causes_no_fault():
     run = Deployment()
-    listener, relay = run.listeners()[0], run.by_name(run.relays[0])
-    relay.receive(listener.me, ChangesQuestion(10**6, run.store.era, run.store.revision, 2**61))
+    subscriber, relay = run.listeners()[0], run.by_name(run.relays[0])
+    relay.receive(subscriber.me, ChangesQuestion(10**6, run.store.era, run.store.revision, 2**61))
     assert relay.feed.port.held > 0
     run.run(31_000 * MS)
     assert all(gateway.faults == [] for gateway in run.gateways)
@@ -227,8 +226,8 @@
 
 
 @pytest.mark.parametrize(("age_ms", "held_ms"), [(0, 2**61), (2**61, 0), (2**61, 2**61)])
-def test_an_answer_makes_knowledge_no_younger_than_it_can_be(age_ms, held_ms):
-    """A relay that is cut off from the store says whatever it likes of its age."""
+def test_relayed_data_is_never_dated_after_the_present(age_ms, held_ms):
+    """Guards against ages from a relay that would date its data after the present."""
     time = kit.Time(Clock())
     sent = []
     port = RelayPort(
@@ -239,27 +238,27 @@
     outcomes = []
     port.ask(relay, kit.at(5), DRAIN, DRAIN).addCallback(outcomes.append)
     time.advance(40 * MS)
-    asked = sent[0][1]
+    request = sent[0][1]
     port.take(
         Incarnation(relay.name, "1"),
-        ChangesAnswer(asked.number, 0, 5, encode_facts([]), False, age_ms, held_ms),
+        ChangesAnswer(request.number, 0, 5, encode_facts([]), False, age_ms, held_ms),
     )
     assert outcomes[0].ok.complete_at <= time.clock.monotonic()
 
 
-def test_answers_that_nobody_asked_for_change_nothing():
+def test_unrequested_answers_are_ignored():
     run = Deployment()
-    listener, stranger = run.listeners()[0], Incarnation("stranger", "1")
+    subscriber, stranger = run.listeners()[0], Incarnation("stranger", "1")
     for number in range(200):
-        listener.receive(stranger, ChangesAnswer(number, 1, 10**9, b"", False, 0, 0))
-        listener.receive(
+        subscriber.receive(stranger, ChangesAnswer(number, 1, 10**9, b"", False, 0, 0))
+        subscriber.receive(
             Incarnation(run.relays[0], "9"), ChangesAnswer(number, 1, 10**9, b"x", True, 0, 0)
         )
-    listener.receive(stranger, ChangesQuestion(1, 0, 0, 10**9))
+    subscriber.receive(stranger, ChangesQuestion(1, 0, 0, 10**9))
     run.configure()
     run.run(DRAIN)
     assert run.late() == []
-    assert listener.faults == []
+    assert subscriber.faults == []
 
 
 FAULTS = st.lists(
@@ -274,16 +273,16 @@
 )
 
 
-class Troubles:
-    """Brings faults about, and notes since when the store is undisturbed for each gateway."""
+class FaultInjector:
+    """Injects faults, and records when each gateway's contact with the store was last disturbed."""
 
     def __init__(self, run: Deployment) -> None:
         self.run = run
-        self.disturbed_at = {gateway.name: -IN_TOUCH for gateway in run.gateways}
+        self.disturbed_at = {gateway.name: -UNDISTURBED_TIME for gateway in run.gateways}
 
-    def bring(self, kind: str, at: int) -> None:
+    def inject(self, kind: str, index: int) -> None:
         run = self.run
-        gateway = run.gateways[at]
+        gateway = run.gateways[index]
         match kind:
             case "cut" | "refused":
                 getattr(run.store, kind).add(gateway.name)
@@ -294,35 +293,35 @@
             case "forget":
                 run.store.forget()
                 for name in self.disturbed_at:
-                    self._disturb(name)
+                    self._mark_disturbed(name)
             case "restart" | "stop":
-                self._end(gateway, restarts=kind == "restart")
+                self._stop(gateway, restarts=kind == "restart")
             case "zone":
                 drained = ("zone", "b") in run.store.held
                 fact = ZoneRestored("b") if drained else ZoneDrained("b")
                 run.store.write(("zone", "b"), fact, removes=drained)
             case "heal":
                 for name in run.store.cut | run.store.refused:
-                    self._disturb(name)
+                    self._mark_disturbed(name)
                 run.store.cut.clear()
                 run.store.refused.clear()
                 run.network.silenced.clear()
                 run.network.loss = 0.0
 
-    def in_touch(self, gateway: Gateway) -> bool:
+    def is_undisturbed(self, gateway: Gateway) -> bool:
         if gateway.stopped or gateway.name in self.run.store.cut | self.run.store.refused:
             return False
         now = self.run.time.clock.monotonic()
-        return now - self.disturbed_at[gateway.name] >= IN_TOUCH + DRAIN
+        return now - self.disturbed_at[gateway.name] >= UNDISTURBED_TIME + DRAIN
 
-    def _disturb(self, name: str) -> None:
+    def _mark_disturbed(self, name: str) -> None:
         self.disturbed_at[name] = self.run.time.clock.monotonic()
 
-    def _end(self, gateway: Gateway, *, restarts: bool) -> None:
+    def _stop(self, gateway: Gateway, *, restarts: bool) -> None:
         run = self.run
         if not gateway.stopped:
             gateway.stop()
-        self._disturb(gateway.name)
+        self._mark_disturbed(gateway.name)
         if restarts:
             new = Gateway(gateway.record, run.store, run.network, run.time, id(gateway) % 1000)
             run.gateways = [new if row is gateway else row for row in run.gateways]
@@ -334,38 +333,38 @@
 
 @settings(max_examples=60, deadline=None)
 @given(FAULTS, st.integers(0, 1000))
-def test_under_any_series_of_faults_changes_are_in_time_and_nothing_goes_back(faults, seed):
-    """A gateway that reaches the store has each change within the drain time, whatever else fails.
+def test_changes_are_in_time_and_never_reverted_under_any_sequence_of_faults(faults, seed):
+    """A gateway that reaches the store gets each change within the drain time, whatever else fails.
 
-    Faults stay until they are healed, so they overlap; each comes the moment before a change.
+    Faults last until they are healed, so they overlap; each is followed by a change at once.
     """
     run = Deployment(seed)
-    troubles = Troubles(run)
-    for kind, at, pause in faults:
-        troubles.bring(kind, at)
+    injector = FaultInjector(run)
+    for kind, index, pause in faults:
+        injector.inject(kind, index)
         run.configure()
         run.run(pause * 100 * MS)
-        _check(run)
+        _check_gateways(run)
         run.configure()
         run.run(DRAIN)
-        held_back = [row.name for row in run.gateways if troubles.in_touch(row)]
-        assert set(held_back).isdisjoint(run.late())
-    troubles.bring("heal", 0)
-    run.run(IN_TOUCH + DRAIN)
+        undisturbed = [row.name for row in run.gateways if injector.is_undisturbed(row)]
+        assert set(undisturbed).isdisjoint(run.late())
+    injector.inject("heal", 0)
+    run.run(UNDISTURBED_TIME + DRAIN)
     live = [row for row in run.gateways if not row.stopped]
     drained = {fact.zone for fact in run.store.held.values() if isinstance(fact, ZoneDrained)}
     assert {row.name for row in live}.isdisjoint(run.late())
     assert [row.name for row in live if row.drained != drained] == []
-    _check(run)
+    _check_gateways(run)
 
 
-def _check(run: Deployment) -> None:
+def _check_gateways(run: Deployment) -> None:
     for gateway in run.gateways:
         assert gateway.faults == []
         assert gateway.plans == sorted(gateway.plans)
 
 
-def test_a_relay_tells_only_of_what_has_changed():
+def test_relay_does_not_pass_on_unchanged_writes():
     run = Deployment()
     same = UpstreamRegistered(kit.registration(1))
     run.store.write("i-1", same)
@@ -374,22 +373,22 @@
     for _ in range(100):
         run.store.write("i-1", same)
         run.run(25 * MS)
-    # 2.5 s pass, and a question without news lasts 0.3 of the drain time at most; a listener that
-    # got each report would have asked some 20 times.
+    # 2.5 s pass, and a request without changes is held for 0.3 of the drain time at most. A
+    # subscriber that received each write would have made some 20 requests.
     assert counted(run.listeners(), "changes_from_relay") - answered <= 8 * 6
 
 
-def test_records_and_leases_are_left_to_the_store():
+def test_records_and_leases_are_handled_by_the_store():
     control = kit.FakeControl()
     record = kit.entry_records(1)[0]
-    book = EntryBook(record, timedelta(seconds=10))
+    entry_table = EntryBook(record, timedelta(seconds=10))
     time = kit.Time(Clock())
     feed = ChangeFeed(
         time.reactor,
         time.clock,
         control,
         record,
-        book,
+        entry_table,
         lambda: True,
         DRAIN,
         lambda notice: None,
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -1,4 +1,4 @@
-"""A store that comes back from an older copy: nothing goes back, and all know the same again."""
+"""After a restore of the store from a backup, no change is reverted and all gateways converge."""
 
 import random
 from datetime import timedelta
@@ -37,31 +37,31 @@
 
 MS = kit.MS
 
-RECORDED_AGAIN = 1500 * MS
-"""How soon a gateway notices at a renewal that its lease is of another era."""
+RECORD_REPEAT_DELAY = 1500 * MS
+"""Time until a gateway detects at a renewal that its lease is of an earlier era."""
 
-WRITTEN_AGAIN = 1000 * MS
-"""When operators and endpoints write again what a restored store has lost."""
+WRITE_REPEAT_DELAY = 1000 * MS
+"""Time until operators and endpoints repeat the writes that a restore has lost."""
 
-RENEWED = 3000 * MS
-"""Time by which everybody knows the same again."""
+CONVERGENCE_TIME = 3000 * MS
+"""Time after a restore within which all gateways have the same state."""
 
 
 class View:
-    """One gateway's knowledge, and lists of a store in two eras."""
+    """The store view of one gateway, to which listings of any era can be applied."""
 
     def __init__(self) -> None:
         self.time = kit.Time(Clock())
-        self.book = UpstreamBook({"a": "east", "b": "east"})
+        self.upstream_table = UpstreamBook({"a": "east", "b": "east"})
         own = EntryRecord("e-0", "10.0.0.1:80", "a", "east")
-        self.entries = EntryBook(own, timedelta(seconds=10))
-        selector = Selector(self.book, "e-0", "a", None, Preferences())
+        self.entry_table = EntryBook(own, timedelta(seconds=10))
+        selector = Selector(self.upstream_table, "e-0", "a", None, Preferences())
         self.plans = []
         self.metrics = Metrics()
         self.view = StoreView(
             self.time.clock,
-            self.book,
-            self.entries,
+            self.upstream_table,
+            self.entry_table,
             selector,
             lambda address: None,
             self.plans.append,
@@ -71,151 +71,151 @@
     def listed(self, *facts, era=1) -> None:
         self.view.take_listing(Listing(facts, kit.at(10, era)))
 
-    def pass_by(self, duration) -> None:
+    def advance(self, duration) -> None:
         for _ in range(duration // (100 * MS)):
             self.time.advance(100 * MS)
             self.view.tick()
 
-    def usable(self) -> list[str]:
-        return [up.id for up in self.book.of_service("menus")]
+    def eligible(self) -> list[str]:
+        return [up.id for up in self.upstream_table.of_service("menus")]
 
 
 def up(number, **changes):
     return UpstreamRegistered(kit.registration(number, **changes))
 
 
-def test_an_endpoint_that_is_missing_after_a_restoration_serves_until_it_writes_itself_again():
+def test_endpoint_missing_after_a_restore_serves_until_it_registers_again():
     view = View()
     view.listed(up(1), up(2))
     view.listed(up(1), era=2)
-    assert view.usable() == ["i-1", "i-2"]
-    view.pass_by(1500 * MS)
+    assert view.eligible() == ["i-1", "i-2"]
+    view.advance(1500 * MS)
     view.view.take_changes((up(2),))
-    view.pass_by(5000 * MS)
-    assert view.usable() == ["i-1", "i-2"]
+    view.advance(5000 * MS)
+    assert view.eligible() == ["i-1", "i-2"]
 
 
-def test_one_that_does_not_is_gone():
+def test_endpoint_missing_after_a_restore_is_removed_if_it_does_not_register():
     view = View()
     view.listed(up(1), up(2))
     view.listed(up(1), era=2)
-    view.pass_by(RENEWED)
-    assert view.usable() == ["i-1"]
+    view.advance(CONVERGENCE_TIME)
+    assert view.eligible() == ["i-1"]
 
 
 @pytest.mark.parametrize("left", [up(1, draining=True), UpstreamWithdrawn("i-1")])
-def test_an_endpoint_that_had_left_gets_nothing_on_the_word_of_the_copy(left):
+def test_endpoint_that_left_before_a_restore_is_not_used_again(left):
     view = View()
     view.listed(up(1), up(2))
     view.view.take_changes((left,))
     view.listed(up(1), up(2), era=2)
-    view.pass_by(RENEWED)
-    assert view.usable() == ["i-2"]
+    view.advance(CONVERGENCE_TIME)
+    assert view.eligible() == ["i-2"]
     assert view.metrics.counters["doubted_facts"] == 1
     view.view.take_changes((up(1),))
-    assert view.usable() == ["i-1", "i-2"]
+    assert view.eligible() == ["i-1", "i-2"]
 
 
 @pytest.mark.parametrize("listed_again", [False, True])
-def test_one_that_wrote_itself_again_before_the_list_was_read_is_believed_in_the_end(listed_again):
-    """One gateway of three was not named by another after a drill, though it was recorded."""
+def test_unconfirmed_registration_is_used_after_the_confirmation_timeout(is_relisted):
+    """Guards against never using an endpoint or entry that registered again before the listing."""
     view = View()
     entry = EntryRecorded(kit.entry_records(1)[0])
     view.listed(up(1), entry)
     view.view.take_changes((UpstreamWithdrawn("i-1"), EntryWithdrawn(entry.record.name)))
     view.listed(up(1), entry, era=2)
-    view.pass_by(DOUBT_TIME - 200 * MS)
-    if listed_again:
+    view.advance(DOUBT_TIME - 200 * MS)
+    if is_relisted:
         view.listed(up(1), entry, era=2)
-    assert (view.usable(), len(view.entries.records(with_own=False))) == ([], 0)
-    view.pass_by(400 * MS)
-    assert (view.usable(), len(view.entries.records(with_own=False))) == (["i-1"], 1)
+    assert (view.eligible(), len(view.entry_table.records(with_own=False))) == ([], 0)
+    view.advance(400 * MS)
+    assert (view.eligible(), len(view.entry_table.records(with_own=False))) == (["i-1"], 1)
 
 
-def test_one_that_is_withdrawn_while_it_is_doubted_is_not_believed():
+def test_unconfirmed_registration_that_is_withdrawn_is_not_used():
     view = View()
     view.listed(up(1))
     view.view.take_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), era=2)
     view.view.take_changes((UpstreamWithdrawn("i-1"),))
-    view.pass_by(2 * DOUBT_TIME)
-    assert view.usable() == []
+    view.advance(2 * DOUBT_TIME)
+    assert view.eligible() == []
 
 
-def test_one_that_is_missing_in_a_later_list_is_not_believed():
+def test_unconfirmed_registration_missing_in_a_later_listing_is_not_used():
     view = View()
     view.listed(up(1), up(2))
     view.view.take_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), up(2), era=2)
     view.listed(up(2), era=2)
-    view.pass_by(2 * DOUBT_TIME)
-    assert view.usable() == ["i-2"]
+    view.advance(2 * DOUBT_TIME)
+    assert view.eligible() == ["i-2"]
 
 
-def test_a_zone_drained_since_the_copy_stays_so_until_operators_write_it_again():
+def test_drain_lost_in_a_restore_stays_until_operators_repeat_it():
     view = View()
     view.listed(up(1))
     view.view.take_changes((ZoneDrained("a"),))
     view.listed(up(1), era=2)
-    view.pass_by(WRITTEN_AGAIN)
-    assert view.usable() == []
+    view.advance(WRITE_REPEAT_DELAY)
+    assert view.eligible() == []
     view.view.take_changes((ZoneDrained("a"),))
-    view.pass_by(2 * DOUBT_TIME)
-    assert view.usable() == []
+    view.advance(2 * DOUBT_TIME)
+    assert view.eligible() == []
 
 
-def test_a_zone_whose_drain_nobody_writes_again_is_used_after_a_while():
+def test_drain_lost_in_a_restore_ends_after_the_confirmation_timeout():
     view = View()
     view.listed(up(1), ZoneDrained("a"))
     view.listed(up(1), era=2)
     view.listed(up(1), era=2)
-    view.pass_by(DOUBT_TIME - 200 * MS)
-    assert view.usable() == []
-    view.pass_by(400 * MS)
-    assert view.usable() == ["i-1"]
+    view.advance(DOUBT_TIME - 200 * MS)
+    assert view.eligible() == []
+    view.advance(400 * MS)
+    assert view.eligible() == ["i-1"]
 
 
-def test_a_drain_that_operators_end_after_a_restoration_ends_at_once():
+def test_drain_that_operators_end_after_a_restore_ends_at_once():
     view = View()
     view.listed(up(1), ZoneDrained("a"))
     view.listed(up(1), era=2)
     view.view.take_changes((ZoneRestored("a"),))
-    assert view.usable() == ["i-1"]
+    assert view.eligible() == ["i-1"]
 
 
-def test_budgets_are_divided_among_entries_that_the_copy_lacks():
+def test_budgets_are_divided_among_entries_missing_in_the_backup():
     view = View()
     records = [EntryRecorded(row) for row in kit.entry_records(4)]
     view.listed(*records)
     view.listed(*records[:1], era=2)
-    assert len(view.entries.records(with_own=True)) == 5
-    assert view.entries.sharing(view.time.clock.monotonic()) == 5
+    assert len(view.entry_table.records(with_own=True)) == 5
+    assert view.entry_table.sharing(view.time.clock.monotonic()) == 5
 
 
-def test_without_eras_a_list_is_the_whole_truth():
+def test_listing_without_eras_replaces_the_state():
     view = View()
     view.listed(up(1), up(2), ZoneDrained("b"), era=0)
     view.listed(up(1), era=0)
-    assert view.usable() == ["i-1"]
-    assert view.book.drained_zones == set()
+    assert view.eligible() == ["i-1"]
+    assert view.upstream_table.drained_zones == set()
 
 
-class Drills:
-    """Brings faults about in a deployment, and does what its surroundings do then."""
+class Environment:
+    """Restores the store of a deployment, and repeats the lost writes of operators and gateways."""
 
     def __init__(self, run: Deployment, seed: int) -> None:
         self.run = run
         self.rng = random.Random(seed)
 
     def restore(self, age: timedelta) -> None:
-        """Restore the store; what operators wrote since is written again, and so are records."""
+        """Restore a backup of that age; lost operators' writes and records are repeated later."""
         run = self.run
         held = dict(run.store.held)
         run.store.restore(age)
-        run.time.reactor.callLater(WRITTEN_AGAIN.total_seconds(), self._write_again, held)
-        run.time.reactor.callLater(RECORDED_AGAIN.total_seconds(), self._record_again)
+        run.time.reactor.callLater(WRITE_REPEAT_DELAY.total_seconds(), self._repeat_writes, held)
+        run.time.reactor.callLater(RECORD_REPEAT_DELAY.total_seconds(), self._repeat_records)
 
-    def _write_again(self, held) -> None:
+    def _repeat_writes(self, held) -> None:
         store = self.run.store
         for key, fact in held.items():
             newer = isinstance(fact, PlanRead) and fact.plan.number < self.run.number
@@ -229,7 +229,7 @@
             if key not in held:
                 store.write(key, ZoneRestored(key[1]), removes=True)
 
-    def _record_again(self) -> None:
+    def _repeat_records(self) -> None:
         run = self.run
         names = {gateway.name for gateway in run.gateways if not gateway.stopped}
         for gateway in run.gateways:
@@ -242,28 +242,28 @@
 
 @pytest.mark.parametrize("age", [0, 500, 3000, 60_000])
 @pytest.mark.parametrize("fault", ["none", "relays cut", "one cut", "relays silenced"])
-def test_a_configuration_written_after_a_restoration_is_in_force_in_time(age, fault):
+def test_configuration_written_after_a_restore_is_in_force_in_time(age, fault):
     run = Deployment()
-    drills = Drills(run, 1)
+    environment = Environment(run, 1)
     run.configure()
     run.run(DRAIN)
-    alone = run.listeners()[0].name
+    disconnected = run.listeners()[0].name
     if fault == "relays cut":
         run.store.cut |= set(run.relays)
     if fault == "one cut":
-        run.store.cut.add(alone)
+        run.store.cut.add(disconnected)
     if fault == "relays silenced":
         run.network.silenced |= set(run.relays)
-    drills.restore(age * MS)
-    run.run(RENEWED)
+    environment.restore(age * MS)
+    run.run(CONVERGENCE_TIME)
     run.configure()
     run.run(DRAIN)
     late = set(run.late()) - (set(run.relays) if fault.startswith("relays") else set())
     assert late == set()
 
 
-def test_a_revision_that_is_reached_again_hides_nothing():
-    """Without the era a question from that revision would be answered by what came after it."""
+def test_revision_reused_after_a_restore_hides_no_change():
+    """Guards against comparing revisions of different eras, which skips changes after a restore."""
     run = Deployment()
     run.store.write(("zone", "b"), ZoneDrained("b"))
     run.run(DRAIN)
@@ -277,19 +277,19 @@
     assert {frozenset(gateway.drained) for gateway in run.gateways} == {frozenset("c")}
 
 
-def test_a_gateway_cut_off_from_the_store_alone_hears_of_the_new_era_from_a_relay():
+def test_gateway_disconnected_from_the_store_gets_the_new_era_from_a_relay():
     run = Deployment()
-    alone = run.listeners()[0]
-    run.store.cut.add(alone.name)
+    disconnected = run.listeners()[0]
+    run.store.cut.add(disconnected.name)
     run.run(DRAIN)
-    Drills(run, 1).restore(1000 * MS)
-    run.run(RENEWED)
+    Environment(run, 1).restore(1000 * MS)
+    run.run(CONVERGENCE_TIME)
     run.store.write(("zone", "b"), ZoneDrained("b"))
     run.run(DRAIN)
-    assert alone.drained == {"b"}
+    assert disconnected.drained == {"b"}
 
 
-def test_a_store_that_is_restored_is_listed_by_relays_and_not_by_everybody():
+def test_restored_store_is_not_listed_by_all_gateways():
     run = Deployment()
     run.run(DRAIN)
     before = run.store.calls
@@ -298,8 +298,8 @@
     assert run.store.calls - before < len(run.gateways)
 
 
-OLD_PLAN, NEWS = PlanRead(kit.plan(1)), ZoneDrained("b")
-FROM_STORE = Changes((NEWS,), kit.at(70, era=2))
+RELAYED_FACT, STORE_FACT = PlanRead(kit.plan(1)), ZoneDrained("b")
+FROM_STORE = Changes((STORE_FACT,), kit.at(70, era=2))
 
 
 @pytest.mark.parametrize(
@@ -314,7 +314,7 @@
         (kit.at(59, era=2), True, False),
     ],
 )
-def test_of_a_relay_in_an_earlier_era_or_of_a_part_of_a_later_one_nothing_is_taken(
+def test_relay_answers_of_an_earlier_era_or_partial_ones_of_a_later_era_are_discarded(
     index, whole, is_used
 ):
     time = kit.Time(Clock())
@@ -324,14 +324,14 @@
     table.listed((), kit.at(60, era=2))
     sources.complete(time.clock.monotonic())
     time.advance(100 * MS)
-    answer = Passed((OLD_PLAN,), index, time.clock.monotonic(), whole)
-    port = SimpleNamespace(ask=lambda *question: succeed(Ok(answer)), publish=lambda: None)
+    answer = Passed((RELAYED_FACT,), index, time.clock.monotonic(), whole)
+    port = SimpleNamespace(ask=lambda *args: succeed(Ok(answer)), publish=lambda: None)
     store = SimpleNamespace(changes=lambda after, wait: succeed(Ok(FROM_STORE)))
     control = RelayedControl(store, time.clock, table, sources, port, lambda: records, Metrics())
     found = []
     control.changes(kit.at(60, era=2), DRAIN).addCallback(found.append)
     (changes,) = (outcome.ok for outcome in found)
-    assert changes.facts == ((OLD_PLAN,) if is_used else FROM_STORE.facts)
+    assert changes.facts == ((RELAYED_FACT,) if is_used else FROM_STORE.facts)
     assert changes.whole == (is_used and whole)
     assert table.index == (index if is_used else FROM_STORE.index)
 
@@ -348,14 +348,14 @@
 )
 
 
-def play(steps, seed) -> None:
+def run_steps(steps, seed) -> None:
     run = Deployment(seed)
-    drills = Drills(run, seed)
+    environment = Environment(run, seed)
     for kind, at, pause in steps:
         gateway = run.gateways[at]
         match kind:
             case "restore":
-                drills.restore(at * 500 * MS)
+                environment.restore(at * 500 * MS)
             case "configure":
                 run.configure()
             case "zone":
@@ -384,7 +384,7 @@
     run.store.cut.clear()
     run.network.silenced.clear()
     run.network.loss = 0.0
-    run.run(2 * RENEWED)
+    run.run(2 * CONVERGENCE_TIME)
     run.configure()
     run.run(DRAIN)
     assert run.late() == []
@@ -398,5 +398,5 @@
 @settings(max_examples=40, deadline=None)
 @given(STEPS, st.integers(0, 99))
 @example([("zone", 0, 23), ("restore", 6, 21), ("forget", 0, 0)], 0)
-def test_through_any_series_of_drills_and_faults_all_know_the_same_in_the_end(steps, seed):
-    play(steps, seed)
+def test_gateways_converge_after_any_sequence_of_restores_and_faults(steps, seed):
+    run_steps(steps, seed)
--- a/packages/gateway/tests/test_storecontrol.py
+++ b/packages/gateway/tests/test_storecontrol.py
@@ -1,4 +1,4 @@
-"""A gateway over the product's own store: facts from lists, and a whole request over sockets."""
+"""A gateway with the HTTP key-value store: facts from listings, and a request over sockets."""
 
 import json
 import socket
@@ -57,7 +57,7 @@
 
 
 class ListStore:
-    """A store whose list the test sets."""
+    """A fake store whose listing the test sets."""
 
     def __init__(self, **values) -> None:
         self.values = {}
@@ -97,8 +97,8 @@
     return set(_result(control.changes(kit.at(after), timedelta(0))).ok.facts)
 
 
-class Asker:
-    """Lists once, and asks for changes since the last answer."""
+class Poller:
+    """Lists once, and then reads the changes since the last answer."""
 
     def __init__(self, control) -> None:
         self.control = control
@@ -111,37 +111,37 @@
         return set(found.facts)
 
 
-def test_a_list_gives_all_facts_and_then_only_what_differs():
+def test_listing_returns_all_facts_and_later_reads_only_differences():
     store = ListStore(routes__current=DOCUMENT, upstreams__i_1=REGISTRATION, drained_zones__b=1)
-    asker = Asker(StoreControl(store, "g/"))
-    kinds = {type(fact) for fact in asker.listing.facts}
+    poller = Poller(StoreControl(store, "g/"))
+    kinds = {type(fact) for fact in poller.listing.facts}
     assert kinds == {PlanRead, UpstreamRegistered, ZoneDrained}
-    assert asker.changes() == set()
+    assert poller.changes() == set()
     store.put(upstreams__i_1={**REGISTRATION, "draining": True})
-    (fact,) = asker.changes()
+    (fact,) = poller.changes()
     assert fact.registration.draining
     del store.values["g/upstreams/i-1"], store.values["g/drained-zones/b"]
-    assert asker.changes() == {UpstreamWithdrawn("i-1"), ZoneRestored("b")}
+    assert poller.changes() == {UpstreamWithdrawn("i-1"), ZoneRestored("b")}
 
 
-def test_who_has_learned_elsewhere_meanwhile_has_to_list_again():
-    """An endpoint came by a relay and has gone since: no list of this process shows either."""
+def test_position_from_a_relay_requires_a_new_listing():
+    """Guards against keeping an endpoint that came from a relay and left between two listings."""
     store = ListStore(routes__current=DOCUMENT)
-    asker = Asker(StoreControl(store, "g/"))
-    asker.index = kit.at(asker.index.revision + 5)
-    found = _result(asker.control.changes(asker.index, timedelta(0))).ok
+    poller = Poller(StoreControl(store, "g/"))
+    poller.index = kit.at(poller.index.revision + 5)
+    found = _result(poller.control.changes(poller.index, timedelta(0))).ok
     assert found.lost and found.facts == ()
-    relisted = Asker(asker.control)
+    relisted = Poller(poller.control)
     assert relisted.changes() == set()
 
 
-def test_the_configurations_number_is_its_version_in_the_store():
+def test_configuration_number_is_its_version_in_the_store():
     store = ListStore(routes__current=DOCUMENT)
     (fact,) = _result(StoreControl(store, "g/").read()).ok.facts
     assert fact.plan.number == store.values["g/routes/current"].version
 
 
-def test_unreadable_items_say_why():
+def test_unreadable_items_have_an_error_text():
     store = ListStore(routes__current={}, upstreams__i_1={}, entries__e_1=[])
     facts = _result(StoreControl(store, "g/").read()).ok.facts
     assert {type(fact) for fact in facts} == {Unreadable, UpstreamUnreadable}
@@ -149,7 +149,7 @@
     assert all(fact.detail for fact in facts)
 
 
-def test_entries_record_themselves_and_read_each_other():
+def test_recorded_entries_are_read_back():
     store = ListStore()
     control = StoreControl(store, "g/")
     assert _result(control.record(RECORD, 3000 * kit.MS)) == Ok("s-1")
@@ -158,7 +158,7 @@
     assert _facts(control) == {EntryWithdrawn("e-1")}
 
 
-def test_a_record_that_another_lease_holds_is_a_failure_and_leaves_no_lease():
+def test_record_held_by_another_lease_fails_and_releases_the_new_lease():
     store = ListStore()
     store.acquired = Ok(False)
     failure = _result(StoreControl(store, "g/").record(RECORD, 3000 * kit.MS)).error
@@ -166,14 +166,14 @@
     assert store.released == ["s-1"]
 
 
-def test_a_list_that_fails_is_a_failure():
+def test_failed_listing_is_a_failure():
     store = ListStore()
     store.list = lambda prefix: succeed(Error("away"))
     assert _result(StoreControl(store, "g/").changes(1, timedelta(0))).is_error()
 
 
 class Upstream(Resource):
-    """An endpoint that repeats the request's id and tells who it is."""
+    """An endpoint that returns the request's id and the expected instance."""
 
     isLeaf = True  # noqa: N815
 
@@ -184,8 +184,8 @@
         return b"menu of " + request.uri
 
 
-class WholePath(TestCase):
-    """A gateway, the stand-in store and an endpoint, joined over real sockets."""
+class GatewaySocketTest(TestCase):
+    """A gateway, the stand-in store and an endpoint, connected over sockets."""
 
     timeout = 60
 
--- a/packages/gateway/tests/test_time_of_day.py
+++ b/packages/gateway/tests/test_time_of_day.py
@@ -1,15 +1,7 @@
-"""The time of day moves while a gateway runs; nothing that it promises may follow it.
+"""Steps of the time of day must not delay the timers of a gateway process.
 
-What users saw: callers got 404 for a route that operators had added and the store had confirmed
-4.5 s before, from one gateway of ten. The time of day on its VM had been 6 s ahead and went back.
-From then on nothing was due there for 6 s: it asked the store for no changes and did not renew its
-lease, so that the others stopped naming it, and went on serving by the configuration it had. Its
-loop counted the time until a timer by the time of day.
-
-Evidence: the store's record shows no call of that gateway for 7.0 s, while its own log shows
-requests served in each of these seconds; the stamps of the lines go back by 6.0 s at the same time.
-
-The gateways here are real processes, and only what they take for the time of day is moved.
+Guards against an event loop that schedules by the time of day: after a step back, the gateway
+neither reads changes nor renews its lease until the clock has caught up. Only `time.time` is moved.
 """
 
 import signal
@@ -19,15 +11,15 @@
 from cardamomloft_standins import processes
 
 STEP_S = 20.0
-"""Further than any bound below, so that a timer that follows the time of day can't be in time."""
+"""Longer than all bounds below, so that a timer that follows the time of day is late."""
 
-IN_FORCE_S = 2.5
-"""What is promised for the `drain_time` of the settings below; it is in force within 0.4 of it."""
+DRAIN_S = 2.5
+"""Drain time of the settings, within which a change must be in force."""
 
-IDLE_S = 2.0
-"""Time in which a gateway renews its lease at least once: it does so each 1.5 s."""
+STEP_PAUSE_S = 2.0
+"""Pause after a step; longer than the 1.5 s interval of lease renewals."""
 
-STEPPED = """
+SCRIPT = """
 import runpy, signal, sys, time
 true_time, offset = time.time, 0.0
 time.time = lambda: true_time() + offset
@@ -42,7 +34,7 @@
 AHEAD, BACK = signal.SIGUSR1, signal.SIGUSR2
 
 
-LAUNCH = ("-c", STEPPED.format(step=STEP_S), "gateway")
+LAUNCH = ("-c", SCRIPT.format(step=STEP_S), "gateway")
 
 
 @pytest.fixture
@@ -57,25 +49,25 @@
             yield proc, cfg, address, log
 
 
-def lapsed(log):
+def has_lease_expired(log):
     return "entry-lease-lapsed" in log.read_text()
 
 
 @pytest.mark.parametrize("steps", [[AHEAD, BACK], [BACK], [AHEAD]])
-def test_a_change_is_in_force_in_time_while_the_time_of_day_moves(running, steps):
+def test_change_is_in_force_in_time_despite_clock_steps(running, steps):
     proc, cfg, address, log = running
     before = processes.status(cfg)["configuration"]
     for step in steps:
         proc.send_signal(step)
-        time.sleep(IDLE_S)
+        time.sleep(STEP_PAUSE_S)
     processes.configure(address, head_bytes=8192)
     assert processes.eventually(
-        lambda: processes.status(cfg)["configuration"] > before, IN_FORCE_S
+        lambda: processes.status(cfg)["configuration"] > before, DRAIN_S
     ), log.read_text()
-    assert not lapsed(log)
+    assert not has_lease_expired(log)
 
 
-def test_a_gateway_stops_in_its_time_while_the_time_of_day_goes_back(running):
+def test_gateway_stops_in_time_despite_a_clock_step_back(running):
     proc, cfg, address, log = running
     proc.send_signal(signal.SIGTERM)
     assert processes.eventually(lambda: '"cardamomloft:leaving"' in log.read_text(), 2.0)
