--- a/packages/gateway/tests/test_gateway_forwarding.py
+++ b/packages/gateway/tests/test_gateway_forwarding.py
@@ -97,7 +97,7 @@
     assert all(0.1 < wait < 1 for wait in waits)
 
 
-@pytest.mark.parametrize(("load", "keeps"), [("1,0,4", True), ("4,3,4", False), ("3,1,4", False)])
+@pytest.mark.parametrize(("load", "is_kept"), [("1,0,4", True), ("4,3,4", False), ("3,1,4", False)])
 def test_refusing_endpoint_keeps_its_keys_only_if_it_reports_a_free_slot(load, is_kept):
     shed = kit.answer(503, b"", not_run=True, x_load=load)
     bench = Bench(shed, kit.answer())
--- a/packages/gateway/tests/test_heeding.py
+++ b/packages/gateway/tests/test_heeding.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    "other", [{"path": "/menus/8"}, {"body": b"?"}, {"caller": "app/2"}], ids=str
+    "change", [{"path": "/menus/8"}, {"body": b"?"}, {"caller": "app/2"}], ids=str
 )
 def test_request_with_another_path_body_or_caller_is_not_quarantined(change):
     bench = quarantined(kit.answer())
@@ -62,7 +62,7 @@
     assert quarantined(kit.answer()).answer(address="10.9.0.1").status == 503
 
 
-@pytest.mark.parametrize("answered", [kit.answer(), kit.answer(404, b"none"), kit.answer(500, b"")])
+@pytest.mark.parametrize("answer", [kit.answer(), kit.answer(404, b"none"), kit.answer(500, b"")])
 def test_answer_to_a_request_clears_its_earlier_crashes(answer):
     bench = Bench(CRASH, CRASH, answer, CRASH, CRASH, kit.answer(), endpoints=8)
     for _ in range(3):
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -116,7 +116,7 @@
     assert view.eligible() == ["i-1", "i-2"]
 
 
-@pytest.mark.parametrize("listed_again", [False, True])
+@pytest.mark.parametrize("is_relisted", [False, True])
 def test_unconfirmed_registration_is_used_after_the_confirmation_timeout(is_relisted):
     """Guards against never using an endpoint or entry that registered again before the listing."""
     view = View()
