--- a/packages/core/src/cardamomloft/core/accounts.py
+++ b/packages/core/src/cardamomloft/core/accounts.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from cardamomloft.core.limits import Limit, LimitKind
-from cardamomloft.core.loans import Lendings, Loans
+from cardamomloft.core.loans import BorrowedLoans, GrantedLoans
 from cardamomloft.core.ownership import Ownership
 
 PEAK_WINDOW = timedelta(milliseconds=100)
@@ -32,7 +32,7 @@
     """What this entry owns, uses, lends and borrows of one limit."""
 
     __slots__ = (
-        "lendings",
+        "granted_loans",
         "limit",
         "loans",
         "ownership",
@@ -49,18 +49,18 @@
         self.wanted = 0
         self.peak = 0
         self.peak_at = _ZERO
-        self.lendings: Lendings | None = None
-        self.loans: Loans | None = None
+        self.granted_loans: GrantedLoans | None = None
+        self.loans: BorrowedLoans | None = None
 
     @property
     def lent(self) -> int:
         """Own units lent to others."""
-        return self.lendings.lent if self.lendings else 0
+        return self.granted_loans.lent if self.granted_loans else 0
 
     @property
     def is_busy(self) -> bool:
         """Whether anything is in use, lent or borrowed."""
-        return bool(self.used or self.lendings or self.loans)
+        return bool(self.used or self.granted_loans or self.loans)
 
     def is_clear(self, now: timedelta) -> bool:
         """Tell whether neither this life nor an earlier one has left anything behind."""
@@ -75,7 +75,7 @@
         own = max(self.free_own(), 0)
         return own + self.loans.free(now) if self.loans else own
 
-    def note_use(self, amount: int, now: timedelta) -> None:
+    def record_use(self, amount: int, now: timedelta) -> None:
         """Keep the recent peak of own use."""
         if amount >= self.peak or now - self.peak_at > PEAK_WINDOW:
             self.peak = amount
@@ -86,7 +86,7 @@
 
         It is negative if units that are lent are wanted here.
         """
-        self.note_use(self.used, now)
+        self.record_use(self.used, now)
         spare = self.free_own() - self.wanted
         return spare if spare < 0 else max(spare - self.peak + self.used, 0)
 
--- a/packages/core/src/cardamomloft/core/budgets.py
+++ b/packages/core/src/cardamomloft/core/budgets.py
@@ -31,11 +31,11 @@
     """
 
     def __init__(self, ratio: float, slack: float, window: timedelta) -> None:
-        self.allow(ratio, slack, window)
+        self.set_limits(ratio, slack, window)
         self._requests: deque[timedelta] = deque()
         self._repeats: deque[timedelta] = deque()
 
-    def allow(self, ratio: float, slack: float, window: timedelta) -> None:
+    def set_limits(self, ratio: float, slack: float, window: timedelta) -> None:
         """Hold other bounds from now on; what was counted stays."""
         self._ratio = ratio
         self._slack = slack
@@ -46,7 +46,7 @@
         self._requests.append(now)
         self._forget(now)
 
-    def may_repeat(self, entries: int, now: timedelta) -> bool:
+    def may_retry(self, entries: int, now: timedelta) -> bool:
         """Tell whether one more repeat fits this entry's part.
 
         Parameters
--- a/packages/core/src/cardamomloft/core/touches.py
+++ b/packages/core/src/cardamomloft/core/cachestate.py
@@ -7,14 +7,14 @@
 import enum
 from collections import OrderedDict
 
-from cardamomloft.core.upstreambook import Upstream
+from cardamomloft.core.upstreamtable import Upstream
 
 PAIRS_KEPT = 20_000
 """Pairs of endpoint and object that are kept, the longest unused forgotten first, at 0.2 KB each
 (tracemalloc, 20,000 of them)."""
 
 
-class Touch(enum.StrEnum):
+class CacheState(enum.StrEnum):
     """What a request is for its object at its endpoint, as this entry sees it.
 
     `FIRST`: nothing was done there before. `BESIDE`: the first has not ended yet, and this one is
@@ -27,20 +27,20 @@
     NONE = "no-object"
 
 
-class Touches:
+class CacheTracker:
     """Remembers pairs of endpoint and object; a new life of an endpoint knows nothing."""
 
     def __init__(self) -> None:
         self._answered: OrderedDict[tuple[str, int, str], bool] = OrderedDict()
 
-    def look(self, upstream: Upstream, key: str) -> Touch:
+    def state_of(self, upstream: Upstream, key: str) -> CacheState:
         """Return what a request for `key` would be at `upstream`."""
         answered = self._answered.get(_pair(upstream, key))
         if answered is None:
-            return Touch.FIRST
-        return Touch.KNOWN if answered else Touch.BESIDE
+            return CacheState.FIRST
+        return CacheState.KNOWN if answered else CacheState.BESIDE
 
-    def sent(self, upstream: Upstream, key: str) -> None:
+    def record_sent(self, upstream: Upstream, key: str) -> None:
         """Note that a request for `key` goes to `upstream`."""
         pair = _pair(upstream, key)
         self._answered.setdefault(pair, False)
@@ -48,11 +48,11 @@
         if len(self._answered) > PAIRS_KEPT:
             self._answered.popitem(last=False)
 
-    def answered(self, upstream: Upstream, key: str) -> None:
+    def record_answer(self, upstream: Upstream, key: str) -> None:
         """Note that `upstream` has handled a request for `key`."""
         self._answered[_pair(upstream, key)] = True
 
-    def failed(self, upstream: Upstream, key: str) -> None:
+    def record_failure(self, upstream: Upstream, key: str) -> None:
         """Note that a request did not run, or that nobody knows whether it did."""
         pair = _pair(upstream, key)
         if self._answered.get(pair) is False:
--- a/packages/core/src/cardamomloft/core/changes.py
+++ b/packages/core/src/cardamomloft/core/changes.py
@@ -109,7 +109,7 @@
     winner: Record
 
 
-class StoreAway(t.NamedTuple):
+class StoreUnavailable(t.NamedTuple):
     """The store didn't answer and the change provably did not take effect."""
 
     detail: str
@@ -139,7 +139,7 @@
     number: int
 
 
-Outcome = Recorded | Conflict | StoreAway | Unsettled
+Outcome = Recorded | Conflict | StoreUnavailable | Unsettled
 Step = Swap | ReadCurrent | ReadAudit | Outcome
 
 
@@ -194,7 +194,7 @@
         self._expect(_Phase.SWAPPING)
         self._maybe_sent = self._maybe_sent or ambiguous
         if not self._maybe_sent:
-            return self._end(StoreAway(detail))
+            return self._end(StoreUnavailable(detail))
         return self._read()
 
     def on_current(self, current: Record | None, version: int) -> Step:
--- a/packages/core/src/cardamomloft/core/checking.py
+++ b/packages/core/src/cardamomloft/core/checking.py
@@ -16,7 +16,7 @@
 from cardamomloft.core.model import Priority
 from cardamomloft.core.references import reference_mistakes
 from cardamomloft.core.requests import idempotent_methods, service_priority
-from cardamomloft.core.rules import ANY_VALUE, clean_prefix, is_under, path_prefixes
+from cardamomloft.core.rules import ANY_VALUE, is_under, path_prefixes, strip_trailing_slashes
 from expression import Error, Ok, Result
 from pydantic import TypeAdapter, ValidationError
 from pydantic_core import ErrorDetails
@@ -243,7 +243,7 @@
 def _trait(when: When) -> _Trait:
     """Return one condition to file a rule under, so that few rules need to be compared."""
     if "path" in when:
-        return ("path", clean_prefix(when["path"]))
+        return ("path", strip_trailing_slashes(when["path"]))
     if "block" in when:
         return ("block", parse_block(when["block"]))
     if "headers" in when:
@@ -288,7 +288,7 @@
 
 
 def _path_implied(wanted: str, inner: When, document: Document) -> bool:
-    outer = clean_prefix(wanted)
+    outer = strip_trailing_slashes(wanted)
     return any(is_under(path, outer) for path in _implied_paths(inner, document))
 
 
@@ -297,7 +297,7 @@
     prefixes = [when["path"]] if "path" in when else []
     if "service" in when:
         prefixes.append(document["services"][when["service"]]["prefix"])
-    return [clean_prefix(prefix) for prefix in prefixes or ["/"]]
+    return [strip_trailing_slashes(prefix) for prefix in prefixes or ["/"]]
 
 
 def _header_implied(name: str, value: str, given: Mapping[str, str]) -> bool:
@@ -306,7 +306,7 @@
 
 def _meet(path: str, prefix: str) -> bool:
     """Tell whether some request path is under both prefixes."""
-    one, other = clean_prefix(path), clean_prefix(prefix)
+    one, other = strip_trailing_slashes(path), strip_trailing_slashes(prefix)
     return is_under(one, other) or is_under(other, one)
 
 
--- a/packages/core/src/cardamomloft/core/claims.py
+++ b/packages/core/src/cardamomloft/core/claims.py
@@ -18,7 +18,7 @@
 
 from .clock import Clock
 from .model import Incarnation, Refusal, RefusalReason, Unknown
-from .operations import WINDOW, OwnId
+from .operations import ID_VALIDITY_WINDOW, CallerSuppliedId
 
 AHEAD = timedelta(minutes=5)
 LOOK_BACK = timedelta(minutes=5)
@@ -109,7 +109,7 @@
         self._tokens -= 1.0
         return True
 
-    def limit(self, per_second: float) -> None:
+    def set_rate(self, per_second: float) -> None:
         """Change the budget; what has been saved up is kept within the new bound."""
         self._per_second = per_second
         self._tokens = min(self._tokens, max(1.0, per_second))
@@ -154,7 +154,7 @@
         clock: Clock,
         *,
         writes_per_s: float,
-        window: timedelta = WINDOW,
+        window: timedelta = ID_VALIDITY_WINDOW,
         look_back: timedelta = LOOK_BACK,
         ahead: timedelta = AHEAD,
         max_skew: timedelta = MAX_SKEW,
@@ -203,7 +203,9 @@
         if self._lease is not None and self._lease.name == lease:
             self._lease = None
 
-    def start(self, own: OwnId, fingerprint: str) -> Result["Attempt", Refusal | Unknown]:
+    def start(
+        self, own: CallerSuppliedId, fingerprint: str
+    ) -> Result["Attempt", Refusal | Unknown]:
         """Begin to settle who may run `own`; ask the ledger first, it may know already."""
         age = self.clock.utcnow() - own.stamped
         if -age > self._ahead:
@@ -244,7 +246,9 @@
     stopped together with its clocks.
     """
 
-    def __init__(self, claims: Claims, own: OwnId, fingerprint: str, lease: Lease | None) -> None:
+    def __init__(
+        self, claims: Claims, own: CallerSuppliedId, fingerprint: str, lease: Lease | None
+    ) -> None:
         self._claims = claims
         self._own = own
         self._fingerprint = fingerprint
--- a/packages/core/src/cardamomloft/core/entrybook.py
+++ b/packages/core/src/cardamomloft/core/entrytable.py
@@ -3,22 +3,22 @@
 from collections import deque
 from datetime import timedelta
 
-from cardamomloft.core.recent import Recent
-from cardamomloft.core.registrations import RETURN_TIME, EntryRecord
+from cardamomloft.core.recent import RecentSet
+from cardamomloft.core.registrations import RENEWAL_GRACE, EntryRecord
 
 GONE_KEPT = 5_000
 """Names of entries that have gone and are remembered: several times the largest fleet."""
 
 
-class EntryBook:
+class EntryTable:
     """Which entries are there, and among how many a budget is to be divided.
 
     Parameters
     ----------
     own
         This entry, which is there whatever the store says.
-    memory
-        How long an entry that has gone still counts for `sharing`: the length of the longest
+    count_window
+        How long an entry that has gone still counts for `max_recent_count`: the length of the longest
         sliding window of a budget, in which it may have spent its part.
 
     Attributes
@@ -27,13 +27,13 @@
         Grows whenever the records change.
     """
 
-    def __init__(self, own: EntryRecord, memory: timedelta) -> None:
+    def __init__(self, own: EntryRecord, count_window: timedelta) -> None:
         self._own = own
-        self.memory = memory
+        self.count_window = count_window
         self.version = 0
         self._records: dict[str, EntryRecord] = {}
         self._missing: set[str] = set()
-        self._gone = Recent[str](GONE_KEPT)
+        self._gone = RecentSet[str](GONE_KEPT)
         self._patience_until = timedelta(0)
         self._counts: deque[tuple[timedelta, int]] = deque()
 
@@ -42,7 +42,7 @@
         others = [record for name, record in self._records.items() if name != self._own.name]
         return [*others, self._own] if with_own else others
 
-    def sharing(self, now: timedelta) -> int:
+    def max_recent_count(self, now: timedelta) -> int:
         """Return the largest number of entries that were there at one time lately, at least 1."""
         self._count(now)
         return max(count for _, count in self._counts)
@@ -74,15 +74,15 @@
         self._count(now)
         return True
 
-    def listed(self, names: set[str], now: timedelta) -> list[str]:
+    def withdraw_unlisted(self, names: set[str], now: timedelta) -> list[str]:
         """Withdraw all that are not among `names`; return those withdrawn."""
         return [
             name for name in list(self._records) if name not in names and self.withdraw(name, now)
         ]
 
-    def expect_returns(self, now: timedelta) -> None:
+    def start_grace_period(self, now: timedelta) -> None:
         """Note that the store answers again: records that lapsed meanwhile may come back."""
-        self._patience_until = now + RETURN_TIME
+        self._patience_until = now + RENEWAL_GRACE
 
     def tick(self, now: timedelta) -> list[str]:
         """Withdraw what did not come back in time; return the names."""
@@ -93,8 +93,8 @@
 
     def _count(self, now: timedelta) -> None:
         count = len(self._records.keys() | {self._own.name})
-        # A count holds until the next one: the first must reach back to the memory's begin.
-        while len(self._counts) > 1 and now - self._counts[1][0] > self.memory:
+        # A count holds until the next one: the first must reach back to the count_window's begin.
+        while len(self._counts) > 1 and now - self._counts[1][0] > self.count_window:
             self._counts.popleft()
         if not self._counts or self._counts[-1][1] != count:
             self._counts.append((now, count))
--- a/packages/core/src/cardamomloft/core/estimates.py
+++ b/packages/core/src/cardamomloft/core/estimates.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from cardamomloft.core.upstreambook import LoadReport, Upstream
+from cardamomloft.core.upstreamtable import LoadReport, Upstream
 
 REPORT_LIFE = timedelta(seconds=1)
 """How long a load report says more than this entry's own counts; it fades out over this time.
@@ -46,9 +46,9 @@
 
 def expected_time(upstream: Upstream, load: float) -> timedelta:
     """Return how long an answer will take from an endpoint with `load` requests, if known."""
-    if upstream.work is None:
+    if upstream.service_time is None:
         return _ZERO
-    return upstream.work * max(1.0, (load + 1) / upstream.registration.slots)
+    return upstream.service_time * max(1.0, (load + 1) / upstream.registration.slots)
 
 
 def described(upstream: Upstream, now: timedelta) -> str:
--- a/packages/core/src/cardamomloft/core/ledger.py
+++ b/packages/core/src/cardamomloft/core/ledger.py
@@ -113,7 +113,7 @@
     ----------
     clock
         Only its monotonic time is used.
-    max_entries
+    max_operations
         Most operations held.
     max_bytes
         Most bytes held, each entry counted with :data:`ENTRY_BYTES`, its id and its answer. An
@@ -129,7 +129,7 @@
         self,
         clock: Clock,
         *,
-        max_entries: int,
+        max_operations: int,
         max_bytes: int,
         answer_limit: int = ANSWER_LIMIT,
         grace: timedelta = GRACE,
@@ -137,7 +137,7 @@
         if grace <= timedelta(0):
             raise ValueError("grace must be positive")
         self._clock = clock
-        self._max_entries = max_entries
+        self._max_operations = max_operations
         self._max_bytes = max_bytes
         self._answer_limit = answer_limit
         self._grace = grace
@@ -155,7 +155,7 @@
         """Bytes counted against the bound."""
         return self._bytes
 
-    def look(self, operation: str, fingerprint: str) -> Result[Standing | None, Refusal]:
+    def lookup(self, operation: str, fingerprint: str) -> Result[Standing | None, Refusal]:
         """Say where an operation stands without beginning it; None if it is not held."""
         self._forget()
         entry = self._entries.get(operation)
@@ -192,7 +192,7 @@
             that is not held is refused, and `grace` later its outcome is unknown, because the
             ledger may have forgotten it.
         """
-        found = self.look(operation, fingerprint)
+        found = self.lookup(operation, fingerprint)
         if found.is_error() or found.ok is not None:
             return found
         now = self._clock.monotonic()
@@ -201,7 +201,7 @@
         if now >= expires:
             return Error(Refusal(RefusalReason.EXPIRED, "the id has expired and was not run"))
         charge = ENTRY_BYTES + len(operation) + self._answer_limit
-        if len(self._entries) >= self._max_entries or self._bytes + charge > self._max_bytes:
+        if len(self._entries) >= self._max_operations or self._bytes + charge > self._max_bytes:
             return Error(self._full())
         entry = _Entry(fingerprint, _second_after(expires + self._grace), charge)
         self._entries[operation] = entry
--- a/packages/core/src/cardamomloft/core/lending.py
+++ b/packages/core/src/cardamomloft/core/lending.py
@@ -9,7 +9,7 @@
 
 from cardamomloft.core.accounts import Account
 from cardamomloft.core.limits import Limit, base_shares
-from cardamomloft.core.loans import Lendings, Loans, loan_numbers, longest_loan
+from cardamomloft.core.loans import BorrowedLoans, GrantedLoans, loan_numbers, longest_loan
 from cardamomloft.core.messages import (
     LoanGrant,
     LoanRecall,
@@ -48,31 +48,31 @@
         stopping: bool,
     ) -> LoanGrant | None:
         """Return the grant or denial of a request; None if it came before and is answered."""
-        if account.lendings is None:
-            account.lendings = Lendings(self._drift)
+        if account.granted_loans is None:
+            account.granted_loans = GrantedLoans(self._drift)
         spare = -1 if stopping else account.spare(now)
         longest = longest_loan(account.limit, self._drift)
-        return account.lendings.answer(borrower, req, spare, longest, now)
+        return account.granted_loans.answer(borrower, req, spare, longest, now)
 
     def close(self, account: Account | None, borrower: Incarnation, msg: LoanReturn) -> None:
         """Take units back that a borrower returns."""
-        lendings = account.lendings if account else None
-        lending = lendings.find(borrower, msg.number) if lendings is not None else None
+        granted_loans = account.granted_loans if account else None
+        lending = granted_loans.find(borrower, msg.number) if granted_loans is not None else None
         if lending:
-            lendings.close(lending)
+            granted_loans.close(lending)
 
     def tick(
         self, key: str, account: Account, now: timedelta, *, stopping: bool
     ) -> Iterator[Outgoing]:
         """Let loans run out, and call back what this entry needs itself."""
-        lendings = account.lendings
-        if lendings is None:
+        granted_loans = account.granted_loans
+        if granted_loans is None:
             return
-        lendings.expire(now)
-        if not lendings:
-            account.lendings = None
-        short = lendings.lent if stopping else account.wanted - account.free_own()
-        for seat, number in lendings.recall(short, now):
+        granted_loans.expire(now)
+        if not granted_loans:
+            account.granted_loans = None
+        short = granted_loans.lent if stopping else account.wanted - account.free_own()
+        for seat, number in granted_loans.recall(short, now):
             yield Outgoing(seat, LoanRecall(number, key))
 
 
@@ -131,7 +131,7 @@
     def _borrow(self, account: Account, now: timedelta) -> Iterator[Outgoing]:
         """Ask for what is wanted, and for more the more is borrowed already."""
         if account.loans is None:
-            account.loans = Loans(self._drift)
+            account.loans = BorrowedLoans(self._drift)
         loans, limit = account.loans, account.limit
         short = account.wanted - account.free(now) - loans.asked()
         if short <= 0:
--- a/packages/core/src/cardamomloft/core/loans.py
+++ b/packages/core/src/cardamomloft/core/loans.py
@@ -86,7 +86,7 @@
         return LoanGrant(self.number, key, self.granted, self.term // _MILLISECOND, 0)
 
 
-class Lendings:
+class GrantedLoans:
     """The lender's book of one limit.
 
     A lending that was returned stays in the book until its term is over, so that a late copy of
@@ -229,7 +229,7 @@
     length: timedelta
 
 
-class Loans:
+class BorrowedLoans:
     """The borrower's book of one limit: loans by their number, and requests under way."""
 
     __slots__ = ("_drift", "asks", "loans", "pauses")
--- a/packages/core/src/cardamomloft/core/membership.py
+++ b/packages/core/src/cardamomloft/core/membership.py
@@ -19,7 +19,7 @@
 
 FRESH = timedelta(seconds=4)
 SELDOM_FRESH = timedelta(seconds=60)
-CACHED = timedelta(seconds=1)
+CANDIDATE_CACHE_TTL = timedelta(seconds=1)
 MAX_PAST_LIVES = 8
 RING_SUCCESSORS = 3
 SMALL_FLEET = 16
@@ -130,11 +130,11 @@
             return
         self._note(sender, digest)
 
-    def set_self(self, digest: Digest) -> None:
+    def set_own_digest(self, digest: Digest) -> None:
         """Note this entry's own digest, by which it may recommend itself."""
         self._note(self._me, digest)
 
-    def on_vms(self, rows: Iterable[VmRow]) -> None:
+    def on_vm_list(self, rows: Iterable[VmRow]) -> None:
         """Take the platform's list, which lags; give it in whole at each fetch."""
         for row in rows:
             before = self._vms.get(row.name)
@@ -211,13 +211,13 @@
         heard = self._heard.get(seat)
         return self._clock.monotonic() - heard.at if heard else None
 
-    def hears_any(self) -> bool:
+    def has_recent_peer(self) -> bool:
         """Tell whether any peer's digest came lately."""
         now = self._clock.monotonic()
         others = (heard for seat, heard in self._heard.items() if seat != self._me.seat)
         return any(now - heard.at <= self._fresh for heard in others)
 
-    def standing(self, standbys: int) -> tuple[bool, int]:
+    def standby_status(self, standbys: int) -> tuple[bool, int]:
         """Tell whether this entry is among its region's standby stewards, and the region's size.
 
         Only seats known to be out are passed over; in a large fleet most are never heard from.
@@ -363,7 +363,7 @@
         now = self._clock.monotonic()
         if now >= self._groups_until:
             self._groups.clear()
-            self._groups_until = now + CACHED
+            self._groups_until = now + CANDIDATE_CACHE_TTL
             usable = [seat for seat in self._order if self._usable(seat)]
             self._usable_now = [s for s in usable if not self._is_drained(s)] or usable
         if site not in self._groups:
--- a/packages/core/src/cardamomloft/core/messages.py
+++ b/packages/core/src/cardamomloft/core/messages.py
@@ -93,7 +93,7 @@
     at: str
 
 
-class ChangesQuestion(t.NamedTuple):
+class ChangesRequest(t.NamedTuple):
     """Ask a relay for what has changed in the control store after the revision `after` of `era`.
 
     `number` is unique within the asking process. The relay may wait `wait_ms` for a change.
@@ -105,8 +105,8 @@
     wait_ms: int
 
 
-class ChangesAnswer(t.NamedTuple):
-    """Answer the :class:`ChangesQuestion` with this `number`.
+class ChangesResponse(t.NamedTuple):
+    """Answer the :class:`ChangesRequest` with this `number`.
 
     `facts` are all changes up to the revision `index` of `era`, in their wire form, or all that the
     store holds then if they are the `whole`; None if the relay knows nothing yet. Its knowledge was
@@ -122,13 +122,13 @@
     held_ms: int
 
 
-class NoticesTold(t.NamedTuple):
+class NoticePush(t.NamedTuple):
     """Tell another entry of notices, in their wire form."""
 
     notices: bytes
 
 
-class NoticesCompared(t.NamedTuple):
+class NoticeDigest(t.NamedTuple):
     """Compare what two entries hold: the sums of each part of it.
 
     The other one sends what it holds in the parts that differ and, unless this `answers` such a
@@ -143,7 +143,7 @@
     address: str
 
 
-class ConfigurationTold(t.NamedTuple):
+class ConfigurationPush(t.NamedTuple):
     """Tell an entry that has just started of a newer configuration, as a fact in its wire form."""
 
     fact: bytes
@@ -160,11 +160,11 @@
     | ChunkRequest
     | ChunkReply
     | VmNotice
-    | ChangesQuestion
-    | ChangesAnswer
-    | NoticesTold
-    | NoticesCompared
-    | ConfigurationTold
+    | ChangesRequest
+    | ChangesResponse
+    | NoticePush
+    | NoticeDigest
+    | ConfigurationPush
 )
 
 
--- a/packages/core/src/cardamomloft/core/naming.py
+++ b/packages/core/src/cardamomloft/core/naming.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 from cardamomloft.core.affinity import unit_hash
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.registrations import EntryRecord
 
 MAX_NAMED = 64
@@ -16,7 +16,7 @@
 """Different questions whose answers are kept: callers state any zone and region they like."""
 
 
-class Names:
+class EntryLookup:
     """The entries that clients should use; each answer is kept until the entries change.
 
     Parameters
@@ -25,13 +25,13 @@
         The entries that are there.
     """
 
-    def __init__(self, entries: EntryBook) -> None:
+    def __init__(self, entries: EntryTable) -> None:
         self._entries = entries
         self._version = -1
         self._regions: Mapping[str, str] = {}
         self._kept: dict[tuple[str, str, frozenset[str], bool], list[EntryRecord]] = {}
 
-    def of(
+    def find(
         self,
         zone: str,
         region: str,
--- a/packages/core/src/cardamomloft/core/notices.py
+++ b/packages/core/src/cardamomloft/core/notices.py
@@ -22,7 +22,7 @@
 BUCKET_BITS = 53
 """Bits of the sum that stands for a part: whatever decodes numbers as floats keeps them whole."""
 
-REQUEST_LIFE = timedelta(minutes=5)
+CRASH_RETENTION = timedelta(minutes=5)
 """How long a crash under a request is remembered. Callers give up after seconds, so a request that
 comes later is a new one, and may find a mended upstream."""
 
@@ -89,13 +89,13 @@
     @property
     def life(self) -> timedelta:
         """How long the notice is kept."""
-        return EXCUSED_LIFE if self.excused else REQUEST_LIFE
+        return EXCUSED_LIFE if self.excused else CRASH_RETENTION
 
 
 Notice = UpstreamLeaving | CrashUnderRequest
 
 
-class Dated(t.NamedTuple):
+class DatedNotice(t.NamedTuple):
     """A notice, and the instant of this process's clock at which it was made."""
 
     notice: Notice
@@ -103,11 +103,11 @@
 
 
 class _Held(t.NamedTuple):
-    dated: Dated
+    dated: DatedNotice
     hashed: int
 
 
-class NoticeBoard:
+class NoticeTable:
     """The notices that one entry holds."""
 
     def __init__(self) -> None:
@@ -116,31 +116,31 @@
     def __len__(self) -> int:
         return len(self._held)
 
-    def take(self, told: Iterable[Dated], now: timedelta) -> list[Dated]:
+    def take(self, told: Iterable[DatedNotice], now: timedelta) -> list[DatedNotice]:
         """Keep what is told; return what is new here."""
         self._expire(now)
         return [dated for dated in told if self._take(dated, now)]
 
-    def sums(self, now: timedelta) -> tuple[int, ...]:
+    def checksums(self, now: timedelta) -> tuple[int, ...]:
         """Return a number for each part of what is held; equal ones stand for equal parts."""
         self._expire(now)
-        sums = [0] * BUCKETS
+        checksums = [0] * BUCKETS
         for _, hashed in self._held.values():
-            sums[hashed % BUCKETS] ^= hashed
-        return tuple(sums)
+            checksums[hashed % BUCKETS] ^= hashed
+        return tuple(checksums)
 
-    def differing(self, sums: Sequence[int], now: timedelta) -> list[Dated]:
+    def differing(self, checksums: Sequence[int], now: timedelta) -> list[DatedNotice]:
         """Return what is held in the parts in which another entry, with these sums, differs."""
-        own = self.sums(now)
-        if len(sums) != BUCKETS:
+        own = self.checksums(now)
+        if len(checksums) != BUCKETS:
             return [dated for dated, _ in self._held.values()]
         return [
             dated
             for dated, hashed in self._held.values()
-            if sums[hashed % BUCKETS] != own[hashed % BUCKETS]
+            if checksums[hashed % BUCKETS] != own[hashed % BUCKETS]
         ]
 
-    def _take(self, dated: Dated, now: timedelta) -> bool:
+    def _take(self, dated: DatedNotice, now: timedelta) -> bool:
         notice = dated.notice
         if now - dated.at > notice.life:
             return False
--- a/packages/core/src/cardamomloft/core/operations.py
+++ b/packages/core/src/cardamomloft/core/operations.py
@@ -17,7 +17,7 @@
 from .clock import Clock
 from .model import Incarnation, Refusal, RefusalReason, Request, Unknown
 
-WINDOW = timedelta(minutes=15)
+ID_VALIDITY_WINDOW = timedelta(minutes=15)
 ROTATION = timedelta(seconds=10)
 
 _MAC_BYTES = 16
@@ -47,7 +47,7 @@
         return Incarnation(self.seat, self.incarnation)
 
 
-class OwnId(t.NamedTuple):
+class CallerSuppliedId(t.NamedTuple):
     """An id that the caller made: a UUIDv7 in canonical form, and the UTC time stamped in it."""
 
     text: str
@@ -61,7 +61,7 @@
     left: timedelta
 
 
-def parse_operation(text: str) -> Result[SystemId | OwnId, Refusal]:
+def parse_operation(text: str) -> Result[SystemId | CallerSuppliedId, Refusal]:
     """Read an Idempotency-Key.
 
     Parameters
@@ -125,7 +125,7 @@
         clock: Clock,
         secret: bytes,
         *,
-        window: timedelta = WINDOW,
+        window: timedelta = ID_VALIDITY_WINDOW,
         rotation: timedelta = ROTATION,
     ) -> None:
         if not (_SEAT.fullmatch(me.seat) and _INCARNATION.fullmatch(me.number)):
@@ -190,7 +190,7 @@
         return base64.urlsafe_b64encode(digest[:_MAC_BYTES]).decode("ascii").rstrip("=")
 
 
-def _parse_system(text: str) -> Result[SystemId | OwnId, Refusal]:
+def _parse_system(text: str) -> Result[SystemId | CallerSuppliedId, Refusal]:
     # Only the seat may hold dots, so splitting from the right is unambiguous.
     parts = text.removeprefix("v1.").rsplit(".", _SYSTEM_ID_DOTS)
     if len(parts) != _SYSTEM_ID_DOTS + 1:
@@ -204,7 +204,7 @@
     return Ok(SystemId(seat, incarnation, int(epoch), mac, text))
 
 
-def _parse_own(text: str) -> Result[SystemId | OwnId, Refusal]:
+def _parse_own(text: str) -> Result[SystemId | CallerSuppliedId, Refusal]:
     if not _UUID.fullmatch(text):
         return Error(_invalid("expected an id under a prefix from a look-up, or a UUIDv7"))
     value = uuid.UUID(text)
@@ -219,7 +219,7 @@
         stamped = datetime.fromtimestamp(0, UTC) + timedelta(milliseconds=value.int >> 80)
     except OverflowError:
         return Error(_invalid("the time in the UUIDv7 is out of range"))
-    return Ok(OwnId(str(value), stamped))
+    return Ok(CallerSuppliedId(str(value), stamped))
 
 
 def _invalid(detail: str) -> Refusal:
--- a/packages/core/src/cardamomloft/core/quarantine.py
+++ b/packages/core/src/cardamomloft/core/quarantine.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from cardamomloft.core.notices import REQUEST_LIFE, CrashUnderRequest
-from cardamomloft.core.registrations import Life
+from cardamomloft.core.notices import CRASH_RETENTION, CrashUnderRequest
+from cardamomloft.core.registrations import UpstreamIncarnation
 
 CRASHES_TO_QUARANTINE = 3
 """Crashes without an answer between them after which a request is sent to no upstream. Two are met
@@ -28,7 +28,9 @@
     def __len__(self) -> int:
         return len(self._crashes)
 
-    def crashed(self, fingerprint: str, life: Life, now: timedelta) -> CrashUnderRequest:
+    def crash_notice(
+        self, fingerprint: str, life: UpstreamIncarnation, now: timedelta
+    ) -> CrashUnderRequest:
         """Return the notice of a crash of `life` while it had the request."""
         number = 1
         for (upstream, started_ms, known), at in self._crashes.get(fingerprint, {}).items():
@@ -36,7 +38,7 @@
                 number = max(number, known + (now - at >= RESTART_TIME))
         return CrashUnderRequest(fingerprint, *life, number)
 
-    def answered(self, fingerprint: str) -> list[CrashUnderRequest]:
+    def clearing_notices(self, fingerprint: str) -> list[CrashUnderRequest]:
         """Return the notices that excuse a request that has got an answer."""
         return [
             CrashUnderRequest(fingerprint, *key, excused=True)
@@ -60,13 +62,13 @@
         crashes = _recent(self._crashes.get(fingerprint, {}).values(), now)
         if len(crashes) < CRASHES_TO_QUARANTINE:
             return None
-        return crashes[-CRASHES_TO_QUARANTINE] + REQUEST_LIFE
+        return crashes[-CRASHES_TO_QUARANTINE] + CRASH_RETENTION
 
-    def refused(self, now: timedelta) -> list[str]:
+    def quarantined(self, now: timedelta) -> list[str]:
         """Return the fingerprints of the requests that are refused."""
         return [each for each in self._crashes if self.refused_until(each, now) is not None]
 
-    def forget(self, now: timedelta) -> None:
+    def expire(self, now: timedelta) -> None:
         """Drop what is too old to count."""
         for fingerprint, crashes in list(self._crashes.items()):
             if not _recent(crashes.values(), now):
@@ -74,4 +76,4 @@
 
 
 def _recent(instants: Iterable[timedelta], now: timedelta) -> list[timedelta]:
-    return sorted(at for at in instants if now - at < REQUEST_LIFE)
+    return sorted(at for at in instants if now - at < CRASH_RETENTION)
--- a/packages/core/src/cardamomloft/core/ramping.py
+++ b/packages/core/src/cardamomloft/core/ramping.py
@@ -50,7 +50,7 @@
         return self.value
 
 
-class Selector:
+class WeightedRoundRobin:
     """Deals requests to places so that counts follow the fractions, with no random draw.
 
     Tijdeman's rule for the chairman assignment problem: of the places that are not ahead, take
@@ -94,7 +94,7 @@
         self.fractions: Fractions = dict(fractions)
         self.overflow = 0.0
         self._pace = Pace(now)
-        self._selector = Selector()
+        self._selector = WeightedRoundRobin()
         self._overflow_credit = 0.0
         self._overflow_wanted: timedelta | None = None
         self._reserves: dict[Priority, deque[str]] = {priority: deque() for priority in Priority}
--- a/packages/core/src/cardamomloft/core/recent.py
+++ b/packages/core/src/cardamomloft/core/recent.py
@@ -6,7 +6,7 @@
 T = t.TypeVar("T", bound=t.Hashable)
 
 
-class Recent(t.Generic[T]):
+class RecentSet(t.Generic[T]):
     """A set that lets go of what was added longest ago beyond a number of items."""
 
     def __init__(self, kept: int) -> None:
--- a/packages/core/src/cardamomloft/core/registrations.py
+++ b/packages/core/src/cardamomloft/core/registrations.py
@@ -9,7 +9,7 @@
 
 from cardamomloft.core.routes import RoutePlan
 
-RETURN_TIME = timedelta(milliseconds=2100)
+RENEWAL_GRACE = timedelta(milliseconds=2100)
 """How long registrations that lapsed while the store was away may take to come back.
 
 The platform promises about 2 s after the store's return, which is noticed up to 0.7 s late; in
@@ -17,7 +17,7 @@
 """
 
 
-class Life(t.NamedTuple):
+class UpstreamIncarnation(t.NamedTuple):
     """One life of an endpoint: a new one under the same id holds and knows nothing of before."""
 
     upstream_id: str
@@ -42,9 +42,9 @@
     started_ms: int = 0
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> UpstreamIncarnation:
         """What tells this life from others under the same id."""
-        return Life(self.id, self.started_ms)
+        return UpstreamIncarnation(self.id, self.started_ms)
 
 
 class EntryRecord(t.NamedTuple):
--- a/packages/core/src/cardamomloft/core/requests.py
+++ b/packages/core/src/cardamomloft/core/requests.py
@@ -8,7 +8,7 @@
 from cardamomloft.core.blocks import BlockMap
 from cardamomloft.core.document import Document, ServiceRow
 from cardamomloft.core.model import Priority, Refusal, RefusalReason, Request
-from cardamomloft.core.rules import bare_path, clean_prefix, path_prefixes
+from cardamomloft.core.rules import bare_path, path_prefixes, strip_trailing_slashes
 from expression import Error, Ok, Result
 
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
@@ -51,7 +51,7 @@
         if self._blocks is None:
             self._blocks = BlockMap.from_blocks(clients.get("blocks", {}), clients["default"])
         self._services = {
-            clean_prefix(row["prefix"]): _service(name, row)
+            strip_trailing_slashes(row["prefix"]): _service(name, row)
             for name, row in document["services"].items()
         }
         self._depth = max((prefix.count("/") for prefix in self._services), default=0)
--- a/packages/core/src/cardamomloft/core/restoration.py
+++ b/packages/core/src/cardamomloft/core/restoration.py
@@ -18,11 +18,11 @@
 from datetime import timedelta
 from functools import singledispatch
 
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.registrations import EntryRecorded, Fact, UpstreamRegistered, ZoneDrained
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 
-DOUBT_TIME = timedelta(seconds=10)
+CONFIRMATION_TIMEOUT = timedelta(seconds=10)
 """How long the copy is doubted. The leases of the dead run out in it, and operators write again
 what they had announced; a zone that they had opened again idles for so long."""
 
@@ -34,7 +34,7 @@
     doubted: tuple[Fact, ...]
 
 
-def sift(facts: Iterable[Fact], book: UpstreamBook, entries: EntryBook) -> Sifted:
+def classify_facts(facts: Iterable[Fact], book: UpstreamTable, entries: EntryTable) -> Sifted:
     """Divide the list of a restored store by what is known here."""
     taken: list[Fact] = []
     doubted: list[Fact] = []
@@ -43,21 +43,21 @@
     return Sifted(tuple(taken), tuple(doubted))
 
 
-def missing_drains(facts: Iterable[Fact], book: UpstreamBook) -> set[str]:
+def missing_drains(facts: Iterable[Fact], book: UpstreamTable) -> set[str]:
     """Return the zones that are drained here and not in the list."""
     return book.drained_zones - {fact.zone for fact in facts if isinstance(fact, ZoneDrained)}
 
 
 @singledispatch
-def _is_outdated(fact: Fact, book: UpstreamBook, entries: EntryBook) -> bool:
+def _is_outdated(fact: Fact, book: UpstreamTable, entries: EntryTable) -> bool:
     return False
 
 
 @_is_outdated.register
-def _(fact: UpstreamRegistered, book: UpstreamBook, entries: EntryBook) -> bool:
+def _(fact: UpstreamRegistered, book: UpstreamTable, entries: EntryTable) -> bool:
     return book.is_outdated(fact.registration)
 
 
 @_is_outdated.register
-def _(fact: EntryRecorded, book: UpstreamBook, entries: EntryBook) -> bool:
+def _(fact: EntryRecorded, book: UpstreamTable, entries: EntryTable) -> bool:
     return entries.has_gone(fact.record.name)
--- a/packages/core/src/cardamomloft/core/comeback.py
+++ b/packages/core/src/cardamomloft/core/retryafter.py
@@ -16,7 +16,7 @@
 told more return then anyway."""
 
 
-class Waits(t.NamedTuple):
+class RetryAfterBounds(t.NamedTuple):
     """From when until when callers return: without refusals before, and if all were refused.
 
     Work at an endpoint takes some hundred milliseconds, so single slots become free within the
@@ -31,14 +31,14 @@
     last_full: timedelta = timedelta(milliseconds=2700)
 
 
-class ComeBack:
+class RetryAfterPolicy:
     """What one entry tells the refused callers of one service."""
 
-    def __init__(self, waits: Waits) -> None:
+    def __init__(self, waits: RetryAfterBounds) -> None:
         self._waits = waits
         self._refused = 0.0
 
-    def note(self, refused: bool) -> None:
+    def record(self, refused: bool) -> None:
         """Note whether a request was refused."""
         self._refused += (refused - self._refused) / MEMORY
 
--- a/packages/core/src/cardamomloft/core/router.py
+++ b/packages/core/src/cardamomloft/core/router.py
@@ -109,7 +109,7 @@
         self.document: Document | None = None
         self.revision = 0
         self._links: frozenset[str] = frozenset()
-        self.nearby: tuple[Endpoint, ...] = ()
+        self.region_endpoints: tuple[Endpoint, ...] = ()
 
     def configure(
         self, revision: Revision, *, quarantine: bool, blocks: BlockMap | None = None
@@ -131,7 +131,7 @@
         self._links = frozenset(
             f"link/{row['origin']}/{row['target']}" for row in document.get("links", [])
         )
-        self.nearby = tuple(_endpoints_in(document, self.region))
+        self.region_endpoints = tuple(_endpoints_in(document, self.region))
         self.classifier = Classifier(document, blocks)
         self.rules = RuleSet(document)
         self.shares.configure(revision.number, limits_of(document), quarantine=quarantine)
@@ -219,7 +219,7 @@
         regions = self.document["regions"].items() if self.document else ()
         return next((name for name, zones in regions if zone in zones), "")
 
-    def link_to(self, endpoint: Endpoint) -> str | None:
+    def link_limit_key(self, endpoint: Endpoint) -> str | None:
         """Return the key of the rate limit between here and an endpoint, None if it has none."""
         key = f"link/{self.region}/{endpoint.region}"
         return key if key in self._links else None
@@ -228,7 +228,7 @@
         """Return the dispatches that are not finished."""
         return list(self._in_flight.values())
 
-    def report_wants(self) -> None:
+    def report_demand(self) -> None:
         """Tell the shares how much more of each limit the queues could use now."""
         unmet: dict[str, float] = {}
         for entry in self._waiting.values():
@@ -271,7 +271,7 @@
         if evicted is not None:
             entry = self._waiting.pop(evicted.item.number)
             self._evictions.append(Dropped(entry.ticket, evicted.refusal))
-        self.report_wants()
+        self.report_demand()
         return Ok(Waiting(ticket))
 
     def _pump_queue(self, queue: QueueKey) -> list[Dispatch | Dropped]:
--- a/packages/core/src/cardamomloft/core/rules.py
+++ b/packages/core/src/cardamomloft/core/rules.py
@@ -50,7 +50,7 @@
     return path.partition("?")[0]
 
 
-def clean_prefix(prefix: str) -> str:
+def strip_trailing_slashes(prefix: str) -> str:
     """Return a path prefix without trailing slashes; the root becomes empty."""
     return prefix.rstrip("/")
 
@@ -131,7 +131,7 @@
 
 def _unmet_path(wanted: str, here: _Here) -> str | None:
     path = bare_path(here.req.path)
-    if is_under(path, clean_prefix(wanted)):
+    if is_under(path, strip_trailing_slashes(wanted)):
         return None
     return f"path {path} is not under {wanted}"
 
@@ -351,7 +351,7 @@
         fixed={
             name: value for name, value in when.items() if name not in ("path", "block", "headers")
         },
-        path=None if path is None else clean_prefix(path),
+        path=None if path is None else strip_trailing_slashes(path),
         block=None if block is None else parse_block(block),
         headers=tuple(when.get("headers", {}).items()),
         outcome=_outcome(row["name"], row["then"]),
--- a/packages/core/src/cardamomloft/core/selection.py
+++ b/packages/core/src/cardamomloft/core/selection.py
@@ -15,6 +15,7 @@
 
 from cardamomloft.core.affinity import Candidate, first_ranked
 from cardamomloft.core.budgets import ColdLimit, cold_part, may_send_cold
+from cardamomloft.core.cachestate import CacheState, CacheTracker
 from cardamomloft.core.estimates import (
     SMOOTHING,
     described,
@@ -26,8 +27,7 @@
 from cardamomloft.core.ranks import OwnRanks
 from cardamomloft.core.routes import RouteRule, ServicePolicy
 from cardamomloft.core.sizes import Sizes
-from cardamomloft.core.touches import Touch, Touches
-from cardamomloft.core.upstreambook import LoadReport, Upstream, UpstreamBook
+from cardamomloft.core.upstreamtable import LoadReport, Upstream, UpstreamTable
 from cardamomloft.core.zones import slot_weights
 
 MAX_RESTING = 0.5
@@ -89,43 +89,43 @@
 
     Attributes
     ----------
-    choices
+    endpoints_per_key
         How many endpoints an object may be at. Each keeps a bounded number of objects at hand:
-        with more choices they push each other out, all work takes three times as long, and an
+        with more endpoints_per_key they push each other out, all work takes three times as long, and an
         overload of seconds never ends.
-    usual_load, least_load, most_load
+    default_load, min_load, max_load
         Load in parts of the slots up to which an object waits at its first endpoint: as far as the
-        rule's target allows, between the least and the most; `usual_load` as long as the time that
+        rule's target allows, between the least and the most; `default_load` as long as the time that
         work takes there is not known.
-    second_load
+    secondary_load
         Load up to which it goes to its second endpoint, where it is seldom at hand and pushes
         another object out.
-    known_load
+    cached_load
         Load up to which an object goes to its second endpoint when it is at hand there and the
         first is expected to answer later: a free slot. At 0 it never does.
-    repeat_load
+    retry_load
         Load up to which a request that has failed is sent to another endpoint: a free slot.
     """
 
     # Not tuned to one deployment: the load bounds only cap what the target and the work give.
-    choices: int = 2
-    usual_load: float = 2.25
-    least_load: float = 1.5
-    most_load: float = 3.0
-    second_load: float = 0.5
-    known_load: float = 1.0
-    repeat_load: float = 1.0
+    endpoints_per_key: int = 2
+    default_load: float = 2.25
+    min_load: float = 1.5
+    max_load: float = 3.0
+    secondary_load: float = 0.5
+    cached_load: float = 1.0
+    retry_load: float = 1.0
 
 
 class Reason(enum.StrEnum):
     """Why an endpoint was chosen.
 
-    `HOME`: it is the first of its object. `OVERFLOW`: the first has no room. `MOVED`: the first
+    `PRIMARY`: it is the first of its object. `OVERFLOW`: the first has no room. `MOVED`: the first
     rests after failures, or is cold. `REPEAT`: another had this request before. `COLD`: there are
     only cold ones.
     """
 
-    HOME = "home"
+    PRIMARY = "home"
     OVERFLOW = "overflow"
     MOVED = "moved"
     REPEAT = "repeat"
@@ -175,7 +175,7 @@
 
     def __init__(
         self,
-        book: UpstreamBook,
+        book: UpstreamTable,
         name: str,
         zone: str,
         cold: ColdLimit,
@@ -183,11 +183,11 @@
     ) -> None:
         self._book = book
         self._zone = zone
-        self.cold = cold
+        self.cold_limit = cold
         self._preferences = preferences
         self._rankings: dict[tuple[str, frozenset[str], bool], _Ranking] = {}
-        self.sizes = Sizes()
-        self.touches = Touches()
+        self.body_sizes = Sizes()
+        self.cache_states = CacheTracker()
         self.policies: Mapping[str, ServicePolicy] = {}
         self.entries = 1
         self._usual: dict[str, float] = {}
@@ -231,20 +231,20 @@
         order = self._order(rule, service, key)
         if not order:
             return Refusal(RefusalReason.NO_PLACE, f"{service} has no endpoint")
-        if all(max(up.cold_until, up.alone_until) > now or up.id in tried for up in order):
+        if all(max(up.cold_until, up.paused_until) > now or up.id in tried for up in order):
             ranking = self._ranking(rule, service)
             order = first_ranked(key, ranking.candidates, len(ranking.candidates))
-        alone_until = min(up.alone_until for up in order)
-        if alone_until > now:
+        paused_until = min(up.paused_until for up in order)
+        if paused_until > now:
             detail = f"no endpoint of {service} wants anything yet"
-            return Refusal(RefusalReason.OVERLOAD, detail, alone_until - now)
-        order = [up for up in order if up.alone_until <= now]
-        fit = [up for up in order if up.rest_until <= now]
+            return Refusal(RefusalReason.OVERLOAD, detail, paused_until - now)
+        order = [up for up in order if up.paused_until <= now]
+        fit = [up for up in order if up.ejected_until <= now]
         if len(fit) < len(order) * (1 - MAX_RESTING):
             fit = order
         warm = [up for up in fit if up.cold_until <= now]
-        choices = self._preferences.choices if rule.keyed else FIRST_RANKS
-        left = [up for up in warm if up.id not in tried][:choices]
+        endpoints_per_key = self._preferences.endpoints_per_key if rule.keyed else FIRST_RANKS
+        left = [up for up in warm if up.id not in tried][:endpoints_per_key]
         chosen = None
         if rule.keyed and not tried and len(left) > 1:
             chosen = self._sooner(left[0], left[1], key, until, now)
@@ -270,7 +270,7 @@
     ) -> Upstream | None:
         """Return the first in order of preference that is expected to answer in time."""
         preferences = self._preferences
-        other = preferences.repeat_load if repeated else preferences.second_load
+        other = preferences.retry_load if repeated else preferences.secondary_load
         for place, upstream in enumerate(warm):
             if upstream.full_until > now:
                 continue
@@ -292,14 +292,14 @@
         to its second endpoint only when the first is full.
         """
         load = expected_load(second, now)
-        bound = self._preferences.known_load * second.registration.slots
+        bound = self._preferences.cached_load * second.registration.slots
         if load >= bound or second.full_until > now:
             return None
-        if self.touches.look(second, key) is not Touch.KNOWN:
+        if self.cache_states.state_of(second, key) is not CacheState.KNOWN:
             return None
         there = expected_time(second, load)
         here = expected_time(first, expected_load(first, now))
-        if self.touches.look(first, key) is Touch.FIRST:
+        if self.cache_states.state_of(first, key) is CacheState.FIRST:
             here *= UNKNOWN_WORK
         return second if there < CLEARLY * here and now + there < until else None
 
@@ -315,16 +315,18 @@
     def _bound(self, upstream: Upstream, rule: RouteRule) -> float:
         """Return the load, in parts of the slots, at which an answer would miss its target."""
         preferences = self._preferences
-        if not upstream.work:
-            return preferences.usual_load
-        return min(max(rule.target / upstream.work, preferences.least_load), preferences.most_load)
+        if not upstream.service_time:
+            return preferences.default_load
+        return min(
+            max(rule.target / upstream.service_time, preferences.min_load), preferences.max_load
+        )
 
     def _cold_with_room(self, cold: list[Upstream], now: timedelta) -> Upstream | None:
         for upstream in cold:
             policy = self.policies.get(upstream.registration.service)
             rate = policy.cold_per_s if policy else 0.0
             place = self._ranks.of(upstream.id, upstream.seed)
-            part = cold_part(rate, self.cold, self.entries, place)
+            part = cold_part(rate, self.cold_limit, self.entries, place)
             if may_send_cold(upstream.cold_sends, part, now):
                 return upstream
         return None
@@ -340,7 +342,7 @@
         return found
 
     def _ranking(self, rule: RouteRule, service: str) -> "_Ranking":
-        bulky = self.sizes.is_bulky(rule.name)
+        bulky = self.body_sizes.is_bulky(rule.name)
         version = self._book.version(service)
         held = self._rankings.get((service, rule.homes, bulky))
         if held is not None and held.version == version:
@@ -376,17 +378,17 @@
 
     # What became of requests.
 
-    def sent(self, upstream: Upstream, now: timedelta) -> None:
+    def record_sent(self, upstream: Upstream, now: timedelta) -> None:
         """Note that a request goes to `upstream`."""
         upstream.in_flight += 1
         if upstream.cold_until > now:
             upstream.cold_sends.append(now)
 
-    def ended(self, upstream: Upstream) -> None:
+    def record_end(self, upstream: Upstream) -> None:
         """Note that a request there is over."""
         upstream.in_flight -= 1
 
-    def reported(self, upstream: Upstream, report: LoadReport) -> None:
+    def record_report(self, upstream: Upstream, report: LoadReport) -> None:
         """Note what an endpoint says of its load."""
         upstream.report = report
         service = upstream.registration.service
@@ -394,32 +396,32 @@
         known = self._usual.get(service, 0.0)
         self._usual[service] = known + (found - known) * SMOOTHING
 
-    def answered(self, upstream: Upstream, took: timedelta, load: float) -> None:
+    def record_answer(self, upstream: Upstream, took: timedelta, load: float) -> None:
         """Note an answer from an endpoint that had `load` requests when this one was sent."""
         upstream.failures = 0
-        upstream.rest_until = _ZERO
+        upstream.ejected_until = _ZERO
         alone = took / max(1.0, (load + 1) / upstream.registration.slots)
-        known = upstream.work
-        upstream.work = alone if known is None else known + (alone - known) * SMOOTHING
+        known = upstream.service_time
+        upstream.service_time = alone if known is None else known + (alone - known) * SMOOTHING
 
-    def refused(self, upstream: Upstream, now: timedelta, *, had_room: bool) -> None:
+    def record_refusal(self, upstream: Upstream, now: timedelta, *, had_room: bool) -> None:
         """Note that the endpoint refused a request; `had_room` if it reported a free slot then."""
         if not had_room:
             upstream.full_until = now + _FULL_TIME
 
-    def failed(self, upstream: Upstream, now: timedelta) -> None:
+    def record_failure(self, upstream: Upstream, now: timedelta) -> None:
         """Note that a request there failed; after some in a row the endpoint rests."""
         upstream.failures += 1
         if upstream.failures >= _FAILURES_TO_REST:
             rest = _FIRST_REST * 2 ** min(upstream.failures - _FAILURES_TO_REST, 4)
-            upstream.rest_until = now + min(rest, _LONGEST_REST)
+            upstream.ejected_until = now + min(rest, _LONGEST_REST)
 
 
 def _reason(chosen: Upstream, home: Upstream, first_fit: Upstream, repeated: bool) -> Reason:
     if repeated:
         return Reason.REPEAT
     if chosen is home:
-        return Reason.HOME
+        return Reason.PRIMARY
     return Reason.MOVED if chosen is first_fit else Reason.OVERFLOW
 
 
--- a/packages/core/src/cardamomloft/core/shares.py
+++ b/packages/core/src/cardamomloft/core/shares.py
@@ -27,7 +27,7 @@
 from cardamomloft.core.ownership import CoHolders
 from expression import Error, Ok, Result
 
-REVIEW = timedelta(milliseconds=200)
+REVIEW_INTERVAL = timedelta(milliseconds=200)
 """How often a division that is not settled is looked at without a report."""
 
 _ZERO = timedelta(0)
@@ -170,7 +170,7 @@
         loan = None
         if account.free_own() >= amount:
             account.used += amount
-            account.note_use(account.used, now)
+            account.record_use(account.used, now)
         else:
             loan = account.loans.use(amount, deadline, now) if account.loans else None
             if loan is None:
@@ -222,7 +222,7 @@
         account = self._accounts.get(key)
         if account:
             now = self._clock.monotonic()
-            account.note_use(min(rate, account.ownership.own), now)
+            account.record_use(min(rate, account.ownership.own), now)
             if account.loans:
                 account.loans.mark_used(rate - account.free_own(), now)
 
@@ -287,7 +287,7 @@
     def tick(self) -> list[Outgoing]:
         """Let loans run out, and send what is due; call it every 20 to 50 ms."""
         now = self._clock.monotonic()
-        if now - self._reviewed_at >= REVIEW:
+        if now - self._reviewed_at >= REVIEW_INTERVAL:
             self._review()
         outgoing: list[Outgoing] = []
         for key in sorted(self._active):
@@ -295,7 +295,7 @@
             self._touch(account)
             outgoing += self._lender.tick(key, account, now, stopping=self._stopping)
             outgoing += self._borrower.tick(key, account, now, stopping=self._stopping)
-            if not account.wanted and not account.lendings and not account.loans:
+            if not account.wanted and not account.granted_loans and not account.loans:
                 self._active.discard(key)
         return outgoing
 
--- a/packages/core/src/cardamomloft/core/sizes.py
+++ b/packages/core/src/cardamomloft/core/sizes.py
@@ -17,7 +17,7 @@
     def __init__(self) -> None:
         self._bytes: dict[str, float] = {}
 
-    def note(self, rule: str, size: int) -> None:
+    def record(self, rule: str, size: int) -> None:
         """Note the size of one request's body in bytes."""
         known = self._bytes.get(rule, size)
         self._bytes[rule] = known + (size - known) * SMOOTHING
--- a/packages/core/src/cardamomloft/core/stewardship.py
+++ b/packages/core/src/cardamomloft/core/stewardship.py
@@ -18,12 +18,12 @@
 from automat import MethodicalMachine
 from cardamomloft.core.clock import Clock
 
-LEASE = timedelta(seconds=10)
+LEASE_DURATION = timedelta(seconds=10)
 SLOW_READ = timedelta(seconds=5)
 FIRST_RETRY = timedelta(milliseconds=500)
 LAST_RETRY = timedelta(seconds=20)
 SILENCE = timedelta(milliseconds=1500)
-STANDBYS = 2
+STANDBYS_PER_REGION = 2
 
 
 class TryLease(t.NamedTuple):
@@ -158,7 +158,7 @@
     def _start_asking(self) -> Step:
         self._begin()
         self._holder = None
-        return TryLease(self._region, LEASE)
+        return TryLease(self._region, LEASE_DURATION)
 
     @_machine.output()
     def _start_renewal(self) -> Step:
@@ -179,7 +179,7 @@
         self._step_out = False
         self._failures = 0
         self._is_steward = True
-        self._next = self._asked + LEASE / 3
+        self._next = self._asked + LEASE_DURATION / 3
 
     @_machine.output()
     def _note_refusal(self) -> None:
@@ -221,14 +221,14 @@
         """Whether to watch the configuration key and pass on what it says."""
         return self._is_steward or (self._standby and self._holder_silent())
 
-    def place(self, *, standby: bool, size: int) -> None:
+    def set_role(self, *, standby: bool, size: int) -> None:
         """Set whether this entry is a standby, and the number of entries in its region."""
         if standby and not self._standby:
             self._next = min(self._next, self._clock.monotonic() + self._jittered(FIRST_RETRY))
         self._standby = standby
         self._size = max(size, 1)
 
-    def heard(self, process: str) -> None:
+    def record_message(self, process: str) -> None:
         """Note that a process, named as in the lease, sent a message.
 
         A new life of the holder's seat has no lease, so hearing it must not pass for the holder.
--- a/packages/core/src/cardamomloft/core/suspicion.py
+++ b/packages/core/src/cardamomloft/core/suspicion.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from datetime import timedelta
 
-from cardamomloft.core.registrations import Life
+from cardamomloft.core.registrations import UpstreamIncarnation
 
 FAILURES_TO_REST = 2
 """Failures in a row after which an endpoint rests; one may be an answer that was lost."""
@@ -41,14 +41,14 @@
         Failures that count.
     failed_at
         Instant of the latest of them.
-    rest_until
+    ejected_until
         Instant until which it is left alone.
     """
 
     others: frozenset[str]
     count: int
     failed_at: timedelta
-    rest_until: timedelta
+    ejected_until: timedelta
 
 
 _NEVER = timedelta(days=-1)
@@ -66,18 +66,20 @@
 
     def __init__(self, own: str) -> None:
         self._own = own
-        self._suspects: OrderedDict[Life, _Suspect] = OrderedDict()
-        self._answered: OrderedDict[Life, timedelta] = OrderedDict()
+        self._suspects: OrderedDict[UpstreamIncarnation, _Suspect] = OrderedDict()
+        self._answered: OrderedDict[UpstreamIncarnation, timedelta] = OrderedDict()
 
-    def is_suspected(self, life: Life) -> bool:
+    def is_suspected(self, incarnation: UpstreamIncarnation) -> bool:
         """Tell whether a failure is known since the last answer, so that the next one is news."""
-        return life in self._suspects
+        return incarnation in self._suspects
 
-    def rest_until(self, life: Life) -> timedelta:
+    def ejected_until(self, incarnation: UpstreamIncarnation) -> timedelta:
         """Return the instant until which an endpoint is left alone; long ago if it is not."""
-        return self._suspects.get(life, _WELL).rest_until
+        return self._suspects.get(incarnation, _WELL).ejected_until
 
-    def failed(self, life: Life, entry: str, at: timedelta, now: timedelta) -> None:
+    def record_failure(
+        self, incarnation: UpstreamIncarnation, entry: str, at: timedelta, now: timedelta
+    ) -> None:
         """Note that a request of `entry` failed there.
 
         Parameters
@@ -89,27 +91,27 @@
         now
             Monotonic instant, from which a rest begins.
         """
-        before = self._suspects.get(life, _WELL)
-        if at <= self._answered.get(life, _NEVER) or at < before.rest_until:
+        before = self._suspects.get(incarnation, _WELL)
+        if at <= self._answered.get(incarnation, _NEVER) or at < before.ejected_until:
             return
         if entry in before.others:
             return
         others = before.others if entry == self._own else before.others | {entry}
-        found = _Suspect(others, before.count + 1, max(at, before.failed_at), before.rest_until)
+        found = _Suspect(others, before.count + 1, max(at, before.failed_at), before.ejected_until)
         if found.count >= FAILURES_TO_REST:
-            found = found._replace(others=frozenset(), rest_until=now + _rest_after(found.count))
-        self._suspects.pop(life, None)
-        self._suspects[life] = found
+            found = found._replace(others=frozenset(), ejected_until=now + _rest_after(found.count))
+        self._suspects.pop(incarnation, None)
+        self._suspects[incarnation] = found
         if len(self._suspects) > SUSPECTS_KEPT:
             self._suspects.popitem(last=False)
 
-    def answered(self, life: Life, at: timedelta) -> None:
+    def record_answer(self, incarnation: UpstreamIncarnation, at: timedelta) -> None:
         """Note that the endpoint answered some entry at that instant."""
-        if at < self._suspects.get(life, _WELL).failed_at:
+        if at < self._suspects.get(incarnation, _WELL).failed_at:
             return
-        self._suspects.pop(life, None)
-        last = self._answered.pop(life, _NEVER)
-        self._answered[life] = max(at, last)
+        self._suspects.pop(incarnation, None)
+        last = self._answered.pop(incarnation, _NEVER)
+        self._answered[incarnation] = max(at, last)
         if len(self._answered) > SUSPECTS_KEPT:
             self._answered.popitem(last=False)
 
--- a/packages/core/src/cardamomloft/core/timekeeping.py
+++ b/packages/core/src/cardamomloft/core/timekeeping.py
@@ -25,7 +25,7 @@
     stepped: timedelta
 
 
-class Timekeeper:
+class ClockMonitor:
     """Compares the clocks at each look.
 
     Late with a step of the same width: timers follow the time of day. Late without a step: the
@@ -44,7 +44,7 @@
         self._interval = interval
         self._last: tuple[timedelta, datetime] | None = None
 
-    def look(self) -> Irregularity | None:
+    def check(self) -> Irregularity | None:
         """Return what was notable since the last look, if anything."""
         now, wall = self._clock.monotonic(), self._clock.utcnow()
         last, self._last = self._last, (now, wall)
--- a/packages/core/src/cardamomloft/core/upstreambook.py
+++ b/packages/core/src/cardamomloft/core/upstreamtable.py
@@ -1,4 +1,4 @@
-"""The book of upstream endpoints: which are registered, and which of them may get new work."""
+"""The book of upstream endpoints: which are registered, and which of them may get new service_time."""
 
 import typing as t
 from collections import Counter
@@ -6,8 +6,8 @@
 from datetime import timedelta
 
 from cardamomloft.core.affinity import text_hash
-from cardamomloft.core.recent import Recent
-from cardamomloft.core.registrations import RETURN_TIME, Life, Registration
+from cardamomloft.core.recent import RecentSet
+from cardamomloft.core.registrations import RENEWAL_GRACE, Registration, UpstreamIncarnation
 
 LEAST_LAPSED = 3
 """Fewer registrations that vanish at once count as planned, on deployments with few endpoints."""
@@ -53,22 +53,22 @@
         Monotonic instant at which it was first seen; None if it was there at the start.
     failures
         Own requests in a row that failed.
-    rest_until
+    ejected_until
         Monotonic instant until which it is left alone after failures.
     full_until
         Monotonic instant until which it counts as full after a refusal.
-    alone_until
+    paused_until
         Monotonic instant until which it wants nothing from this entry, as it said with a refusal.
     unreadable
         Whether its registration can't be read now, so that it must not be used.
     seed
         Hash of its id, for the placement of objects: the same in all of its lives.
-    work
+    service_time
         How long its answers take without waiting, smoothed; None if not known.
     """
 
     __slots__ = (
-        "alone_until",
+        "paused_until",
         "cold_sends",
         "cold_until",
         "failures",
@@ -80,10 +80,10 @@
         "region",
         "registration",
         "report",
-        "rest_until",
+        "ejected_until",
         "seed",
         "unreadable",
-        "work",
+        "service_time",
     )
 
     def __init__(self, registration: Registration, region: str, now: timedelta) -> None:
@@ -95,14 +95,14 @@
         self.cold_until = now + registration.cold_left
         self.joined_at: timedelta | None = now
         self.failures = 0
-        self.rest_until = timedelta(0)
+        self.ejected_until = timedelta(0)
         self.full_until = timedelta(0)
-        self.alone_until = timedelta(0)
+        self.paused_until = timedelta(0)
         self.cold_sends: list[timedelta] = []
         self.leaving = False
         self.missing = False
         self.unreadable = False
-        self.work: timedelta | None = None
+        self.service_time: timedelta | None = None
 
     @property
     def id(self) -> str:
@@ -110,15 +110,15 @@
         return self.registration.id
 
     @property
-    def life(self) -> Life:
+    def incarnation(self) -> UpstreamIncarnation:
         """What tells this life from others under the same id."""
-        return self.registration.life
+        return self.registration.incarnation
 
     def __repr__(self) -> str:
         return f"Upstream({self.registration.service}/{self.id}@{self.registration.address})"
 
 
-class UpstreamBook:
+class UpstreamTable:
     """All registered endpoints.
 
     Parameters
@@ -137,8 +137,8 @@
         self._stale = False
         self._versions: Counter[str] = Counter()
         self._starts = _Starts()
-        self._leavers = Recent[Life](LEAVERS_KEPT)
-        self._gone = Recent[Life](LEAVERS_KEPT)
+        self._leavers = RecentSet[UpstreamIncarnation](LEAVERS_KEPT)
+        self._gone = RecentSet[UpstreamIncarnation](LEAVERS_KEPT)
         self._patience_until = timedelta(0)
         self._started = False
 
@@ -163,7 +163,7 @@
         return self._by_id.get(upstream_id)
 
     def of_service(self, service: str) -> list[Upstream]:
-        """Return the endpoints of `service` that may get new work, by registration."""
+        """Return the endpoints of `service` that may get new service_time, by registration."""
         self._refresh()
         return self._by_service.get(service, [])
 
@@ -179,12 +179,12 @@
         """
         if not self._starts.note(registration):
             return False
-        self._gone.discard(registration.life)
+        self._gone.discard(registration.incarnation)
         known = self._by_id.get(registration.id)
         region = self.regions.get(registration.zone, "")
         if known is None or known.registration.started_ms != registration.started_ms:
             upstream = Upstream(registration, region, now)
-            upstream.leaving = upstream.life in self._leavers
+            upstream.leaving = upstream.incarnation in self._leavers
             if not self._started:
                 upstream.joined_at = None
             self._by_id[registration.id] = upstream
@@ -200,7 +200,7 @@
             self._stale = True
         return changed
 
-    def hide(self, upstream_id: str) -> bool:
+    def mark_unreadable(self, upstream_id: str) -> bool:
         """Use an endpoint no more until its registration can be read; return whether it was used.
 
         What is known of it stays: its next own registration replaces the one of another writer.
@@ -221,23 +221,23 @@
             upstream.missing = True
             return False
         del self._by_id[upstream_id]
-        self._gone.add(upstream.life)
+        self._gone.add(upstream.incarnation)
         self._stale = True
         return True
 
     def is_outdated(self, registration: Registration) -> bool:
         """Tell whether a registration from an older copy of the store is known to be overtaken."""
         known = self._by_id.get(registration.id)
-        if known is not None and known.life == registration.life:
+        if known is not None and known.incarnation == registration.incarnation:
             return known.registration.draining and not registration.draining
-        return registration.life in self._gone
+        return registration.incarnation in self._gone
 
-    def listed(self, ids: Iterable[str], now: timedelta) -> list[str]:
+    def withdraw_unlisted(self, ids: Iterable[str], now: timedelta) -> list[str]:
         """Withdraw all that are not among `ids`, the whole of a list; return the ids withdrawn."""
         present = set(ids)
         absent = [upstream_id for upstream_id in self._by_id if upstream_id not in present]
         if self.have_lapsed(absent):
-            self.expect_returns(now)
+            self.start_grace_period(now)
         self._started = True
         return [upstream_id for upstream_id in absent if self.withdraw(upstream_id, now)]
 
@@ -246,9 +246,9 @@
         vanished = sum(1 for upstream_id in ids if upstream_id in self._by_id)
         return vanished >= LEAST_LAPSED and vanished > LAPSED_PART * len(self._by_id)
 
-    def expect_returns(self, now: timedelta) -> None:
+    def start_grace_period(self, now: timedelta) -> None:
         """Note that registrations have lapsed with the store: they may still come back."""
-        self._patience_until = now + RETURN_TIME
+        self._patience_until = now + RENEWAL_GRACE
 
     def tick(self, now: timedelta) -> list[str]:
         """Withdraw what did not come back in time; return the ids withdrawn."""
@@ -280,18 +280,18 @@
         self._stale = True
         return True
 
-    def leave(self, life: Life) -> bool:
-        """Give a life no new work, though it is not registered yet; return whether that is new."""
-        if life in self._leavers:
+    def leave(self, incarnation: UpstreamIncarnation) -> bool:
+        """Give a life no new service_time, though it is not registered yet; return whether that is new."""
+        if incarnation in self._leavers:
             return False
-        self._leavers.add(life)
-        upstream = self._by_id.get(life.upstream_id)
-        if upstream is not None and upstream.life == life:
+        self._leavers.add(incarnation)
+        upstream = self._by_id.get(incarnation.upstream_id)
+        if upstream is not None and upstream.incarnation == incarnation:
             self.mark_leaving(upstream)
         return True
 
     def mark_leaving(self, upstream: Upstream) -> None:
-        """Give an endpoint no new work, since it refused one as not the one expected."""
+        """Give an endpoint no new service_time, since it refused one as not the one expected."""
         if not upstream.leaving:
             upstream.leaving = True
             self._stale = True
--- a/packages/core/tests/test_claims.py
+++ b/packages/core/tests/test_claims.py
@@ -6,7 +6,7 @@
 from cardamomloft.core.claims import Claimed, Claims, CreateClaim, HeldBy, ReadClaim
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.model import Incarnation, RefusalReason, Unknown
-from cardamomloft.core.operations import OwnId, parse_operation
+from cardamomloft.core.operations import CallerSuppliedId, parse_operation
 
 ME = Incarnation("kgn-1", "one")
 TICK = timedelta(milliseconds=1)
@@ -18,7 +18,7 @@
     return ManualClock()
 
 
-def own_id(clock: ManualClock, age: timedelta = timedelta(0)) -> OwnId:
+def own_id(clock: ManualClock, age: timedelta = timedelta(0)) -> CallerSuppliedId:
     stamp = round((clock.utcnow() - age).timestamp() * 1000)
     return parse_operation(str(uuid.UUID(int=stamp << 80 | 7 << 76 | 2 << 62 | 1)).upper()).ok
 
--- a/packages/core/tests/test_comeback.py
+++ b/packages/core/tests/test_comeback.py
@@ -4,15 +4,15 @@
 from datetime import timedelta
 
 import pytest
-from cardamomloft.core.comeback import ComeBack, Waits
+from cardamomloft.core.retryafter import RetryAfterBounds, RetryAfterPolicy
 
 MS = timedelta(milliseconds=1)
 LONG = timedelta(minutes=1)
-WAITS = Waits(100 * MS, 500 * MS, 900 * MS, 2500 * MS)
+WAITS = RetryAfterBounds(100 * MS, 500 * MS, 900 * MS, 2500 * MS)
 
 
-def _after(*refused: bool) -> ComeBack:
-    come_back = ComeBack(WAITS)
+def _after(*refused: bool) -> RetryAfterPolicy:
+    come_back = RetryAfterPolicy(WAITS)
     for one in refused:
         come_back.note(one)
     return come_back
@@ -48,7 +48,7 @@
     100 callers a second come while there is room for 60, and after four seconds for 140; each
     returns once. This stands for the load of 3 to 10 s on a heavy day, with a zone drained.
     """
-    rng, come_back = random.Random(seed), ComeBack(Waits())
+    rng, come_back = random.Random(seed), RetryAfterPolicy(RetryAfterBounds())
     returns, served, refused = [], 0, 0
     for tick in range(200):
         now = tick * 0.05
@@ -57,7 +57,7 @@
         returns = [at for at in returns if at > now]
         served += min(len(back), room)
         fresh_room = max(0, room - len(back))
-        come_back_or_calm = come_back if adaptive else ComeBack(Waits())
+        come_back_or_calm = come_back if adaptive else RetryAfterPolicy(RetryAfterBounds())
         for caller in range(5):
             come_back.note(caller >= fresh_room)
             if caller >= fresh_room:
--- a/packages/core/tests/test_ledger.py
+++ b/packages/core/tests/test_ledger.py
@@ -24,7 +24,7 @@
 
 
 def ledger_of(clock: ManualClock, **bounds: int) -> Ledger:
-    sizes = {"max_entries": 3, "max_bytes": 10**6, "answer_limit": 300} | bounds
+    sizes = {"max_operations": 3, "max_bytes": 10**6, "answer_limit": 300} | bounds
     return Ledger(clock, grace=GRACE, **sizes)
 
 
@@ -86,7 +86,7 @@
     assert ledger.begin("a", "f", EXPIRES).ok == Settled(AnswerNotKept(201))
 
 
-@pytest.mark.parametrize("bounds", [{"max_entries": 1}, {"max_bytes": 1500}])
+@pytest.mark.parametrize("bounds", [{"max_operations": 1}, {"max_bytes": 1500}])
 def test_a_full_ledger_refuses_new_ids_and_forgets_nothing(clock, bounds) -> None:
     ledger = ledger_of(clock, **bounds)
     ledger.begin("a", "f", EXPIRES)
--- a/packages/core/tests/test_loan_protocol.py
+++ b/packages/core/tests/test_loan_protocol.py
@@ -11,7 +11,7 @@
 import pytest
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.limits import Limit, LimitKind
-from cardamomloft.core.loans import Lendings, Loans
+from cardamomloft.core.loans import BorrowedLoans, GrantedLoans
 from cardamomloft.core.messages import Digest
 from cardamomloft.core.model import Hold, Incarnation
 from cardamomloft.core.ownership import Ownership
@@ -262,19 +262,21 @@
 
 
 def test_the_machine_catches_a_lender_that_does_not_subtract() -> None:
-    with mock.patch.object(Lendings, "lent", property(lambda _: 0, lambda *_: None)):
+    with mock.patch.object(GrantedLoans, "lent", property(lambda _: 0, lambda *_: None)):
         assert_caught()
 
 
 def test_the_machine_catches_a_borrower_that_counts_from_the_grants_arrival() -> None:
-    take = Loans.take
+    take = BorrowedLoans.take
 
-    def take_from_now(self: Loans, lender: Incarnation, grant: t.Any, now: timedelta) -> bool:
+    def take_from_now(
+        self: BorrowedLoans, lender: Incarnation, grant: t.Any, now: timedelta
+    ) -> bool:
         for ask in self.asks.values():
             ask.asked = now
         return take(self, lender, grant, now)
 
-    with mock.patch.object(Loans, "take", take_from_now):
+    with mock.patch.object(BorrowedLoans, "take", take_from_now):
         assert_caught()
 
 
--- a/packages/core/tests/test_membership.py
+++ b/packages/core/tests/test_membership.py
@@ -32,7 +32,7 @@
         self.clock = ManualClock(START)
         self.members = Membership(Incarnation("r0a-0", "1"), self.clock)
         self.members.configure(document(roster(), **more))
-        self.members.set_self(digest())
+        self.members.set_own_digest(digest())
         for seat in roster():
             self.hear(seat)
 
@@ -40,7 +40,7 @@
         self.members.on_digest(Incarnation(seat, number), digest(state=state))
 
     def list(self, seat: str, state: str, at: datetime):
-        self.members.on_vms([VmRow(seat, state, at)])
+        self.members.on_vm_list([VmRow(seat, state, at)])
 
     def pass_time(self, seconds: float):
         self.clock.advance(timedelta(seconds=seconds))
@@ -143,10 +143,10 @@
     me = Incarnation("r0a-1", "1")
     members = Membership(me, world.clock)
     members.configure(document(roster()))
-    assert members.standing(2) == (True, 4)
-    assert members.standing(1) == (False, 4)
+    assert members.standby_status(2) == (True, 4)
+    assert members.standby_status(1) == (False, 4)
     members.on_digest(Incarnation("r0a-0", "1"), digest(state="leaving"))
-    assert members.standing(1) == (True, 4)
+    assert members.standby_status(1) == (True, 4)
 
 
 def test_an_entry_that_leaves_is_named_no_more_from_its_digest_on():
--- a/packages/core/tests/test_naming.py
+++ b/packages/core/tests/test_naming.py
@@ -3,8 +3,8 @@
 from datetime import timedelta
 
 from cardamomloft.core import naming
-from cardamomloft.core.entrybook import EntryBook
-from cardamomloft.core.naming import ENOUGH, MAX_NAMED, Names, entries_for
+from cardamomloft.core.entrytable import EntryTable
+from cardamomloft.core.naming import ENOUGH, MAX_NAMED, EntryLookup, entries_for
 from cardamomloft.core.registrations import EntryRecord
 from hypothesis import given
 from hypothesis import strategies as st
@@ -62,14 +62,14 @@
 
 @given(MOVES, st.sampled_from(["", "a", "b", "c"]), st.booleans())
 def test_kept_answers_are_those_of_the_entries_that_are_there(moves, zone, with_own):
-    book = EntryBook(OWN, ZERO)
-    names = Names(book)
+    book = EntryTable(OWN, ZERO)
+    names = EntryLookup(book)
     for kind, record in moves:
         if kind == "withdraw":
             book.withdraw(record.name, ZERO)
         else:
             book.add(record._replace(address="10.9.9.9:80") if kind == "move" else record, ZERO)
-        kept = names.of(zone, "", frozenset(), REGIONS, with_own=with_own)
+        kept = names.find(zone, "", frozenset(), REGIONS, with_own=with_own)
         there = book.records(with_own=with_own)
         assert kept == entries_for(there, zone, "", frozenset(), REGIONS)
 
@@ -77,20 +77,20 @@
 def test_an_answer_is_worked_out_once_until_something_changes(monkeypatch):
     worked = []
     monkeypatch.setattr(naming, "entries_for", lambda *_: worked.append(1) or [])
-    book = EntryBook(OWN, ZERO)
-    names, zones = Names(book), dict(REGIONS)
+    book = EntryTable(OWN, ZERO)
+    names, zones = EntryLookup(book), dict(REGIONS)
     for _ in range(3):
-        names.of("a", "", frozenset(), zones, with_own=True)
+        names.find("a", "", frozenset(), zones, with_own=True)
     assert len(worked) == 1
     book.add(OTHERS[0], ZERO)
-    names.of("a", "", frozenset(), zones, with_own=True)
+    names.find("a", "", frozenset(), zones, with_own=True)
     assert len(worked) == 2
-    names.of("a", "", frozenset(), dict(REGIONS), with_own=True)
+    names.find("a", "", frozenset(), dict(REGIONS), with_own=True)
     assert len(worked) == 3
 
 
 def test_no_more_answers_are_kept_than_so_many_whatever_callers_state():
-    names = Names(EntryBook(OWN, ZERO))
+    names = EntryLookup(EntryTable(OWN, ZERO))
     for number in range(3 * naming.ANSWERS_KEPT):
-        names.of(f"zone-{number}", "", frozenset(), REGIONS, with_own=True)
+        names.find(f"zone-{number}", "", frozenset(), REGIONS, with_own=True)
     assert len(names._kept) <= naming.ANSWERS_KEPT
--- a/packages/core/tests/test_notices.py
+++ b/packages/core/tests/test_notices.py
@@ -4,13 +4,13 @@
 
 from cardamomloft.core.notices import (
     BUCKETS,
+    CRASH_RETENTION,
     EXCUSED_LIFE,
     LEAVING_LIFE,
     NOTICES_KEPT,
-    REQUEST_LIFE,
     CrashUnderRequest,
-    Dated,
-    NoticeBoard,
+    DatedNotice,
+    NoticeTable,
     UpstreamLeaving,
 )
 from hypothesis import given
@@ -41,65 +41,67 @@
 
 
 def test_a_notice_is_new_once():
-    board = NoticeBoard()
-    assert board.take([Dated(CRASH, NOW)], NOW) == [Dated(CRASH, NOW)]
-    assert board.take([Dated(CRASH, NOW - S)], NOW) == []
+    board = NoticeTable()
+    assert board.take([DatedNotice(CRASH, NOW)], NOW) == [DatedNotice(CRASH, NOW)]
+    assert board.take([DatedNotice(CRASH, NOW - S)], NOW) == []
 
 
 def test_an_excuse_holds_whatever_comes_after():
-    board = NoticeBoard()
-    board.take([Dated(CRASH, NOW)], NOW)
-    assert board.take([Dated(EXCUSE, NOW)], NOW) == [Dated(EXCUSE, NOW)]
-    assert board.take([Dated(CRASH, NOW)], NOW) == []
+    board = NoticeTable()
+    board.take([DatedNotice(CRASH, NOW)], NOW)
+    assert board.take([DatedNotice(EXCUSE, NOW)], NOW) == [DatedNotice(EXCUSE, NOW)]
+    assert board.take([DatedNotice(CRASH, NOW)], NOW) == []
     assert held(board) == {EXCUSE}
 
 
 def test_each_is_kept_for_its_time_and_circulating_makes_it_no_younger():
-    for notice, life in ((CRASH, REQUEST_LIFE), (EXCUSE, EXCUSED_LIFE), (LEAVING, LEAVING_LIFE)):
-        board = NoticeBoard()
-        board.take([Dated(notice, NOW)], NOW)
+    for notice, life in ((CRASH, CRASH_RETENTION), (EXCUSE, EXCUSED_LIFE), (LEAVING, LEAVING_LIFE)):
+        board = NoticeTable()
+        board.take([DatedNotice(notice, NOW)], NOW)
         assert held(board, NOW + life) == {notice}
         assert held(board, NOW + life + S) == set()
-        assert board.take([Dated(notice, NOW)], NOW + life + S) == []
+        assert board.take([DatedNotice(notice, NOW)], NOW + life + S) == []
 
 
 def test_the_number_of_notices_is_bounded():
-    board = NoticeBoard()
-    board.take((Dated(UpstreamLeaving(f"i-{n}", 0), NOW) for n in range(NOTICES_KEPT + 9)), NOW)
+    board = NoticeTable()
+    board.take(
+        (DatedNotice(UpstreamLeaving(f"i-{n}", 0), NOW) for n in range(NOTICES_KEPT + 9)), NOW
+    )
     assert len(board) == NOTICES_KEPT
     assert UpstreamLeaving(f"i-{NOTICES_KEPT + 8}", 0) in held(board)
 
 
 @given(st.lists(NOTICES, max_size=20), st.randoms(use_true_random=False))
 def test_boards_that_took_the_same_in_any_order_hold_the_same(notices, rng):
-    one, other = NoticeBoard(), NoticeBoard()
-    one.take([Dated(notice, NOW) for notice in notices], NOW)
+    one, other = NoticeTable(), NoticeTable()
+    one.take([DatedNotice(notice, NOW) for notice in notices], NOW)
     shuffled = [*notices, *notices[:3]]
     rng.shuffle(shuffled)
-    other.take([Dated(notice, NOW) for notice in shuffled], NOW)
-    assert one.sums(NOW) == other.sums(NOW)
+    other.take([DatedNotice(notice, NOW) for notice in shuffled], NOW)
+    assert one.checksums(NOW) == other.checksums(NOW)
     assert held(one) == held(other)
 
 
 @given(st.lists(NOTICES, max_size=20), st.lists(NOTICES, max_size=20))
 def test_two_boards_that_tell_each_other_what_differs_hold_the_same(first, second):
-    one, other = NoticeBoard(), NoticeBoard()
-    one.take([Dated(notice, NOW) for notice in first], NOW)
-    other.take([Dated(notice, NOW) for notice in second], NOW)
-    for_other = one.differing(other.sums(NOW), NOW)
-    for_one = other.differing(one.sums(NOW), NOW)
+    one, other = NoticeTable(), NoticeTable()
+    one.take([DatedNotice(notice, NOW) for notice in first], NOW)
+    other.take([DatedNotice(notice, NOW) for notice in second], NOW)
+    for_other = one.differing(other.checksums(NOW), NOW)
+    for_one = other.differing(one.checksums(NOW), NOW)
     other.take(for_other, NOW)
     one.take(for_one, NOW)
-    assert one.sums(NOW) == other.sums(NOW)
-    assert len(one.sums(NOW)) == BUCKETS
+    assert one.checksums(NOW) == other.checksums(NOW)
+    assert len(one.checksums(NOW)) == BUCKETS
 
 
 def test_only_parts_that_differ_are_told():
-    one, other = NoticeBoard(), NoticeBoard()
-    both = [Dated(UpstreamLeaving(f"i-{number}", 0), NOW) for number in range(200)]
+    one, other = NoticeTable(), NoticeTable()
+    both = [DatedNotice(UpstreamLeaving(f"i-{number}", 0), NOW) for number in range(200)]
     one.take(both, NOW)
     other.take(both, NOW)
-    one.take([Dated(LEAVING, NOW)], NOW)
-    told = one.differing(other.sums(NOW), NOW)
-    assert Dated(LEAVING, NOW) in told
+    one.take([DatedNotice(LEAVING, NOW)], NOW)
+    told = one.differing(other.checksums(NOW), NOW)
+    assert DatedNotice(LEAVING, NOW) in told
     assert len(told) < 2 * 200 / BUCKETS + 10
--- a/packages/core/tests/test_once_protocol.py
+++ b/packages/core/tests/test_once_protocol.py
@@ -15,7 +15,7 @@
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.ledger import IN_FLIGHT, Answered, Join, KeptAnswer, Ledger, Run, Settled
 from cardamomloft.core.model import Incarnation, Refusal, RefusalReason, Unknown
-from cardamomloft.core.operations import OperationIds, OwnId, SystemId, parse_operation
+from cardamomloft.core.operations import CallerSuppliedId, OperationIds, SystemId, parse_operation
 from expression import Error, Ok
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
@@ -82,20 +82,20 @@
             SkewedClock(world.clock, skew),
         )
         self.ids = self.ids_type(self.me, clock, f"secret of {number:>9}".encode())
-        self.ledger = self.ledger_type(clock, max_entries=6, max_bytes=10**6)
+        self.ledger = self.ledger_type(clock, max_operations=6, max_bytes=10**6)
         self.claims = self.claims_type(self.me, clock, writes_per_s=5)
 
     def receive(self, tried: Try) -> None:
         operation = parse_operation(tried.text).ok
-        if isinstance(operation, OwnId):
+        if isinstance(operation, CallerSuppliedId):
             return self.claim(tried, operation)
         if operation.seat != self.me.seat:
             return self.world.later(None, self.world.deliver, operation.seat, tried)
         checked = self.ids.check(operation)
         return self.begin(tried, checked.ok) if checked.is_ok() else self.tell(tried, checked.error)
 
-    def claim(self, tried: Try, own: OwnId) -> None:
-        found = self.ledger.look(tried.text, "f").ok
+    def claim(self, tried: Try, own: CallerSuppliedId) -> None:
+        found = self.ledger.lookup(tried.text, "f").ok
         if found is not None:
             return self.stand(tried, found)
         request = self.claims.want_lease()
--- a/packages/core/tests/test_quarantine.py
+++ b/packages/core/tests/test_quarantine.py
@@ -3,24 +3,26 @@
 from datetime import timedelta
 
 import pytest
-from cardamomloft.core.notices import REQUEST_LIFE, CrashUnderRequest
+from cardamomloft.core.notices import CRASH_RETENTION, CrashUnderRequest
 from cardamomloft.core.quarantine import CRASHES_TO_QUARANTINE, RESTART_TIME, Quarantine
-from cardamomloft.core.registrations import Life
+from cardamomloft.core.registrations import UpstreamIncarnation
 
 MS = timedelta(milliseconds=1)
 NOW = timedelta(hours=1)
 
 
 def crash(quarantine, fingerprint, upstream, now=NOW, started_ms=0):
-    return quarantine.apply(quarantine.crashed(fingerprint, Life(upstream, started_ms), now), now)
+    return quarantine.apply(
+        quarantine.crash_notice(fingerprint, UpstreamIncarnation(upstream, started_ms), now), now
+    )
 
 
 def test_a_request_that_has_met_three_crashes_is_refused():
     quarantine = Quarantine()
     assert [crash(quarantine, "f", f"i-{n}") for n in range(4)] == [False, False, True, False]
-    assert quarantine.refused_until("f", NOW) == NOW + REQUEST_LIFE
+    assert quarantine.refused_until("f", NOW) == NOW + CRASH_RETENTION
     assert quarantine.refused_until("g", NOW) is None
-    assert quarantine.refused(NOW) == ["f"]
+    assert quarantine.quarantined(NOW) == ["f"]
 
 
 def test_two_crashes_are_not_enough():
@@ -51,11 +53,11 @@
     for upstream in ("i-1", "i-2"):
         crash(quarantine, "harmless", upstream)
         crash(quarantine, "poison", upstream)
-    for notice in quarantine.answered("harmless"):
+    for notice in quarantine.clearing_notices("harmless"):
         quarantine.apply(notice, NOW)
     for fingerprint in ("harmless", "poison"):
         crash(quarantine, fingerprint, "i-3")
-    assert quarantine.refused(NOW) == ["poison"]
+    assert quarantine.quarantined(NOW) == ["poison"]
 
 
 def test_an_answer_heard_of_late_ends_the_refusal():
@@ -73,8 +75,8 @@
     for number in range(4):
         crash(quarantine, "f", f"i-{number}", NOW + number * 1000 * MS)
     until = quarantine.refused_until("f", NOW + 3000 * MS)
-    assert until == NOW + 1000 * MS + REQUEST_LIFE
+    assert until == NOW + 1000 * MS + CRASH_RETENTION
     assert quarantine.refused_until("f", until - MS) == until
     assert quarantine.refused_until("f", until) is None
-    quarantine.forget(NOW + 3000 * MS + REQUEST_LIFE)
+    quarantine.expire(NOW + 3000 * MS + CRASH_RETENTION)
     assert not quarantine
--- a/packages/core/tests/test_ranks.py
+++ b/packages/core/tests/test_ranks.py
@@ -11,7 +11,7 @@
 from cardamomloft.core.registrations import Registration
 from cardamomloft.core.routes import ServicePolicy
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft_standins.gateway import RULE
 
 NAMES = [f"e-{number}" for number in range(20)]
@@ -53,7 +53,7 @@
     hashed = []
     unit_of = ranks.unit_of
     monkeypatch.setattr(ranks, "unit_of", lambda *pair: hashed.append(1) or unit_of(*pair))
-    book = UpstreamBook({"a": "east"})
+    book = UpstreamTable({"a": "east"})
     for number in range(100):
         row = Registration(f"i-{number}", "menus", "10.0.0.1:1", "a", 4, False, timedelta(9))
         book.register(row, NOW)
--- a/packages/core/tests/test_restoration.py
+++ b/packages/core/tests/test_restoration.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.registrations import (
     EntryRecord,
     EntryRecorded,
@@ -11,9 +11,9 @@
     UpstreamRegistered,
     ZoneDrained,
 )
-from cardamomloft.core.restoration import missing_drains, sift
+from cardamomloft.core.restoration import classify_facts, missing_drains
 from cardamomloft.core.routes import CallerLimits, RoutePlan
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 
 ZERO = timedelta(0)
 OWN = EntryRecord("e-0", "10.0.0.1:80", "a", "east")
@@ -25,15 +25,15 @@
     return made._replace(**changes)
 
 
-def books(*rows) -> tuple[UpstreamBook, EntryBook]:
-    book, entries = UpstreamBook({"a": "east"}), EntryBook(OWN, timedelta(seconds=10))
+def books(*rows) -> tuple[UpstreamTable, EntryTable]:
+    book, entries = UpstreamTable({"a": "east"}), EntryTable(OWN, timedelta(seconds=10))
     for each in rows:
         book.register(each, ZERO)
     return book, entries
 
 
 def is_taken(fact, book, entries) -> bool:
-    taken, doubted = sift([fact], book, entries)
+    taken, doubted = classify_facts([fact], book, entries)
     assert (taken, doubted) in (((fact,), ()), ((), (fact,)))
     return bool(taken)
 
--- a/packages/core/tests/test_revision_protocol.py
+++ b/packages/core/tests/test_revision_protocol.py
@@ -16,7 +16,7 @@
     ReadCurrent,
     Recorded,
     Report,
-    StoreAway,
+    StoreUnavailable,
     Swap,
     audit_entry,
     confirm_acceptance,
@@ -309,7 +309,7 @@
         for change, outcome in self.outcomes:
             if isinstance(outcome, Recorded):
                 assert change in effective
-            if isinstance(outcome, Conflict | StoreAway):
+            if isinstance(outcome, Conflict | StoreUnavailable):
                 assert change not in effective
 
     @invariant()
@@ -357,7 +357,7 @@
 
 class TreatsAmbiguousAsFailed(Attempt):
     def on_swap_failed(self, *, ambiguous, detail):
-        return StoreAway(detail)
+        return StoreUnavailable(detail)
 
 
 class TrustsRefusal(Attempt):
@@ -368,7 +368,7 @@
 class TrustsOldRead(Attempt):
     def on_current(self, current, version):
         if version == self._version:
-            return StoreAway("it was not written")
+            return StoreUnavailable("it was not written")
         return super().on_current(current, version)
 
 
--- a/packages/core/tests/test_router.py
+++ b/packages/core/tests/test_router.py
@@ -211,5 +211,5 @@
     bench.clock.advance(timedelta(seconds=2))
     out += bench.router.pump()
     assert [(type(item), item.ticket.number) for item in out] == [(Dropped, waiting.number)]
-    bench.router.report_wants()
+    bench.router.report_demand()
     assert bench.used() == {}
--- a/packages/core/tests/test_selection.py
+++ b/packages/core/tests/test_selection.py
@@ -11,7 +11,7 @@
 from cardamomloft.core.registrations import Registration
 from cardamomloft.core.routes import ServicePolicy
 from cardamomloft.core.selection import Choice, Preferences, Selector
-from cardamomloft.core.upstreambook import LoadReport, UpstreamBook
+from cardamomloft.core.upstreamtable import LoadReport, UpstreamTable
 from cardamomloft_standins.gateway import RULE
 
 MS = timedelta(milliseconds=1)
@@ -21,7 +21,7 @@
 
 
 def _selector(near: int = 4, far: int = 4, cold_left: timedelta = ZERO, name="e-0") -> Selector:
-    book = UpstreamBook({"a": "east", "b": "west"})
+    book = UpstreamTable({"a": "east", "b": "west"})
     for number in range(near + far):
         zone = "a" if number < near else "b"
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, cold_left)
@@ -77,7 +77,7 @@
 
 
 def test_large_bodies_stay_within_their_zone():
-    book = UpstreamBook({"a": "east", "b": "east"})
+    book = UpstreamTable({"a": "east", "b": "east"})
     for number in range(8):
         zone = "a" if number < 4 else "b"
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, ZERO)
@@ -85,7 +85,7 @@
     selector = Selector(book, "e-0", "a", ColdLimit(1.5, 5), Preferences())
     zones = Counter(_choose(selector, str(key)).registration.zone for key in range(200))
     assert zones["b"] > 60
-    selector.sizes.note("menus", 60_000)
+    selector.body_sizes.record("menus", 60_000)
     assert {_choose(selector, str(key)).registration.zone for key in range(200)} == {"a"}
 
 
@@ -124,7 +124,7 @@
     """For want of room, for 60 ms: its keys may use their second endpoint, and never fill it."""
     selector = _selector()
     first = _choose(selector)
-    selector.refused(first, NOW, had_room=False)
+    selector.record_refusal(first, NOW, had_room=False)
     second = _choose(selector)
     assert second is not first
     _fill(second, 2)
@@ -136,13 +136,13 @@
     """It sheds a part of its requests; elsewhere they are slow and push others out."""
     selector = _selector()
     first = _choose(selector)
-    selector.refused(first, NOW, had_room=True)
+    selector.record_refusal(first, NOW, had_room=True)
     assert _choose(selector) is first
 
 
 def _known_at(selector: Selector, upstream, key: str = "17") -> None:
-    selector.touches.sent(upstream, key)
-    selector.touches.answered(upstream, key)
+    selector.cache_states.record_sent(upstream, key)
+    selector.cache_states.record_answer(upstream, key)
 
 
 def _both(selector: Selector):
@@ -151,7 +151,7 @@
     _fill(first, 9)
     second = _choose(selector)
     _fill(first, 0)
-    first.work = second.work = 100 * MS
+    first.service_time = second.service_time = 100 * MS
     _known_at(selector, first)
     return first, second
 
@@ -171,7 +171,7 @@
     selector = _selector()
     first, second = _both(selector)
     _known_at(selector, second)
-    first.work = 400 * MS
+    first.service_time = 400 * MS
     assert _choose(selector) is second
     _fill(second, 4)
     assert _choose(selector) is first
@@ -182,7 +182,7 @@
     first, second = _both(selector)
     _known_at(selector, second)
     selector._book.register(first.registration._replace(started_ms=1), NOW)
-    selector._book.get(first.id).work = 100 * MS
+    selector._book.get(first.id).service_time = 100 * MS
     assert _choose(selector) is second
 
 
@@ -191,7 +191,7 @@
     first, second = _both(selector)
     _known_at(selector, second)
     _fill(first, 6)
-    selector.refused(second, NOW, had_room=False)
+    selector.record_refusal(second, NOW, had_room=False)
     assert _choose(selector) is first
 
 
@@ -216,13 +216,13 @@
 
 
 @pytest.mark.parametrize(
-    ("work", "most"), [(None, 8), (400, 5), (200, 7), (160, 9), (10, 11), (2000, 5)]
+    ("service_time", "most"), [(None, 8), (400, 5), (200, 7), (160, 9), (10, 11), (2000, 5)]
 )
-def test_it_waits_at_its_first_endpoint_as_long_as_the_target_allows(work, most):
+def test_it_waits_at_its_first_endpoint_as_long_as_the_target_allows(service_time, most):
     """Within 1.5 and 3 times the slots; the target is 400 ms."""
     selector = _selector()
     first = _choose(selector)
-    first.work = work and work * MS
+    first.service_time = service_time and service_time * MS
     until = timedelta(minutes=1)
     for load in range(16):
         _fill(first, load)
@@ -233,7 +233,7 @@
 def test_what_cannot_be_answered_in_time_is_refused():
     selector = _selector(near=1, far=0)
     first = _choose(selector)
-    selector.answered(first, 600 * MS, 0)
+    selector.record_answer(first, 600 * MS, 0)
     assert _choose(selector) is first
     _fill(first, 7)
     assert isinstance(_choose(selector), Refusal)
@@ -242,8 +242,8 @@
 def test_time_spent_waiting_is_not_taken_for_work():
     selector = _selector()
     first = _choose(selector)
-    selector.answered(first, 300 * MS, 7)
-    assert first.work == 150 * MS
+    selector.record_answer(first, 300 * MS, 7)
+    assert first.service_time == 150 * MS
 
 
 def test_own_requests_count_beside_a_report():
@@ -286,12 +286,12 @@
 def test_an_endpoint_rests_after_failures_and_is_tried_again():
     selector = _selector()
     first = _choose(selector)
-    selector.failed(first, NOW)
+    selector.record_failure(first, NOW)
     assert _choose(selector) is first
-    selector.failed(first, NOW)
+    selector.record_failure(first, NOW)
     assert _choose(selector) is not first
     assert _choose(selector, now=NOW + timedelta(seconds=5)) is first
-    selector.answered(first, 150 * MS, 0)
+    selector.record_answer(first, 150 * MS, 0)
     assert _choose(selector) is first
 
 
@@ -299,7 +299,7 @@
     selector = _selector()
     for upstream in selector._book.of_service("menus"):
         for _ in range(3):
-            selector.failed(upstream, NOW)
+            selector.record_failure(upstream, NOW)
     assert not isinstance(_choose(selector), Refusal)
 
 
@@ -328,7 +328,7 @@
             selector.entries = entries
             chosen = _choose(selector, now=now)
             if not isinstance(chosen, Refusal):
-                selector.sent(chosen, now)
+                selector.record_sent(chosen, now)
                 sent.append(now)
     most = max(sum(1 for at in sent if start <= at < start + 1000 * MS) for start in sent)
     assert 0 < most <= limit
@@ -394,7 +394,7 @@
     """Let the entry read the same load everywhere, often enough to be usual."""
     for upstream in selector._book.all():
         for _ in range(5):
-            selector.reported(upstream, LoadReport(load, 0, 4, own=0, at=NOW))
+            selector.record_report(upstream, LoadReport(load, 0, 4, own=0, at=NOW))
 
 
 def test_an_endpoint_of_which_nothing_is_known_counts_as_usually_loaded_as_a_second_choice():
@@ -442,13 +442,13 @@
 
 @pytest.mark.parametrize(("in_zone", "stays"), [(1, False), (2, True)])
 def test_large_bodies_stay_within_their_zone_where_zones_have_endpoints_enough(in_zone, stays):
-    book = UpstreamBook({"a": "east", "c": "east", "b": "west"})
+    book = UpstreamTable({"a": "east", "c": "east", "b": "west"})
     zones = ["a"] * in_zone + ["c"] * in_zone + ["b"] * in_zone
     for number, zone in enumerate(zones):
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, ZERO)
         book.register(row, NOW)
     selector = Selector(book, "e-0", "a", ColdLimit(1.5, 5), Preferences())
-    selector.sizes.note(RULE.name, 60_000)
+    selector.body_sizes.record(RULE.name, 60_000)
     chosen = [_choose(selector, str(key)) for key in range(200)]
     assert ({up.registration.zone for up in chosen} == {"a"}) == stays
     assert {up.region for up in chosen} == {"east"}
@@ -457,6 +457,6 @@
 def test_a_zone_that_loses_an_endpoint_keeps_its_large_bodies():
     selector = _selector(near=2, far=2)
     selector._book.withdraw("i-3", NOW)
-    selector.sizes.note(RULE.name, 60_000)
+    selector.body_sizes.record(RULE.name, 60_000)
     chosen = [_choose(selector, str(key)) for key in range(100)]
     assert {up.registration.zone for up in chosen} == {"a"}
--- a/packages/core/tests/test_shifting.py
+++ b/packages/core/tests/test_shifting.py
@@ -8,7 +8,7 @@
 from cardamomloft.core import ramping
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.model import Priority
-from cardamomloft.core.ramping import Selector, Shift
+from cardamomloft.core.ramping import Shift, WeightedRoundRobin
 from cardamomloft.core.rules import Directive, WeightedPlace
 from cardamomloft.core.shifting import (
     AppliedMove,
@@ -92,7 +92,7 @@
 @given(st.lists(st.integers(1, 40), min_size=2, max_size=6), st.integers(0, 150))
 def test_counts_follow_fractions(weights, start):
     fractions = {str(i): weight / sum(weights) for i, weight in enumerate(weights)}
-    selector, counts, window = Selector(), dict.fromkeys(fractions, 0), {}
+    selector, counts, window = WeightedRoundRobin(), dict.fromkeys(fractions, 0), {}
     for number in range(1, 301):
         counts[selector.pick(fractions)] += 1
         if number == start:
--- a/packages/core/tests/test_stewardship.py
+++ b/packages/core/tests/test_stewardship.py
@@ -5,7 +5,14 @@
 
 import pytest
 from cardamomloft.core.clock import ManualClock
-from cardamomloft.core.stewardship import LEASE, ReadLease, Renew, Stewardship, TryLease, WatchLease
+from cardamomloft.core.stewardship import (
+    LEASE_DURATION,
+    ReadLease,
+    Renew,
+    Stewardship,
+    TryLease,
+    WatchLease,
+)
 
 STEP = timedelta(milliseconds=50)
 
@@ -18,7 +25,7 @@
         rng = random.Random(seed)
         self.entries = {f"e{i}": Stewardship("r", self.clock, rng) for i in range(size)}
         for i, entry in enumerate(self.entries.values()):
-            entry.place(standby=i < 2, size=size)
+            entry.set_role(standby=i < 2, size=size)
         self.holder, self.until = None, timedelta(0)
         self.watches: dict[str, timedelta] = {}
         self.dead: set[str] = set()
@@ -50,7 +57,7 @@
                 del self.watches[name]
                 self.perform(name, self.report(entry))
             if self.holder not in self.dead and entry.peer_to_probe():
-                entry.heard(self.holder)
+                entry.record_message(self.holder)
             self.perform(name, entry.tick())
 
     def report(self, entry):
@@ -74,7 +81,7 @@
             return entry.lease_refused()
         if isinstance(step, Renew) and self.holder != name:
             return entry.lease_lost()
-        self.holder, self.until = name, now + LEASE
+        self.holder, self.until = name, now + LEASE_DURATION
         return entry.lease_granted()
 
 
@@ -140,14 +147,14 @@
     """It has no lease, so while it is heard the standbys must watch all the same."""
     clock = ManualClock()
     standby = Stewardship("r", clock, random.Random(1))
-    standby.place(standby=True, size=4)
+    standby.set_role(standby=True, size=4)
     while not standby.tick():
         clock.advance(STEP)
     standby.lease_held("e1/old")
     for _ in range(40):
         clock.advance(STEP)
-        standby.heard("e1/new")
+        standby.record_message("e1/new")
     assert standby.watches_configuration
     assert standby.peer_to_probe() == "e1"
-    standby.heard("e1/old")
+    standby.record_message("e1/old")
     assert not standby.watches_configuration
--- a/packages/core/tests/test_timekeeping.py
+++ b/packages/core/tests/test_timekeeping.py
@@ -3,7 +3,7 @@
 from datetime import UTC, datetime, timedelta
 
 import pytest
-from cardamomloft.core.timekeeping import NOTABLE, Irregularity, Timekeeper
+from cardamomloft.core.timekeeping import NOTABLE, ClockMonitor, Irregularity
 
 MS = timedelta(milliseconds=1)
 INTERVAL = 200 * MS
@@ -27,10 +27,10 @@
 
 def look_after(steady, step=timedelta(0)):
     clocks = TwoClocks()
-    keeper = Timekeeper(clocks, INTERVAL)
-    assert keeper.look() is None
+    keeper = ClockMonitor(clocks, INTERVAL)
+    assert keeper.check() is None
     clocks.pass_by(steady, step)
-    return keeper.look()
+    return keeper.check()
 
 
 def test_a_look_in_time_tells_nothing():
--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -30,8 +30,8 @@
     Unknown,
 )
 from cardamomloft.core.operations import (
+    CallerSuppliedId,
     OperationIds,
-    OwnId,
     SystemId,
     fingerprint,
     parse_operation,
@@ -44,7 +44,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 from twisted.python.failure import Failure
 
-PASSED_ON_HEADER = "x-forwarded-by"
+FORWARDED_BY_HEADER = "x-forwarded-by"
 LEASE_PAUSE = timedelta(seconds=1)
 CLIENT_HEADER = "x-client"
 NOT_KEPT_HEADER = ("Cardamomloft-Answer", "not-kept")
@@ -138,14 +138,14 @@
 
     async def _handle_own(
         self,
-        operation: OwnId,
+        operation: CallerSuppliedId,
         req: Request,
         head: RequestHead,
         whole: bytes,
         gone: "Deferred[None]",
     ) -> Answer:
         mark = fingerprint(req, whole)
-        match self._ledger.look(operation.text, mark):
+        match self._ledger.lookup(operation.text, mark):
             case Result(tag="error", error=refusal):
                 return self._words(refusal)
             case Result(ok=None):
@@ -160,7 +160,9 @@
             case outcome:
                 return self._words(outcome)
 
-    async def _claim(self, operation: OwnId, mark: str) -> Claimed | HeldBy | Refusal | Unknown:
+    async def _claim(
+        self, operation: CallerSuppliedId, mark: str
+    ) -> Claimed | HeldBy | Refusal | Unknown:
         if self._claims is None:
             return Refusal(RefusalReason.CLAIM_BUDGET, "ids of callers' own making are turned off")
         await self._have_lease(self._claims)
@@ -308,7 +310,7 @@
     ) -> Answer:
         """Send the request to the only process that may run it, and relay its answer."""
         address = self._address_of(executor.seat)
-        passed_before = any(name == PASSED_ON_HEADER for name, _ in head.headers)
+        passed_before = any(name == FORWARDED_BY_HEADER for name, _ in head.headers)
         if address is None or passed_before or not self._is_current(executor):
             return self._words(Unknown(f"the executor {executor.seat} is not reachable"))
         self._metrics.count("passed-on")
@@ -317,7 +319,7 @@
         kept = tuple(h for h in head.headers if h[0] not in ("host", "content-length"))
         if not any(name == CLIENT_HEADER for name, _ in kept):
             kept = (*kept, (CLIENT_HEADER, head.client))
-        headers = (*kept, (PASSED_ON_HEADER, self._me.seat))
+        headers = (*kept, (FORWARDED_BY_HEADER, self._me.seat))
         request_id = f"{self._me.seat}-{self._me.number}-passed"
         sent = await self._client.send(
             UpstreamRequest(
--- a/packages/entry/src/cardamomloft/entry/forwarding.py
+++ b/packages/entry/src/cardamomloft/entry/forwarding.py
@@ -59,7 +59,7 @@
     @property
     def repeatable(self) -> bool:
         """Whether the body could be sent again."""
-        return self.whole is not None or (self.stream is not None and self.stream.untouched)
+        return self.whole is not None or (self.stream is not None and self.stream.unconsumed)
 
 
 class Caller:
@@ -323,14 +323,14 @@
     def _body_for(self, dispatch: Dispatch, payload: Payload) -> IBodyProducer | bytes:
         if payload.stream is None:
             return payload.whole or b""
-        link = self._router.link_to(dispatch.endpoint)
+        link = self._router.link_limit_key(dispatch.endpoint)
         if link is None:
             return payload.stream
         return PacedBody(self._reactor, self.pacer, link, payload.stream)
 
     def paced(self, dispatch: Dispatch, consumer: IConsumer) -> PacedConsumer | None:
         """Return a consumer that holds the answer to the link's rate, if the link has one."""
-        link = self._router.link_to(dispatch.endpoint)
+        link = self._router.link_limit_key(dispatch.endpoint)
         return None if link is None else PacedConsumer(self._reactor, self.pacer, link, consumer)
 
     def _done(self, dispatch: Dispatch, answer: UpstreamAnswer) -> None:
--- a/packages/entry/src/cardamomloft/entry/receiving.py
+++ b/packages/entry/src/cardamomloft/entry/receiving.py
@@ -25,7 +25,7 @@
     """Hand `message` to those whom it concerns, and send what they answer."""
     send = node.gossip.send
     if node.steward is not None:
-        node.steward.stewardship.heard(str(sender))
+        node.steward.stewardship.record_message(str(sender))
     match message:
         case Digest():
             node.membership.on_digest(sender, message)
@@ -45,6 +45,6 @@
         case ChunkRequest():
             send(node.maps.on_request(sender.seat, message), sender)
         case ChunkReply():
-            node.maps.take(message.digest, message.chunk)
+            node.maps.add_chunk(message.digest, message.chunk)
         case VmNotice():
             node.vms.on_notice(message)
--- a/packages/feed/src/cardamomloft/feed/noticecodec.py
+++ b/packages/feed/src/cardamomloft/feed/noticecodec.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from cardamomloft.core.notices import CrashUnderRequest, Dated, Notice, UpstreamLeaving
+from cardamomloft.core.notices import CrashUnderRequest, DatedNotice, Notice, UpstreamLeaving
 from cardamomloft.feed.typedcodec import TypedCodec
 from expression import Error, Result
 
@@ -32,14 +32,14 @@
 _codec: TypedCodec[_Leaving | _Crash] = TypedCodec((_Leaving, _Crash))
 
 
-def encode_notices(notices: Iterable[Dated], now: timedelta) -> bytes:
+def encode_notices(notices: Iterable[DatedNotice], now: timedelta) -> bytes:
     """Return the wire form of `notices`."""
     return _codec.encode(
         _AGED[type(notice)](max(0, (now - at) // _MS), notice) for notice, at in notices
     )
 
 
-def decode_notices(data: bytes, now: timedelta) -> Result[tuple[Dated, ...], str]:
+def decode_notices(data: bytes, now: timedelta) -> Result[tuple[DatedNotice, ...], str]:
     """Read notices; the error says what is wrong."""
     rows = _codec.decode(data)
     if rows.is_ok() and not all(_is_short(row.notice) for row in rows.ok):
@@ -51,5 +51,5 @@
     return all(len(field) <= MAX_TEXT for field in notice if isinstance(field, str))
 
 
-def _dated(row: _Leaving | _Crash, now: timedelta) -> Dated:
-    return Dated(row.notice, now - min(max(0, row.age_ms), MAX_AGE_MS) * _MS)
+def _dated(row: _Leaving | _Crash, now: timedelta) -> DatedNotice:
+    return DatedNotice(row.notice, now - min(max(0, row.age_ms), MAX_AGE_MS) * _MS)
--- a/packages/feed/tests/test_noticecodec.py
+++ b/packages/feed/tests/test_noticecodec.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 import pytest
-from cardamomloft.core.notices import CrashUnderRequest, Dated, UpstreamLeaving
+from cardamomloft.core.notices import CrashUnderRequest, DatedNotice, UpstreamLeaving
 from cardamomloft.feed.noticecodec import MAX_AGE_MS, decode_notices, encode_notices
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,15 +11,15 @@
 MS = timedelta(milliseconds=1)
 NOW = timedelta(hours=100)
 HELD = [
-    Dated(UpstreamLeaving("i-1", 7), NOW - 20 * MS),
-    Dated(CrashUnderRequest("f", "i-2", 0, 2, excused=True), NOW),
+    DatedNotice(UpstreamLeaving("i-1", 7), NOW - 20 * MS),
+    DatedNotice(CrashUnderRequest("f", "i-2", 0, 2, excused=True), NOW),
 ]
 
 
 def test_what_is_read_is_as_old_by_the_readers_clock():
     later = timedelta(hours=1000)
     read = decode_notices(encode_notices(HELD, NOW), later).ok
-    assert read == tuple(Dated(notice, later - (NOW - at)) for notice, at in HELD)
+    assert read == tuple(DatedNotice(notice, later - (NOW - at)) for notice, at in HELD)
 
 
 @given(st.binary(max_size=60))
@@ -40,4 +40,4 @@
     "notice", [UpstreamLeaving("x" * 501, 0), CrashUnderRequest("x" * 501, "i", 0, 1)]
 )
 def test_endless_texts_are_refused(notice):
-    assert decode_notices(encode_notices([Dated(notice, NOW)], NOW), NOW).is_error()
+    assert decode_notices(encode_notices([DatedNotice(notice, NOW)], NOW), NOW).is_error()
--- a/packages/gateway/src/cardamomloft/gateway/calls.py
+++ b/packages/gateway/src/cardamomloft/gateway/calls.py
@@ -31,7 +31,7 @@
 class Call(t.NamedTuple):
     """One request as the decisions see it.
 
-    `until` is the monotonic instant at which the caller must have its answer, by its own deadline
+    `deadline` is the monotonic instant at which the caller must have its answer, by its own deadline
     or the rule's timeout. `target` is the path with its query, as sent. `leaves` is when the caller
     itself gives up.
     """
@@ -41,12 +41,12 @@
     service: str
     key: str
     arrived: timedelta
-    until: timedelta
+    deadline: timedelta
     target: str
     leaves: timedelta = timedelta(0)
 
 
-class Reader:
+class RequestReader:
     """Reads requests by one configuration.
 
     Parameters
@@ -67,7 +67,7 @@
             (rule.host, rule.prefix): ServiceRotation(rule.services, rng.random())
             for rule in plan.rules
         }
-        self.homes = _homes_by_host(plan)
+        self.home_regions = _homes_by_host(plan)
 
     def is_idempotent(self, head: RequestHead) -> bool:
         """Tell whether the request may run more than once."""
@@ -104,7 +104,7 @@
             service=self._rotations[rule.host, rule.prefix].next(),
             key=request_id if key is None else key,
             arrived=now,
-            until=now + patience,
+            deadline=now + patience,
             target=f"{head.path}?{head.query}" if head.query else head.path,
             leaves=now + stays,
         )
--- a/packages/gateway/src/cardamomloft/gateway/changefeed.py
+++ b/packages/gateway/src/cardamomloft/gateway/changefeed.py
@@ -7,14 +7,14 @@
 from datetime import timedelta
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.entrybook import EntryBook
-from cardamomloft.core.messages import ConfigurationTold, Message, NoticesCompared, NoticesTold
+from cardamomloft.core.entrytable import EntryTable
+from cardamomloft.core.messages import ConfigurationPush, Message, NoticeDigest, NoticePush
 from cardamomloft.core.model import Incarnation
-from cardamomloft.core.notices import Dated
+from cardamomloft.core.notices import DatedNotice
 from cardamomloft.core.registrations import EntryRecord
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.relays import relays_of
-from cardamomloft.feed.sources import Sources
+from cardamomloft.feed.sources import SourceSelector
 from cardamomloft.gateway.control import Control
 from cardamomloft.gateway.gossip import Gossip
 from cardamomloft.gateway.relayedcontrol import RelayedControl
@@ -67,10 +67,10 @@
         clock: Clock,
         control: Control,
         own: EntryRecord,
-        entries: EntryBook,
+        entries: EntryTable,
         present: Callable[[], bool],
         drain_time: timedelta,
-        on_notice: Callable[[Dated], None],
+        on_notice: Callable[[DatedNotice], None],
         rng: random.Random,
         metrics: Metrics,
     ) -> None:
@@ -79,7 +79,7 @@
         self._own = own
         self._entries = entries
         self._present = present
-        self._sources = Sources(own, drain_time)
+        self._sources = SourceSelector(own, drain_time)
         table = ChangeTable()
         self.port = RelayPort(reactor, clock, table, self._age, self._address_of, metrics)
         self.control = RelayedControl(
@@ -103,17 +103,17 @@
                 self._reactor,
                 me,
                 self._own.peers,
-                self.take,
+                self.receive,
                 on_fault=on_fault,
                 max_links=MAX_PEER_LINKS,
             )
 
-    def take(self, sender: Incarnation, message: Message) -> None:
+    def receive(self, sender: Incarnation, message: Message) -> None:
         """Take a message of another gateway."""
-        if isinstance(message, NoticesTold | NoticesCompared | ConfigurationTold):
-            self.gossip.take(sender, message)
+        if isinstance(message, NoticePush | NoticeDigest | ConfigurationPush):
+            self.gossip.receive(sender, message)
         else:
-            self.port.take(sender, message)
+            self.port.receive(sender, message)
 
     def stop(self) -> None:
         """Answer what waits here, and end; call it before the end of the following."""
--- a/packages/gateway/src/cardamomloft/gateway/control.py
+++ b/packages/gateway/src/cardamomloft/gateway/control.py
@@ -57,8 +57,8 @@
         """
         ...
 
-    def record(self, record: EntryRecord, life: timedelta) -> "Deferred[Result[str, StoreFailure]]":
-        """Record a running entry under a new lease of `life`; return the lease."""
+    def record(self, record: EntryRecord, ttl: timedelta) -> "Deferred[Result[str, StoreFailure]]":
+        """Record a running entry under a new lease of `ttl`; return the lease."""
         ...
 
     def renew(self, lease: str) -> "Deferred[Result[bool, StoreFailure]]":
--- a/packages/gateway/src/cardamomloft/gateway/following.py
+++ b/packages/gateway/src/cardamomloft/gateway/following.py
@@ -15,7 +15,7 @@
 from cardamomloft.core.clock import Clock
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import Fact
-from cardamomloft.feed.sources import FAILURES_UNTIL_AWAY
+from cardamomloft.feed.sources import FAILURES_UNTIL_UNAVAILABLE
 from cardamomloft.gateway.control import Changes, Control, Listing
 from cardamomloft.runtime.logs import log
 from cardamomloft.store.failures import StoreFailure
@@ -32,7 +32,7 @@
 """Pause after a question that took longer than the interval by itself."""
 
 
-class Pace(t.NamedTuple):
+class PollTiming(t.NamedTuple):
     """When the store is asked.
 
     Attributes
@@ -76,7 +76,7 @@
         clock: Clock,
         control: Control,
         rng: random.Random,
-        pace: Pace,
+        pace: PollTiming,
         on_listing: Callable[[Listing], None],
         on_changes: Callable[[tuple[Fact, ...]], None],
         on_returned: Callable[[], None],
@@ -99,14 +99,14 @@
         self._question: Deferred[Result[Listing | Changes, StoreFailure]] | None = None
 
     @property
-    def silence(self) -> timedelta:
+    def time_since_answer(self) -> timedelta:
         """Return how long ago the store, or a relay instead, answered; since the start if never."""
         return self._clock.monotonic() - self._answered_at
 
     @property
-    def away(self) -> bool:
+    def store_unavailable(self) -> bool:
         """Whether the store does not answer this entry."""
-        return self._failures >= FAILURES_UNTIL_AWAY
+        return self._failures >= FAILURES_UNTIL_UNAVAILABLE
 
     def start(self, on_fault: Callable[[t.Any], None]) -> None:
         """Begin to follow; `on_fault` is told of exceptions, which end it."""
@@ -120,7 +120,7 @@
         if self._running is not None:
             self._running.cancel()
 
-    def doubt(self) -> None:
+    def poll_now(self) -> None:
         """Ask the store at once, since another call to it has failed.
 
         The question that waits for a change may have been lost with that, and would go on waiting.
@@ -180,11 +180,11 @@
 
     def _failed(self, failure: StoreFailure) -> None:
         self._failures += 1
-        if self._failures == FAILURES_UNTIL_AWAY:
+        if self._failures == FAILURES_UNTIL_UNAVAILABLE:
             log("store-away", detail=failure.detail)
 
     def _succeeded(self) -> None:
-        self._was_away = self._was_away or self.away
+        self._was_away = self._was_away or self.store_unavailable
         self._failures = 0
         self._answered_at = self._clock.monotonic()
 
--- a/packages/gateway/src/cardamomloft/gateway/forwarding.py
+++ b/packages/gateway/src/cardamomloft/gateway/forwarding.py
@@ -6,17 +6,23 @@
 from datetime import timedelta
 
 from cardamomloft.callers.body import RequestBody
-from cardamomloft.callers.exchange import Answer, RequestHead, failed, to_answer, with_fractions
+from cardamomloft.callers.exchange import (
+    Answer,
+    RequestHead,
+    failed,
+    to_answer,
+    with_fractional_retry_after,
+)
 from cardamomloft.core.budgets import RetryBudget
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.comeback import ComeBack, Waits
 from cardamomloft.core.model import Refusal, RefusalReason
+from cardamomloft.core.retryafter import RetryAfterBounds, RetryAfterPolicy
 from cardamomloft.core.selection import Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.calls import Call
-from cardamomloft.gateway.noticing import Noticing
-from cardamomloft.gateway.passage import Caller, Passage
+from cardamomloft.gateway.noticehandler import NoticeHandler
 from cardamomloft.gateway.records import RequestLog, SendNote
+from cardamomloft.gateway.requestrun import Caller, RequestRun
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import UpstreamClient
 from expression import Result
@@ -60,12 +66,12 @@
         clock: Clock,
         rng: random.Random,
         selector: Selector,
-        book: UpstreamBook,
+        book: UpstreamTable,
         client: UpstreamClient,
         budget_for: Callable[[str], RetryBudget],
         metrics: Metrics,
         records: RequestLog,
-        noticing: Noticing,
+        noticing: NoticeHandler,
     ) -> None:
         self.reactor = reactor
         self.clock = clock
@@ -76,10 +82,10 @@
         self.budget_for = budget_for
         self.metrics = metrics
         self.records = records
-        self.noticing = noticing
-        self._returns: dict[str, ComeBack] = {}
+        self.notice_handler = noticing
+        self._returns: dict[str, RetryAfterPolicy] = {}
 
-    async def carry(
+    async def forward(
         self, call: Call, head: RequestHead, body: RequestBody, gone: "Deferred[None]"
     ) -> Answer:
         """Answer a call; if the caller leaves, its work is given up."""
@@ -101,13 +107,13 @@
     async def _carry(
         self, call: Call, head: RequestHead, body: RequestBody, caller: Caller
     ) -> Answer:
-        payload = await self._payload(body, call.until)
+        payload = await self._payload(body, call.deadline)
         if isinstance(payload, Refusal):
             self.records.write(call, "refused", self.clock.monotonic(), detail=payload.detail)
             return self.refuse(payload)
         size = len(payload) if isinstance(payload, bytes) else t.cast(int, payload.length)
-        self.selector.sizes.note(call.rule.name, size)
-        return await Passage(self, call, head, payload, caller).run()
+        self.selector.body_sizes.record(call.rule.name, size)
+        return await RequestRun(self, call, head, payload, caller).run()
 
     def left(self, call: Call, sends: Sequence[SendNote]) -> Answer:
         """Return an answer for nobody, after logging that the caller has left."""
@@ -144,19 +150,19 @@
         self.metrics.count(f"refused.{refusal.reason}")
         if refusal.retry_after is None and refusal.reason not in _FINAL:
             if wait is None:
-                wait = ComeBack(Waits()).wait(self.rng.random(), _UNBOUNDED)
+                wait = RetryAfterPolicy(RetryAfterBounds()).wait(self.rng.random(), _UNBOUNDED)
             refusal = refusal._replace(retry_after=wait)
-        return with_fractions(to_answer(refusal))
+        return with_fractional_retry_after(to_answer(refusal))
 
     def come_back(self, call: Call, now: timedelta) -> timedelta:
         """Return when the caller of a refused request is to come back."""
         return self.returns_of(call.service).wait(self.rng.random(), call.leaves - now)
 
-    def returns_of(self, service: str) -> ComeBack:
+    def returns_of(self, service: str) -> RetryAfterPolicy:
         """Return what decides when the refused callers of a service come back."""
         returns = self._returns.get(service)
         if returns is None:
-            returns = self._returns[service] = ComeBack(Waits())
+            returns = self._returns[service] = RetryAfterPolicy(RetryAfterBounds())
         return returns
 
 
--- a/packages/gateway/src/cardamomloft/gateway/gossip.py
+++ b/packages/gateway/src/cardamomloft/gateway/gossip.py
@@ -12,9 +12,9 @@
 from functools import singledispatchmethod
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.messages import ConfigurationTold, Message, NoticesCompared, NoticesTold
+from cardamomloft.core.messages import ConfigurationPush, Message, NoticeDigest, NoticePush
 from cardamomloft.core.model import Incarnation
-from cardamomloft.core.notices import Dated, Notice, NoticeBoard
+from cardamomloft.core.notices import DatedNotice, Notice, NoticeTable
 from cardamomloft.core.registrations import PlanRead
 from cardamomloft.core.routes import RoutePlan
 from cardamomloft.feed.factcodec import decode_facts, encode_facts
@@ -86,7 +86,7 @@
         rng: random.Random,
         others: Callable[[], dict[str, str]],
         send: Send,
-        on_news: Callable[[Dated], None],
+        on_news: Callable[[DatedNotice], None],
         metrics: Metrics,
         address: str,
     ) -> None:
@@ -100,18 +100,18 @@
         self._address = address
         self.plan: Callable[[], RoutePlan | None] = lambda: None
         self.on_plan: Callable[[RoutePlan], None] = lambda plan: None
-        self._board = NoticeBoard()
-        self._news: list[Dated] = []
+        self._board = NoticeTable()
+        self._news: list[DatedNotice] = []
         self._pushing: IDelayedCall | None = None
         self._started_at = clock.monotonic()
 
     def __len__(self) -> int:
         return len(self._board)
 
-    def tell(self, notices: Iterable[Notice]) -> None:
+    def publish(self, notices: Iterable[Notice]) -> None:
         """Let all gateways know, this one first."""
         now = self._clock.monotonic()
-        self._learn((Dated(notice, now) for notice in notices), now)
+        self._learn((DatedNotice(notice, now) for notice in notices), now)
 
     def compare(self) -> None:
         """Compare with another gateway; to be called at each `COMPARE_INTERVAL`."""
@@ -122,7 +122,7 @@
         """Ask several gateways for what this one has missed, as soon as it knows of them."""
         self._to_some(FANOUT, self._compared(answers=False))
 
-    def take(self, sender: Incarnation, message: Message) -> None:
+    def receive(self, sender: Incarnation, message: Message) -> None:
         """Take a message of another gateway."""
         self._take(message, sender)
 
@@ -137,7 +137,7 @@
         self._metrics.count("peer_messages_of_another_kind")
 
     @_take.register
-    def _(self, message: NoticesTold, sender: Incarnation) -> None:
+    def _(self, message: NoticePush, sender: Incarnation) -> None:
         now = self._clock.monotonic()
         match decode_notices(message.notices, now):
             case Result(tag="ok", ok=notices):
@@ -148,15 +148,15 @@
                 log("notices-unreadable", entry=sender.seat, detail=detail)
 
     @_take.register
-    def _(self, message: NoticesCompared, sender: Incarnation) -> None:
+    def _(self, message: NoticeDigest, sender: Incarnation) -> None:
         address = self._others().get(sender.seat) or (message.starting and message.address)
         if not address:
             return
         plan = self.plan()
         if message.starting and plan is not None and plan.number > message.configuration:
-            self._send(address, ConfigurationTold(encode_facts([PlanRead(plan)])))
+            self._send(address, ConfigurationPush(encode_facts([PlanRead(plan)])))
         now = self._clock.monotonic()
-        if message.sums == self._board.sums(now):
+        if message.sums == self._board.checksums(now):
             return
         missing = self._board.differing(message.sums, now)
         if missing:
@@ -165,7 +165,7 @@
             self._send(address, self._compared(answers=True))
 
     @_take.register
-    def _(self, message: ConfigurationTold, sender: Incarnation) -> None:
+    def _(self, message: ConfigurationPush, sender: Incarnation) -> None:
         match decode_facts(message.fact):
             case Result(tag="ok", ok=[PlanRead(plan)]):
                 self._metrics.count("configurations_heard")
@@ -174,16 +174,16 @@
                 self._metrics.count("notices_unreadable")
                 log("notices-unreadable", entry=sender.seat, detail="not a configuration")
 
-    def _compared(self, *, answers: bool) -> NoticesCompared:
+    def _compared(self, *, answers: bool) -> NoticeDigest:
         plan, now = self.plan(), self._clock.monotonic()
         number = 0 if plan is None else plan.number
-        sums = self._board.sums(now)
-        return NoticesCompared(sums, answers, self._is_starting(), number, self._address)
+        sums = self._board.checksums(now)
+        return NoticeDigest(sums, answers, self._is_starting(), number, self._address)
 
     def _is_starting(self) -> bool:
         return self._clock.monotonic() - self._started_at < CATCH_UP_TIME
 
-    def _learn(self, told: Iterable[Dated], now: timedelta) -> None:
+    def _learn(self, told: Iterable[DatedNotice], now: timedelta) -> None:
         news = self._board.take(told, now)
         for dated in news:
             self._on_news(dated)
@@ -204,5 +204,5 @@
             self._send(address, message)
 
 
-def _told(notices: list[Dated], now: timedelta) -> NoticesTold:
-    return NoticesTold(encode_notices(notices[:NOTICES_A_MESSAGE], now))
+def _told(notices: list[DatedNotice], now: timedelta) -> NoticePush:
+    return NoticePush(encode_notices(notices[:NOTICES_A_MESSAGE], now))
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -10,28 +10,28 @@
 from cardamomloft.callers.exchange import Answer, RequestHead
 from cardamomloft.core.budgets import ColdLimit, RetryBudget
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.model import Refusal, RefusalReason
-from cardamomloft.core.naming import Names
+from cardamomloft.core.naming import EntryLookup
 from cardamomloft.core.registrations import EntryRecord
 from cardamomloft.core.routes import RoutePlan
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.timekeeping import Timekeeper
-from cardamomloft.core.upstreambook import UpstreamBook
-from cardamomloft.gateway.calls import Call, CallerHeaders, Reader
+from cardamomloft.core.timekeeping import ClockMonitor
+from cardamomloft.core.upstreamtable import UpstreamTable
+from cardamomloft.gateway.calls import Call, CallerHeaders, RequestReader
 from cardamomloft.gateway.changefeed import ChangeFeed
 from cardamomloft.gateway.control import Control, Listing
-from cardamomloft.gateway.following import Follower, Pace
+from cardamomloft.gateway.following import Follower, PollTiming
 from cardamomloft.gateway.forwarding import Forwarder
 from cardamomloft.gateway.gossip import COMPARE_INTERVAL
-from cardamomloft.gateway.noticing import Noticing
+from cardamomloft.gateway.noticehandler import NoticeHandler
 from cardamomloft.gateway.presence import Presence
 from cardamomloft.gateway.records import RequestLog
 from cardamomloft.gateway.settings import FIXED, Bounds, GatewaySettings, bounds_of
 from cardamomloft.gateway.status import GatewayStatus
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.control import ControlApp
-from cardamomloft.runtime.lifecycle import make_life_cycle
+from cardamomloft.runtime.lifecycle import make_lifecycle
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.runtime.timers import Timers
@@ -75,7 +75,7 @@
     """The answer to a look-up: where to send requests, and for how long that holds."""
 
     addresses: list[str]
-    life: timedelta
+    ttl: timedelta
 
 
 class Gateway:
@@ -117,50 +117,50 @@
         self._bounds = bounds_of(cfg)
         self.metrics = Metrics()
         self.stopped: Deferred[None] = Deferred()
-        self.life = make_life_cycle(self)
+        self.lifecycle = make_lifecycle(self)
         self._timers = Timers(reactor, self._on_fault)
         self._port: IListeningPort | None = None
         self.pages: IListeningPort | None = None
         self._hard_stop: IDelayedCall | None = None
-        self._reader: Reader | None = None
+        self._reader: RequestReader | None = None
         self._logged_figures: Counter[str] = Counter()
-        self._timekeeper = Timekeeper(clock, _TICK)
+        self._timekeeper = ClockMonitor(clock, _TICK)
         self._build()
 
     def _build(self) -> None:
         cfg, clock, bounds = self._cfg, self._clock, self._bounds
         peers = cfg.get("peers", "")
         own = EntryRecord(cfg["name"], cfg["callers"], cfg["zone"], cfg["region"], peers)
-        self.book = UpstreamBook(cfg["zones"])
-        self.entries = EntryBook(own, bounds.retry_window)
-        self._names = Names(self.entries)
+        self.upstream_table = UpstreamTable(cfg["zones"])
+        self.entries = EntryTable(own, bounds.retry_window)
+        self._names = EntryLookup(self.entries)
         self.selector = Selector(
-            self.book, cfg["name"], cfg["zone"], _cold_limit(cfg), Preferences()
+            self.upstream_table, cfg["name"], cfg["zone"], _cold_limit(cfg), Preferences()
         )
         self._budgets: dict[str, RetryBudget] = {}
         self.records = RequestLog(lambda: self.configuration)
-        self.noticing = Noticing(clock, self.book, self.metrics)
+        self.notice_handler = NoticeHandler(clock, self.upstream_table, self.metrics)
         self.forwarder = Forwarder(
             self._reactor,
             clock,
             self._rng,
             self.selector,
-            self.book,
+            self.upstream_table,
             self._client,
             self._budget_for,
             self.metrics,
             self.records,
-            self.noticing,
+            self.notice_handler,
         )
         self.app = CallersApp(
             None, self.handle, self._on_fault, may_overlap=self._may_overlap, meter=self.metrics
         )
         self.presence = Presence(
-            self._control, own, bounds.record_life, lambda: self.follower.doubt()
+            self._control, own, bounds.record_life, lambda: self.follower.poll_now()
         )
         self.view = StoreView(
             clock,
-            self.book,
+            self.upstream_table,
             self.entries,
             self.selector,
             self._client.forget,
@@ -175,12 +175,12 @@
             self.entries,
             self.ready,
             bounds.drain_time,
-            self.noticing.apply,
+            self.notice_handler.apply,
             self._rng,
             self.metrics,
         )
         gossip = self.feed.gossip
-        self.noticing.tell = gossip.tell
+        self.notice_handler.publish = gossip.publish
         gossip.plan = lambda: self._reader and self._reader.plan
         gossip.on_plan = self._put_in_force
         self.follower = Follower(
@@ -190,8 +190,8 @@
             self._rng,
             _pace(bounds),
             self._on_listing,
-            self.view.take_changes,
-            self.view.store_returned,
+            self.view.apply_changes,
+            self.view.store_recovered,
         )
 
     def _budget_for(self, service: str) -> RetryBudget:
@@ -213,13 +213,13 @@
         free = {name: value for name, value in cfg.items() if name not in FIXED}
         self._cfg = t.cast(GatewaySettings, {**free, **kept})
         self._bounds = bounds_of(self._cfg)
-        self.selector.cold = _cold_limit(self._cfg)
+        self.selector.cold_limit = _cold_limit(self._cfg)
         for budget in self._budgets.values():
-            budget.allow(*self._repeats())
-        self.entries.memory = self._bounds.retry_window
+            budget.set_limits(*self._repeats())
+        self.entries.count_window = self._bounds.retry_window
         self.follower.pace = _pace(self._bounds)
         self.feed.use_drain_time(self._bounds.drain_time)
-        self.book.use_regions(self._cfg["zones"])
+        self.upstream_table.use_regions(self._cfg["zones"])
         log("reloaded", changed_fixed=bool(fixed))
 
     # Life.
@@ -248,25 +248,27 @@
 
     def stop(self) -> None:
         """Stop without cutting off requests; asking again changes nothing."""
-        self.life.stop()
+        self.lifecycle.stop()
 
     def ready(self) -> bool:
         """Tell whether callers may be sent here."""
-        return self.life.state() == "ready"
+        return self.lifecycle.state() == "ready"
 
     def on_ready(self) -> None:
         """Let the other entries name this one."""
-        log("ready", configuration=self.configuration, upstreams=len(self.book))
-        self._timers.every(self.presence.interval, self.presence.keep)
+        log("ready", configuration=self.configuration, upstreams=len(self.upstream_table))
+        self._timers.every(self.presence.interval, self.presence.refresh)
 
     def on_leaving(self) -> None:
         """Leave the look-ups, and go on serving those who asked before."""
         log("leaving", in_flight=self.app.in_flight)
         self.presence.withdraw()
-        self.app.closing()
+        self.app.start_closing()
         stop_time = self._bounds.stop_time.total_seconds()
-        self._reactor.callLater(stop_time * LINGER_PART, self.life.lingered)
-        self._hard_stop = self._reactor.callLater(stop_time * HARD_STOP_PART, self.life.drained)
+        self._reactor.callLater(stop_time * LINGER_PART, self.lifecycle.lingered)
+        self._hard_stop = self._reactor.callLater(
+            stop_time * HARD_STOP_PART, self.lifecycle.drained
+        )
 
     def on_closing(self) -> None:
         """Take no new connections, and finish what is in flight."""
@@ -276,7 +278,7 @@
         finished = self.app.drained()
         # The last answers are written, but not sent: wait until their connections are closed.
         finished.addCallback(lambda _: self.app.disconnect())
-        finished.addCallback(lambda _: self._reactor.callLater(0, self.life.drained))
+        finished.addCallback(lambda _: self._reactor.callLater(0, self.lifecycle.drained))
 
     def on_stopped(self) -> None:
         """Release everything and end the process."""
@@ -304,15 +306,15 @@
             request_id = dict(head.headers).get(self.headers.request_id, "")
             self.records.unread(head, request_id, call, self._clock.monotonic())
             return self.forwarder.refuse(call)
-        return await self.forwarder.carry(call, head, body, gone)
+        return await self.forwarder.forward(call, head, body, gone)
 
     def _may_overlap(self, head: RequestHead) -> bool:
         return self._reader is not None and self._reader.is_idempotent(head)
 
     def _admitted(self, head: RequestHead) -> Call | Refusal:
-        if self.life.admits() and self._reader is not None:
+        if self.lifecycle.admits() and self._reader is not None:
             return self.read(head)
-        starting = self.life.state() == "starting"
+        starting = self.lifecycle.state() == "starting"
         reason = RefusalReason.NOT_READY if starting else RefusalReason.STOPPING
         return Refusal(reason, "ask another entry")
 
@@ -332,19 +334,19 @@
         self.metrics.count("lookups")
         if self._reader is None:
             return Refusal(RefusalReason.NOT_READY, "no configuration yet")
-        homes = self._reader.homes.get(host, frozenset())
+        homes = self._reader.home_regions.get(host, frozenset())
         zones, ready = self._cfg["zones"], self.ready()
-        named = self._names.of(zone, region, homes, zones, with_own=ready)
+        named = self._names.find(zone, region, homes, zones, with_own=ready)
         if not named:
             return Refusal(RefusalReason.NOT_READY, "no entry is ready")
-        life = min(LOOKUP_LIFE, self._bounds.lookup_life)
-        return Named([record.address for record in named], life)
+        ttl = min(LOOKUP_LIFE, self._bounds.lookup_life)
+        return Named([record.address for record in named], ttl)
 
     # The store.
 
     def _on_listing(self, listing: Listing) -> None:
         first = not self.view.listed
-        self.view.take_listing(listing)
+        self.view.apply_listing(listing)
         if first:
             self.feed.gossip.catch_up()
         self._check_prepared()
@@ -355,26 +357,26 @@
             if plan.number < held:
                 log("configuration-older", offered=plan.number, held=held)
             return
-        self._reader = Reader(plan, self.headers, self._rng)
+        self._reader = RequestReader(plan, self.headers, self._rng)
         self.selector.policies = plan.services
-        self.app.keep_idle(plan.limits.idle_timeout)
-        self.app.bound_heads(plan.limits.head_bytes, plan.limits.head_timeout)
+        self.app.set_idle_timeout(plan.limits.idle_timeout)
+        self.app.set_head_limits(plan.limits.head_bytes, plan.limits.head_timeout)
         log("in-force", configuration=plan.number, rules=len(plan.rules))
         self._check_prepared()
 
     def _check_prepared(self) -> None:
         if self.view.listed and self._reader is not None:
-            self.life.prepared()
+            self.lifecycle.prepared()
 
     # Timers.
 
     def _tick(self) -> None:
         self._log_irregularity()
         self.view.tick()
-        self.noticing.tick()
+        self.notice_handler.tick()
 
     def _log_irregularity(self) -> None:
-        found = self._timekeeper.look()
+        found = self._timekeeper.check()
         if found is not None:
             ms = timedelta(milliseconds=1)
             log("irregular-time", late_ms=found.late // ms, stepped_ms=found.stepped // ms)
@@ -397,5 +399,5 @@
     return ColdLimit(cfg["cold"]["overage"], cfg["cold"]["slack"])
 
 
-def _pace(bounds: Bounds) -> Pace:
-    return Pace(bounds.drain_time * FOLLOW_PART, bounds.drain_time * WAIT_PART)
+def _pace(bounds: Bounds) -> PollTiming:
+    return PollTiming(bounds.drain_time * FOLLOW_PART, bounds.drain_time * WAIT_PART)
--- a/packages/gateway/src/cardamomloft/gateway/pages.py
+++ b/packages/gateway/src/cardamomloft/gateway/pages.py
@@ -36,13 +36,15 @@
     @app.route("/lookup")
     def _lookup(self, req: IRequest) -> bytes:
         named = self._gateway.lookup(
-            argument(req, b"host"), argument(req, b"zone"), argument(req, b"region")
+            query_argument(req, b"host"),
+            query_argument(req, b"zone"),
+            query_argument(req, b"region"),
         )
         req.setHeader("Content-Type", "application/json")
         if isinstance(named, Refusal):
             req.setResponseCode(503)
             return msgspec.json.encode({"reason": str(named.reason), "detail": named.detail})
-        valid_ms = round(named.life.total_seconds() * 1000)
+        valid_ms = round(named.ttl.total_seconds() * 1000)
         return msgspec.json.encode({"entries": named.addresses, "valid_ms": valid_ms})
 
 
@@ -56,7 +58,7 @@
     ]
 
 
-def argument(req: IRequest, name: bytes) -> str:
+def query_argument(req: IRequest, name: bytes) -> str:
     """Return the first value of a query argument, or an empty text."""
     values = req.args.get(name) or [b""]
     return values[0].decode("utf-8", "replace")
--- a/packages/gateway/src/cardamomloft/gateway/plaintext.py
+++ b/packages/gateway/src/cardamomloft/gateway/plaintext.py
@@ -8,7 +8,7 @@
 import sys
 
 
-def leave_out_tls() -> None:
+def block_openssl_import() -> None:
     """Let an import of OpenSSL fail from now on; call it before Twisted is imported.
 
     Raises
--- a/packages/gateway/src/cardamomloft/gateway/presence.py
+++ b/packages/gateway/src/cardamomloft/gateway/presence.py
@@ -48,10 +48,10 @@
 
     @property
     def interval(self) -> timedelta:
-        """How often `keep` is to be called."""
+        """How often `refresh` is to be called."""
         return self._life / RENEWALS
 
-    def keep(self) -> "Deferred[None]":
+    def refresh(self) -> "Deferred[None]":
         """Record the entry, or renew its lease."""
         return ensureDeferred(self._keep())
 
--- a/packages/gateway/src/cardamomloft/gateway/process.py
+++ b/packages/gateway/src/cardamomloft/gateway/process.py
@@ -19,7 +19,7 @@
 
 CALLER_HEADERS = CallerHeaders(REQUEST_ID_HEADER, DEADLINE_HEADER, "x-placement-key")
 UPSTREAM_DIALECT = Dialect(
-    misdirected=421, expected="x-expected-instance", load="x-load", reuses=True
+    misdirected=421, expected="x-expected-instance", load="x-load", reuse_always=True
 )
 
 
--- a/packages/gateway/src/cardamomloft/gateway/records.py
+++ b/packages/gateway/src/cardamomloft/gateway/records.py
@@ -9,15 +9,15 @@
 from datetime import timedelta
 
 from cardamomloft.callers.exchange import RequestHead
+from cardamomloft.core.cachestate import CacheState
 from cardamomloft.core.model import Refusal
 from cardamomloft.core.selection import Reason
-from cardamomloft.core.touches import Touch
-from cardamomloft.core.upstreambook import Upstream
+from cardamomloft.core.upstreamtable import Upstream
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.outcomes import Told
 from cardamomloft.runtime.logs import log
 
-LINES_PER_S = 100
+MAX_LINES_PER_S = 100
 """Lines a second; one takes 20 us to write (3,000 timed alone), 0.2 % of a core in all."""
 
 SAMPLE = 50
@@ -36,7 +36,7 @@
 
     endpoint: str
     reason: Reason
-    touch: Touch
+    touch: CacheState
     load: float
     slots: int
     report_age: timedelta | None
@@ -102,7 +102,7 @@
             service=call.service,
             key=call.key,
             ms=_ms(now - call.arrived),
-            left_ms=_ms(call.until - now),
+            left_ms=_ms(call.deadline - now),
             configuration=self._version(),
             **fields,
         )
@@ -127,7 +127,7 @@
                 log("requests-not-logged", count=self._left_out)
             self._window, self._lines, self._left_out = now, 0, 0
         self._lines += 1
-        if self._lines <= LINES_PER_S:
+        if self._lines <= MAX_LINES_PER_S:
             return True
         self._left_out += 1
         return False
--- a/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
@@ -8,9 +8,9 @@
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import EntryRecord
 from cardamomloft.feed.changetable import ChangeTable
-from cardamomloft.feed.sources import Question, Sources
+from cardamomloft.feed.sources import SourceChoice, SourceSelector
 from cardamomloft.gateway.control import Changes, Control, Listing
-from cardamomloft.gateway.relaying import Passed, RelayPort, Silence
+from cardamomloft.gateway.relaying import RelayedChanges, RelayPort, Silence
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.store.failures import StoreFailure
@@ -48,7 +48,7 @@
         control: Control,
         clock: Clock,
         table: ChangeTable,
-        sources: Sources,
+        sources: SourceSelector,
         port: RelayPort,
         records: Callable[[], list[EntryRecord]],
         metrics: Metrics,
@@ -76,9 +76,9 @@
         """Return what has changed after the revision `after`; without a wait, by the store."""
         return ensureDeferred(self._changes(after, wait))
 
-    def record(self, record: EntryRecord, life: timedelta) -> "Deferred[Result[str, StoreFailure]]":
+    def record(self, record: EntryRecord, ttl: timedelta) -> "Deferred[Result[str, StoreFailure]]":
         """Record an entry under a new lease."""
-        return self._control.record(record, life)
+        return self._control.record(record, ttl)
 
     def renew(self, lease: str) -> "Deferred[Result[bool, StoreFailure]]":
         """Renew a lease."""
@@ -92,15 +92,15 @@
         asked_at = self._clock.monotonic()
         outcome = await self._control.read()
         if outcome.is_ok():
-            self._table.listed(outcome.ok.facts, outcome.ok.index)
-            self._sources.complete(asked_at)
-            self._port.publish()
+            self._table.apply_listing(outcome.ok.facts, outcome.ok.index)
+            self._sources.record_complete(asked_at)
+            self._port.answer_held_requests()
         return outcome
 
     async def _changes(self, after: Position, wait: timedelta) -> Result[Changes, StoreFailure]:
         if not wait:
             return await self._while_failing(after)
-        question = self._sources.next(self._records(), self._clock.monotonic())
+        question = self._sources.next_source(self._records(), self._clock.monotonic())
         if question.relay is None:
             longest = wait if question.wait is None else question.wait
             return await self._from_store(after, longest, question.pause)
@@ -108,11 +108,13 @@
 
     async def _while_failing(self, after: Position) -> Result[Changes, StoreFailure]:
         """Leave it to a relay to ask whether the store is back; ask it if that may be so."""
-        question = self._sources.next_while_failing(self._records(), self._clock.monotonic())
+        question = self._sources.next_source_during_outage(self._records(), self._clock.monotonic())
         if question.relay is None:
             return await self._from_store_at_once(after)
         wait = question.wait or timedelta(0)
-        match await self._port.ask(question.relay, after, wait, self._sources.patience):
+        match await self._port.request_changes(
+            question.relay, after, wait, self._sources.relay_timeout
+        ):
             case Result(tag="ok", ok=passed) if self._is_no_news_of_store(passed, after):
                 left = StoreFailure(False, f"left to {question.relay.name} to ask")
                 return Ok(self._passed(passed, after, None)._replace(failure=left))
@@ -127,10 +129,12 @@
         outcome = await self._from_store(after, timedelta(0), None)
         if outcome.is_ok() or self._stopped:
             return outcome
-        relay = self._sources.relay(self._records(), self._clock.monotonic())
+        relay = self._sources.usable_relay(self._records(), self._clock.monotonic())
         if relay is None:
             return outcome
-        match await self._port.ask(relay, after, timedelta(0), self._sources.patience):
+        match await self._port.request_changes(
+            relay, after, timedelta(0), self._sources.relay_timeout
+        ):
             case Result(tag="ok", ok=passed) if self._is_of_use(passed, after):
                 return Ok(self._passed(passed, after, None)._replace(failure=outcome.error))
             case Result(tag="error", error=silence) if not silence.cancelled:
@@ -138,10 +142,10 @@
         return outcome
 
     async def _from_relay(
-        self, relay: EntryRecord, question: Question, after: Position
+        self, relay: EntryRecord, question: SourceChoice, after: Position
     ) -> Result[Changes, StoreFailure]:
         wait = question.wait or timedelta(0)
-        match await self._port.ask(relay, after, wait, self._sources.patience):
+        match await self._port.request_changes(relay, after, wait, self._sources.relay_timeout):
             case Result(tag="ok", ok=passed) if self._is_of_use(passed, after):
                 return Ok(self._passed(passed, after, question.pause))
             case Result(tag="error", error=Silence(cancelled=True, detail=detail)):
@@ -150,35 +154,37 @@
                 self._silent(relay, silence)
         return await self._from_store(after, timedelta(0), question.pause)
 
-    def _passed(self, passed: Passed, after: Position, pause: timedelta | None) -> Changes:
+    def _passed(self, passed: RelayedChanges, after: Position, pause: timedelta | None) -> Changes:
         self._metrics.count("changes_from_relay")
-        self._sources.complete(passed.complete_at)
+        self._sources.record_complete(passed.complete_at)
         if passed.whole:
-            self._table.listed(passed.facts, passed.index)
-            self._port.publish()
+            self._table.apply_listing(passed.facts, passed.index)
+            self._port.answer_held_requests()
             return Changes(passed.facts, passed.index, whole=True, pause=pause)
         index = max(after, passed.index)
         self._learn(passed.facts, index)
         return Changes(passed.facts, index, pause=pause)
 
-    def _is_no_news_of_store(self, passed: Passed, after: Position) -> bool:
-        return not self._sources.is_back(passed.complete_at) and self._is_of_use(passed, after)
+    def _is_no_news_of_store(self, passed: RelayedChanges, after: Position) -> bool:
+        return not self._sources.shows_recovery(passed.complete_at) and self._is_of_use(
+            passed, after
+        )
 
-    def _is_of_use(self, passed: Passed, after: Position) -> bool:
+    def _is_of_use(self, passed: RelayedChanges, after: Position) -> bool:
         """Tell whether an answer tells nothing that is older than what is known here."""
         if passed.whole:
             return passed.index >= after
         return passed.index.era == after.era and not self._went_back(passed, after)
 
-    def _went_back(self, passed: Passed, after: Position) -> bool:
+    def _went_back(self, passed: RelayedChanges, after: Position) -> bool:
         """Tell whether a relay heard a lower revision later: then the store counts anew."""
-        own = self._sources.known_at
+        own = self._sources.complete_until
         return passed.index < after and own is not None and passed.complete_at > own
 
     def _silent(self, relay: EntryRecord, silence: Silence) -> None:
         self._metrics.count("relay_silent")
         log("relay-silent", relay=relay.name, detail=silence.detail)
-        self._sources.silent(relay.name, self._clock.monotonic())
+        self._sources.record_relay_timeout(relay.name, self._clock.monotonic())
 
     async def _from_store(
         self, after: Position, wait: timedelta, pause: timedelta | None
@@ -187,16 +193,16 @@
         asked_at = self._clock.monotonic()
         outcome = await self._control.changes(after, wait)
         if outcome.is_error():
-            self._sources.store_failed(asked_at)
+            self._sources.record_store_failure(asked_at)
             return outcome
-        self._sources.store_answered()
+        self._sources.record_store_answer()
         if outcome.ok.lost:
             return outcome
         # After a wait the answer is of now; without one it is of when the question came there.
-        self._sources.complete(self._clock.monotonic() if wait else asked_at)
+        self._sources.record_complete(self._clock.monotonic() if wait else asked_at)
         self._learn(outcome.ok.facts, outcome.ok.index)
         return Ok(outcome.ok._replace(pause=pause))
 
     def _learn(self, facts: t.Iterable[t.Any], index: int) -> None:
-        self._table.changed(facts, index)
-        self._port.publish()
+        self._table.apply_changes(facts, index)
+        self._port.answer_held_requests()
--- a/packages/gateway/src/cardamomloft/gateway/relaying.py
+++ b/packages/gateway/src/cardamomloft/gateway/relaying.py
@@ -11,7 +11,7 @@
 from functools import singledispatchmethod
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.messages import ChangesAnswer, ChangesQuestion, Message
+from cardamomloft.core.messages import ChangesRequest, ChangesResponse, Message
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import EntryRecord, Fact
@@ -48,7 +48,7 @@
         ...
 
 
-class Passed(t.NamedTuple):
+class RelayedChanges(t.NamedTuple):
     """What a relay has passed on.
 
     `facts` has changed up to the position `index`, which was all that had changed until the
@@ -68,7 +68,7 @@
     cancelled: bool = False
 
 
-Outcome = Result[Passed, Silence]
+Outcome = Result[RelayedChanges, Silence]
 
 
 class _Asked(t.NamedTuple):
@@ -85,7 +85,7 @@
 
     asker: Incarnation
     address: str
-    question: ChangesQuestion
+    question: ChangesRequest
     arrived: timedelta
     timer: IDelayedCall
 
@@ -134,7 +134,7 @@
         """The number of questions that wait here for a change."""
         return len(self._held)
 
-    def ask(
+    def request_changes(
         self, relay: EntryRecord, after: Position, wait: timedelta, patience: timedelta
     ) -> "Deferred[Outcome]":
         """Ask `relay` what has changed after the position `after`.
@@ -155,16 +155,16 @@
             (wait + patience).total_seconds(), self._end, number, Error(Silence("no answer"))
         )
         self._asked[number] = _Asked(relay, self._clock.monotonic(), done, timer)
-        question = ChangesQuestion(number, after.era, after.revision, wait // _MS)
+        question = ChangesRequest(number, after.era, after.revision, wait // _MS)
         if self.peers is None or not self.peers.send(relay.peers, question):
             self._end(number, Error(Silence("not sent")))
         return done
 
-    def take(self, sender: Incarnation, message: Message) -> None:
+    def receive(self, sender: Incarnation, message: Message) -> None:
         """Take a message of another gateway."""
         self._take(message, sender)
 
-    def publish(self) -> None:
+    def answer_held_requests(self) -> None:
         """Answer the questions for which there now is a change."""
         self._release([held for held in self._held if self._has_news(held.question)])
 
@@ -182,7 +182,7 @@
         self._metrics.count("peer_messages_of_another_kind")
 
     @_take.register
-    def _(self, message: ChangesQuestion, sender: Incarnation) -> None:
+    def _(self, message: ChangesRequest, sender: Incarnation) -> None:
         address = self._address_of(sender.seat)
         if address is None:
             # Not recorded here yet: it asks the store when it hears nothing.
@@ -197,14 +197,14 @@
             self._release([held])
 
     @_take.register
-    def _(self, message: ChangesAnswer, sender: Incarnation) -> None:
+    def _(self, message: ChangesResponse, sender: Incarnation) -> None:
         asked = self._asked.get(message.number)
         if asked is None or asked.relay.name != sender.seat:
             self._metrics.count("changes_answers_late")
             return
         self._end(message.number, self._read(message, asked))
 
-    def _read(self, message: ChangesAnswer, asked: _Asked) -> Outcome:
+    def _read(self, message: ChangesResponse, asked: _Asked) -> Outcome:
         if message.facts is None:
             return Error(Silence("it knows nothing yet"))
         match decode_facts(message.facts):
@@ -218,7 +218,7 @@
         on_the_way = elapsed - min(elapsed, min(message.held_ms, MAX_HOLD_MS) * _MS)
         age = min(message.age_ms, MAX_AGE_MS) * _MS
         position = Position(message.era, message.index)
-        return Ok(Passed(facts, position, now - age - on_the_way, message.whole))
+        return Ok(RelayedChanges(facts, position, now - age - on_the_way, message.whole))
 
     def _end(self, number: int, outcome: Outcome) -> None:
         asked = self._asked.pop(number, None)
@@ -228,10 +228,10 @@
             asked.timer.cancel()
         asked.done.callback(outcome)
 
-    def _has_news(self, question: ChangesQuestion) -> bool:
-        return self._table.since(Position(question.era, question.after)) != ()
+    def _has_news(self, question: ChangesRequest) -> bool:
+        return self._table.changes_since(Position(question.era, question.after)) != ()
 
-    def _time_is_over(self, question: ChangesQuestion, asker: Incarnation) -> None:
+    def _time_is_over(self, question: ChangesRequest, asker: Incarnation) -> None:
         self._release(
             [held for held in self._held if (held.question, held.asker) == (question, asker)]
         )
@@ -245,9 +245,9 @@
 
     def _answer(self, held: _Held) -> None:
         age, table, question = self._age(), self._table, held.question
-        changed = table.since(Position(question.era, question.after))
-        facts = table.whole() if changed is None else changed
-        answer = ChangesAnswer(
+        changed = table.changes_since(Position(question.era, question.after))
+        facts = table.all_facts() if changed is None else changed
+        answer = ChangesResponse(
             question.number,
             table.index.era,
             table.index.revision,
--- a/packages/gateway/src/cardamomloft/gateway/reloading.py
+++ b/packages/gateway/src/cardamomloft/gateway/reloading.py
@@ -59,7 +59,7 @@
             sleep(WAIT_STEP_S)
         return None
 
-    def changed(self) -> GatewaySettings | None:
+    def read_if_changed(self) -> GatewaySettings | None:
         """Return the settings if the file has other contents than when it was read last.
 
         A file that is half written is logged and left; it is read again when it has changed.
--- a/packages/gateway/src/cardamomloft/gateway/passage.py
+++ b/packages/gateway/src/cardamomloft/gateway/requestrun.py
@@ -9,14 +9,14 @@
 from functools import cached_property
 
 from cardamomloft.callers.body import RequestBody
-from cardamomloft.callers.exchange import Answer, RequestHead, failed, late
+from cardamomloft.callers.exchange import Answer, RequestHead, deadline_exceeded, failed
+from cardamomloft.core.cachestate import CacheState
 from cardamomloft.core.estimates import expected_load
 from cardamomloft.core.fingerprints import fingerprint
 from cardamomloft.core.model import Endpoint, Refusal, RefusalReason
 from cardamomloft.core.retries import may_retry
 from cardamomloft.core.selection import Choice, Reason
-from cardamomloft.core.touches import Touch
-from cardamomloft.core.upstreambook import LoadReport, Upstream
+from cardamomloft.core.upstreamtable import LoadReport, Upstream
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.outcomes import (
     Failed,
@@ -48,7 +48,7 @@
         self.left = False
 
 
-class Passage:
+class RequestRun:
     """One request on its way: what was tried, and what that proves."""
 
     def __init__(
@@ -100,14 +100,14 @@
 
     def _choose(self) -> Choice | Refusal:
         call, now = self._call, self._now()
-        if call.until - now < LEAST_TIME:
+        if call.deadline - now < LEAST_TIME:
             return Refusal(RefusalReason.DEADLINE, "no time is left")
         refused_until = self._owner.noticing.refused_until(self._get_fingerprint)
         if refused_until is not None:
             detail = "upstreams crash under this request"
             return Refusal(RefusalReason.QUARANTINED, detail, refused_until - now)
         return self._selector.choose(
-            call.rule, call.service, call.key, self._tried, call.until, now
+            call.rule, call.service, call.key, self._tried, call.deadline, now
         )
 
     # Sending.
@@ -122,13 +122,13 @@
         self._arrivals += 1
         load = expected_load(upstream, now)
         report_age = None if upstream.report is None else now - upstream.report.at
-        selector.sent(upstream, now)
+        selector.record_sent(upstream, now)
         try:
             result = await self._owner.client.send(self._request_for(upstream, now))
             told = self._heed(upstream, result)
             outcome = await read_outcome(result, told, self._dialect, self._is_late)
         finally:
-            selector.ended(upstream)
+            selector.record_end(upstream)
         self._learn(upstream, outcome, now, load)
         took = self._now() - now
         self._end_touch(upstream, touch, outcome, took)
@@ -137,28 +137,28 @@
         self._sends.append(note)
         return outcome
 
-    def _begin_touch(self, upstream: Upstream, reason: Reason) -> Touch:
+    def _begin_touch(self, upstream: Upstream, reason: Reason) -> CacheState:
         owner, call = self._owner, self._call
-        touch = Touch.NONE
+        touch = CacheState.NONE
         if call.rule.keyed:
-            touch = owner.selector.touches.look(upstream, call.key)
-            owner.selector.touches.sent(upstream, call.key)
+            touch = owner.selector.cache_states.state_of(upstream, call.key)
+            owner.selector.cache_states.record_sent(upstream, call.key)
         owner.metrics.count(f"sends.{reason}.{call.service}")
         owner.metrics.count(f"touch.{touch}.{call.service}")
         return touch
 
     def _end_touch(
-        self, upstream: Upstream, touch: Touch, outcome: Outcome, took: timedelta
+        self, upstream: Upstream, touch: CacheState, outcome: Outcome, took: timedelta
     ) -> None:
         owner, call = self._owner, self._call
         if isinstance(outcome, Served):
             owner.metrics.observe(f"{call.service}.{touch}", took)
-        if touch is Touch.NONE:
+        if touch is CacheState.NONE:
             return
         if isinstance(outcome, Served):
-            owner.selector.touches.answered(upstream, call.key)
+            owner.selector.cache_states.record_answer(upstream, call.key)
         else:
-            owner.selector.touches.failed(upstream, call.key)
+            owner.selector.cache_states.record_failure(upstream, call.key)
 
     def _request_for(self, upstream: Upstream, now: timedelta) -> UpstreamRequest:
         call, row = self._call, upstream.registration
@@ -171,14 +171,14 @@
             path=call.target,
             headers=self._head.headers,
             body=self._payload,
-            timeout=call.until - now,
+            timeout=call.deadline - now,
             request_id=call.id,
             idempotent=call.rule.idempotent,
             expected=row.id,
         )
 
     def _is_late(self) -> bool:
-        return self._call.until - self._now() < LEAST_TIME
+        return self._call.deadline - self._now() < LEAST_TIME
 
     # Learning.
 
@@ -190,12 +190,12 @@
         if told.leaving:
             self._owner.noticing.leaving(upstream)
         if told.leave_alone is not None:
-            upstream.alone_until = max(upstream.alone_until, self._now() + told.leave_alone)
+            upstream.paused_until = max(upstream.paused_until, self._now() + told.leave_alone)
         if told.load is not None:
             # This request is still counted here, and not by the endpoint any more.
             own = max(0, upstream.in_flight - 1)
             report = LoadReport(*told.load, own=own, at=self._now())
-            self._selector.reported(upstream, report)
+            self._selector.record_report(upstream, report)
         return told
 
     def _learn(self, upstream: Upstream, outcome: Outcome, sent_at: timedelta, load: float) -> None:
@@ -203,17 +203,17 @@
         match outcome:
             case Served(faulty=True):
                 self._ran = True
-                self._selector.failed(upstream, now)
+                self._selector.record_failure(upstream, now)
                 self._owner.noticing.answered(self._get_fingerprint)
             case Served():
                 self._owner.noticing.answered(self._get_fingerprint)
-                self._selector.answered(upstream, now - sent_at, load)
+                self._selector.record_answer(upstream, now - sent_at, load)
             case Refused(misdirected=True):
                 self._owner.book.mark_leaving(upstream)
                 self._owner.records.write(self._call, "misdirected", now, upstream=upstream)
             case Refused(had_room=had_room):
                 self._owner.metrics.count(f"refused-there.{'with-room' if had_room else 'full'}")
-                self._selector.refused(upstream, now, had_room=had_room)
+                self._selector.record_refusal(upstream, now, had_room=had_room)
             case Failed() if self._caller.left:
                 # The send was given up here; it says nothing about the endpoint.
                 self._ran = True
@@ -221,19 +221,21 @@
                 self._was_cut = self._was_cut or outcome.cut
                 self._arrivals -= outcome.not_run
                 self._ran = self._ran or not outcome.not_run
-                self._selector.failed(upstream, now)
+                self._selector.record_failure(upstream, now)
                 if outcome.cut:
                     self._owner.noticing.crashed(self._fingerprint, upstream)
 
     def _may_repeat(self, outcome: Outcome) -> bool:
         not_run = isinstance(outcome, Refused) or (isinstance(outcome, Failed) and outcome.not_run)
-        if not isinstance(self._payload, bytes) and not self._payload.untouched:
+        if not isinstance(self._payload, bytes) and not self._payload.unconsumed:
             return False
         call, now = self._call, self._now()
         attempts = min(call.rule.attempts - self._arrivals, MAX_SENDS - len(self._tried))
-        harmless = may_retry(call.rule.idempotent, not_run, attempts, call.until - now, LEAST_TIME)
+        harmless = may_retry(
+            call.rule.idempotent, not_run, attempts, call.deadline - now, LEAST_TIME
+        )
         entries = self._selector.entries
-        return harmless and (not self._arrivals or self._budget.may_repeat(entries, now))
+        return harmless and (not self._arrivals or self._budget.may_retry(entries, now))
 
     # The end.
 
@@ -266,7 +268,7 @@
             refusal = refusal or Refusal(RefusalReason.SHED, detail)
             return owner.refuse(refusal, owner.come_back(self._call, now))
         owner.metrics.count(outcome)
-        return late(detail) if outcome == "late" else failed(detail)
+        return deadline_exceeded(detail) if outcome == "late" else failed(detail)
 
     def _identity(self) -> dict[str, str]:
         """Return what shows in the log that a request which was cut off comes again."""
--- a/packages/gateway/src/cardamomloft/gateway/running.py
+++ b/packages/gateway/src/cardamomloft/gateway/running.py
@@ -22,7 +22,7 @@
     """
 
     def reload() -> None:
-        cfg = settings.changed()
+        cfg = settings.read_if_changed()
         if cfg is not None:
             gateway.reconfigure(cfg)
 
--- a/packages/gateway/src/cardamomloft/gateway/status.py
+++ b/packages/gateway/src/cardamomloft/gateway/status.py
@@ -34,16 +34,16 @@
         """Return the status page's object; `limits` adds a row for each endpoint."""
         gateway = self._gateway
         page: dict[str, t.Any] = {
-            "state": gateway.life.state(),
+            "state": gateway.lifecycle.state(),
             "configuration": gateway.configuration,
-            "store_away": gateway.follower.away,
-            "store_silence_ms": gateway.follower.silence // timedelta(milliseconds=1),
+            "store_away": gateway.follower.store_unavailable,
+            "store_silence_ms": gateway.follower.time_since_answer // timedelta(milliseconds=1),
             **gateway.feed.status(),
             "in_flight": gateway.app.in_flight,
             "entries": sorted(row.name for row in gateway.entries.records(with_own=True)),
-            "drained_zones": sorted(gateway.book.drained_zones),
-            "upstreams": len(gateway.book),
-            "quarantined": gateway.noticing.refused(),
+            "drained_zones": sorted(gateway.upstream_table.drained_zones),
+            "upstreams": len(gateway.upstream_table),
+            "quarantined": gateway.notice_handler.quarantined(),
         }
         if limits:
             page["endpoints"] = [
@@ -55,13 +55,13 @@
                     "failures": up.failures,
                     "report": up.report and up.report[:3],
                 }
-                for up in gateway.book.all()
+                for up in gateway.upstream_table.all()
             ]
         return page
 
-    def explain(self, question: dict[str, t.Any]) -> dict[str, t.Any]:
+    def explain(self, query: dict[str, t.Any]) -> dict[str, t.Any]:
         """Tell which rule a request would match; the question names its `host` and `path`."""
-        host, path = str(question.get("host", "")), str(question.get("path", "/"))
+        host, path = str(query.get("host", "")), str(query.get("path", "/"))
         pairs = (("host", host), (self._gateway.headers.request_id, "explain"))
         head = RequestHead("GET", path, "", pairs, "", 0, False)
         call = self._gateway.read(head)
--- a/packages/gateway/src/cardamomloft/gateway/storecontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/storecontrol.py
@@ -28,7 +28,7 @@
 from cardamomloft.gateway.documents import load_plan, load_registration
 from cardamomloft.gateway.entryrecords import encode_entry, read_entry
 from cardamomloft.store.failures import StoreFailure
-from cardamomloft.store.keyvalue import Listed, Record, Store
+from cardamomloft.store.keyvalue import ListResult, Record, Store
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
@@ -80,7 +80,7 @@
         listed = await self._store.list(self._prefix)
         return listed.map(lambda found: Changes(self._differences(found), _position(found)))
 
-    def _differences(self, listed: Listed) -> tuple[Fact, ...]:
+    def _differences(self, listed: ListResult) -> tuple[Fact, ...]:
         records = {key.removeprefix(self._prefix): row for key, row in listed.records.items()}
         facts = [_removed(key) for key in self._known if key not in records]
         facts += [
@@ -90,12 +90,12 @@
         self._index = _position(listed)
         return tuple(fact for fact in facts if fact is not None)
 
-    def record(self, record: EntryRecord, life: timedelta) -> "Deferred[Result[str, StoreFailure]]":
+    def record(self, record: EntryRecord, ttl: timedelta) -> "Deferred[Result[str, StoreFailure]]":
         """Record an entry under a new lease."""
-        return ensureDeferred(self._record(record, life))
+        return ensureDeferred(self._record(record, ttl))
 
-    async def _record(self, record: EntryRecord, life: timedelta) -> Result[str, StoreFailure]:
-        match await self._store.create_lease(life):
+    async def _record(self, record: EntryRecord, ttl: timedelta) -> Result[str, StoreFailure]:
+        match await self._store.create_lease(ttl):
             case Result(tag="error", error=failure):
                 return Error(failure)
             case Result(ok=lease):
@@ -119,7 +119,7 @@
         return self._store.release(lease)
 
 
-def _position(listed: Listed) -> Position:
+def _position(listed: ListResult) -> Position:
     # This interface tells no eras.
     return Position(0, listed.index)
 
--- a/packages/gateway/src/cardamomloft/gateway/storeview.py
+++ b/packages/gateway/src/cardamomloft/gateway/storeview.py
@@ -6,7 +6,7 @@
 from functools import singledispatchmethod
 
 from cardamomloft.core.clock import Clock
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import (
     EntryRecorded,
@@ -20,13 +20,13 @@
     ZoneDrained,
     ZoneRestored,
 )
-from cardamomloft.core.restoration import DOUBT_TIME, missing_drains, sift
+from cardamomloft.core.restoration import CONFIRMATION_TIMEOUT, classify_facts, missing_drains
 from cardamomloft.core.routes import RoutePlan
 from cardamomloft.core.selection import Selector
-from cardamomloft.core.upstreambook import UpstreamBook
-from cardamomloft.feed.changetable import FactKey, is_same, key_of
+from cardamomloft.core.upstreamtable import UpstreamTable
+from cardamomloft.feed.changetable import FactKey, is_same_fact, key_of
 from cardamomloft.gateway.control import Listing
-from cardamomloft.runtime.logs import Known, log
+from cardamomloft.runtime.logs import ReportedProblems, log
 from cardamomloft.runtime.metrics import Metrics
 
 DOUBTED_LOGGED = 20
@@ -67,8 +67,8 @@
     def __init__(
         self,
         clock: Clock,
-        book: UpstreamBook,
-        entries: EntryBook,
+        book: UpstreamTable,
+        entries: EntryTable,
         selector: Selector,
         forget: Callable[[str], None],
         on_plan: Callable[[RoutePlan], None],
@@ -81,21 +81,21 @@
         self._forget = forget
         self._on_plan = on_plan
         self._metrics = metrics
-        self._unreadable = Known()
+        self._unreadable = ReportedProblems()
         self._era: int | None = None
         self._doubts: dict[FactKey, _Doubt] = {}
         self.listed = False
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take a list of all that the store holds: what is not in it has gone."""
         now = self._clock.monotonic()
         restored = self._is_restored(listing.index)
         facts = self._sift(listing) if restored else self._undoubted(listing.facts)
-        self.take_changes(facts)
+        self.apply_changes(facts)
         upstreams = _listed_upstreams(listing.facts)
         entries = {fact.record.name for fact in facts if isinstance(fact, EntryRecorded)}
-        _log_gone(self._book.listed(upstreams, now))
-        self._entries.listed(entries, now)
+        _log_gone(self._book.withdraw_unlisted(upstreams, now))
+        self._entries.withdraw_unlisted(entries, now)
         for zone in missing_drains(listing.facts, self._book):
             if key_of(ZoneRestored(zone)) not in self._doubts:
                 self._take(ZoneRestored(zone))
@@ -109,12 +109,12 @@
     def _sift(self, listing: Listing) -> tuple[Fact, ...]:
         """Return what to take of the list of a restored store, and expect that others write."""
         now = self._clock.monotonic()
-        self._book.expect_returns(now)
-        self._entries.expect_returns(now)
-        taken, doubted = sift(listing.facts, self._book, self._entries)
+        self._book.start_grace_period(now)
+        self._entries.start_grace_period(now)
+        taken, doubted = classify_facts(listing.facts, self._book, self._entries)
         drains = missing_drains(listing.facts, self._book)
         doubted = (*doubted, *map(ZoneRestored, sorted(drains)))
-        self._doubts = {key_of(fact): _Doubt(fact, now + DOUBT_TIME) for fact in doubted}
+        self._doubts = {key_of(fact): _Doubt(fact, now + CONFIRMATION_TIMEOUT) for fact in doubted}
         self._metrics.count("stores_restored")
         self._metrics.count("doubted_facts", len(doubted))
         log(
@@ -122,7 +122,7 @@
             era=listing.index.era,
             revision=listing.index.revision,
             doubted=[str(fact) for fact in doubted[:DOUBTED_LOGGED]],
-            doubted_ms=DOUBT_TIME // timedelta(milliseconds=1),
+            doubted_ms=CONFIRMATION_TIMEOUT // timedelta(milliseconds=1),
         )
         return taken
 
@@ -139,22 +139,22 @@
 
     def _is_doubted(self, fact: Fact) -> bool:
         doubt = self._doubts.get(key_of(fact))
-        return doubt is not None and is_same(doubt.fact, fact)
+        return doubt is not None and is_same_fact(doubt.fact, fact)
 
-    def take_changes(self, facts: tuple[Fact, ...]) -> None:
+    def apply_changes(self, facts: tuple[Fact, ...]) -> None:
         """Take facts that have changed, in order."""
         withdrawn = _withdrawn(facts)
         if self._book.have_lapsed(withdrawn):
             log("registrations-lapsed", count=len(withdrawn), of=len(self._book))
-            self._book.expect_returns(self._clock.monotonic())
+            self._book.start_grace_period(self._clock.monotonic())
         for fact in facts:
             self._doubts.pop(key_of(fact), None)
             self._take(fact)
         self._share_budgets()
 
-    def store_returned(self) -> None:
+    def store_recovered(self) -> None:
         """Note that the store answers again: records that lapsed may come back."""
-        self._entries.expect_returns(self._clock.monotonic())
+        self._entries.start_grace_period(self._clock.monotonic())
 
     def tick(self) -> None:
         """Withdraw what did not come back in time."""
@@ -173,7 +173,7 @@
                 self._take(doubt.fact)
 
     def _share_budgets(self) -> None:
-        self._selector.entries = self._entries.sharing(self._clock.monotonic())
+        self._selector.entries = self._entries.max_recent_count(self._clock.monotonic())
         self._selector.others = [row.name for row in self._entries.records(with_own=False)]
 
     @singledispatchmethod
@@ -211,7 +211,7 @@
 
     @_take.register
     def _(self, fact: UpstreamUnreadable) -> None:
-        used = self._book.hide(fact.id)
+        used = self._book.mark_unreadable(fact.id)
         if self._unreadable.is_new(fact.id, fact.detail):
             log("unreadable", upstream=fact.id, detail=fact.detail, was_used=used)
 
--- a/packages/gateway/tests/test_calls.py
+++ b/packages/gateway/tests/test_calls.py
@@ -3,7 +3,7 @@
 import pytest
 from cardamomloft.callers.exchange import RequestHead
 from cardamomloft.core.model import Refusal, RefusalReason
-from cardamomloft.gateway.calls import Reader
+from cardamomloft.gateway.calls import RequestReader
 from cardamomloft_standins import gateway as kit
 
 MS = kit.MS
@@ -22,19 +22,19 @@
 
 
 def _read(head: RequestHead, **changes):
-    reader = Reader(kit.plan(rules=[kit.RULE._replace(**changes)]), kit.HEADERS, kit.rng())
+    reader = RequestReader(kit.plan(rules=[kit.RULE._replace(**changes)]), kit.HEADERS, kit.rng())
     return reader.read(head, 5000 * MS)
 
 
 def test_valid_request_is_read_as_a_call():
     call = _read(_head(query="a=1"))
     assert (call.id, call.service, call.key, call.target) == ("id-1", "menus", "17", "/menus/7?a=1")
-    assert call.until == 6000 * MS
+    assert call.deadline == 6000 * MS
 
 
 @pytest.mark.parametrize(("deadline", "until"), [("300", 5300), (None, 6000), ("9" * 18, 6000)])
 def test_deadline_is_the_earlier_of_the_callers_and_the_rules(deadline, until):
-    assert _read(_head(x_deadline_ms=deadline)).until == until * MS
+    assert _read(_head(x_deadline_ms=deadline)).deadline == until * MS
 
 
 def test_request_id_is_the_key_without_an_affinity_key():
@@ -70,5 +70,5 @@
         kit.RULE._replace(prefix="/b/", homes=frozenset({"east"})),
         kit.RULE._replace(prefix="/c/"),
     ]
-    reader = Reader(kit.plan(rules=rules), kit.HEADERS, kit.rng())
-    assert reader.homes == {"a.example": {"east"}}
+    reader = RequestReader(kit.plan(rules=rules), kit.HEADERS, kit.rng())
+    assert reader.home_regions == {"a.example": {"east"}}
--- a/packages/gateway/tests/test_following.py
+++ b/packages/gateway/tests/test_following.py
@@ -2,7 +2,7 @@
 
 from cardamomloft.core.registrations import UpstreamWithdrawn
 from cardamomloft.gateway.control import Changes
-from cardamomloft.gateway.following import Follower, Pace
+from cardamomloft.gateway.following import Follower, PollTiming
 from cardamomloft_standins import gateway as kit
 from expression import Ok
 from twisted.internet.defer import Deferred
@@ -25,7 +25,7 @@
             self.time.clock,
             control,
             kit.rng(),
-            Pace(INTERVAL, WAIT),
+            PollTiming(INTERVAL, WAIT),
             self.listings.append,
             self.changes.append,
             lambda *args: self.returned.append(args),
@@ -77,7 +77,7 @@
     run = Run(_listed())
     run.control.next = kit.AWAY
     run.time.advance(INTERVAL + 100 * MS)
-    assert not run.follower.away
+    assert not run.follower.store_unavailable
     run.control.next = kit.no_changes()
     run.time.advance(INTERVAL)
     assert run.returned == []
@@ -87,7 +87,7 @@
     run = Run(_listed())
     run.control.next = kit.AWAY
     run.time.advance(5 * INTERVAL)
-    assert run.follower.away
+    assert run.follower.store_unavailable
     run.control.next = kit.no_changes()
     run.time.advance(3 * INTERVAL)
     assert run.returned == [()]
@@ -135,10 +135,10 @@
     run.control.pending = Deferred(lambda deferred: deferred.callback(kit.AWAY))
     run.time.advance(1500 * MS)
     run.control.pending = None
-    run.follower.doubt()
+    run.follower.poll_now()
     run.time.advance(600 * MS)
     assert run.control.waits[:2] == [WAIT, 0 * MS]
-    assert not run.follower.away and run.faults == []
+    assert not run.follower.store_unavailable and run.faults == []
 
 
 def test_extra_poll_is_ignored_during_an_outage():
@@ -146,8 +146,8 @@
     run.control.next = kit.AWAY
     run.time.advance(3 * INTERVAL)
     calls_before = len(run.control.calls)
-    run.follower.doubt()
-    assert len(run.control.calls) == calls_before and run.follower.away
+    run.follower.poll_now()
+    assert len(run.control.calls) == calls_before and run.follower.store_unavailable
 
 
 def test_nothing_is_requested_after_a_stop():
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -134,9 +134,9 @@
     lines = []
     monkeypatch.setattr(records, "log", lambda event, **fields: lines.append((event, fields)))
     run = Run()
-    for _ in range(records.LINES_PER_S + 40):
+    for _ in range(records.MAX_LINES_PER_S + 40):
         run.ask(host="unknown.example")
-    assert len(lines) == records.LINES_PER_S
+    assert len(lines) == records.MAX_LINES_PER_S
     run.time.advance(1500 * MS)
     run.ask(host="unknown.example")
     assert ("requests-not-logged", {"count": 40}) in lines
--- a/packages/gateway/tests/test_gateway_forwarding.py
+++ b/packages/gateway/tests/test_gateway_forwarding.py
@@ -158,7 +158,7 @@
     for _ in range(2):
         bench.answer("/orders/1")
     (upstream,) = bench.book.of_service("menus")
-    assert upstream.rest_until > bench.time.clock.monotonic()
+    assert upstream.ejected_until > bench.time.clock.monotonic()
 
 
 def test_request_is_cancelled_when_the_caller_disconnects():
--- a/packages/gateway/tests/test_gateway_settings.py
+++ b/packages/gateway/tests/test_gateway_settings.py
@@ -40,7 +40,7 @@
     retries = {"ratio": 0.0, "slack": 0.0, "window": "10s"}
     changed = {**SETTINGS, "retries": retries, "lookup_life": "500ms", "callers": "127.0.0.1:1"}
     run.gateway.reconfigure(changed)
-    assert run.lookup().life == 500 * MS
+    assert run.lookup().ttl == 500 * MS
     assert run.lookup().addresses == ["127.0.0.1:7101"]
     run.client.outcomes.clear()
     run.client.outcomes.extend([kit.answer(503, b"", not_run=True), kit.answer()])
@@ -50,7 +50,7 @@
 def test_endpoints_follow_their_zone_to_another_region():
     run = Run()
     run.gateway.reconfigure({**SETTINGS, "zones": {"a": "west", "b": "west"}})
-    (upstream,) = run.gateway.book.of_service("menus")
+    (upstream,) = run.gateway.upstream_table.of_service("menus")
     assert upstream.region == "west"
 
 
@@ -59,14 +59,14 @@
     path.write_text(json.dumps(SETTINGS))
     settings = SettingsFile(path)
     assert settings.read() == SETTINGS
-    assert settings.changed() is None
+    assert settings.read_if_changed() is None
     path.write_text(json.dumps(SETTINGS)[:40])
-    assert settings.changed() is None
+    assert settings.read_if_changed() is None
     changed = {**SETTINGS, "lookup_life": "1s"}
     path.write_text(json.dumps(changed))
-    assert settings.changed() == changed
+    assert settings.read_if_changed() == changed
     path.unlink()
-    assert settings.changed() is None
+    assert settings.read_if_changed() is None
     assert settings.read() is None
 
 
--- a/packages/gateway/tests/test_gateway_store.py
+++ b/packages/gateway/tests/test_gateway_store.py
@@ -110,7 +110,7 @@
     assert run.ask().status == 200
     run.change(UpstreamRegistered(kit.registration(2)), index=21)
     run.time.advance(2000 * MS)
-    assert [up.id for up in run.gateway.book.all()] == ["i-2"]
+    assert [up.id for up in run.gateway.upstream_table.all()] == ["i-2"]
 
 
 def test_expiration_of_all_registrations_in_an_outage_removes_no_endpoint():
@@ -130,7 +130,7 @@
 def test_endpoints_withdrawn_while_only_this_gateway_was_disconnected_are_removed():
     run = _run_with(4)
     _outage(run, UpstreamWithdrawn("i-1"), UpstreamWithdrawn("i-3"))
-    assert [up.id for up in run.gateway.book.all()] == ["i-2", "i-4"]
+    assert [up.id for up in run.gateway.upstream_table.all()] == ["i-2", "i-4"]
 
 
 def test_expired_registration_is_not_retained_if_others_were_renewed_meanwhile():
@@ -138,14 +138,14 @@
     gone = [UpstreamWithdrawn(f"i-{number}") for number in (1, 2, 3, 4)]
     back = [UpstreamRegistered(kit.registration(number)) for number in (1, 2, 3)]
     _outage(run, *gone, *back)
-    assert [up.id for up in run.gateway.book.all()] == ["i-1", "i-2", "i-3"]
+    assert [up.id for up in run.gateway.upstream_table.all()] == ["i-1", "i-2", "i-3"]
 
 
 def test_endpoints_of_a_restored_zone_are_cold():
     run = Run()
     run.change(ZoneDrained("a"))
     run.change(ZoneRestored("a"))
-    (upstream,) = run.gateway.book.of_service("menus")
+    (upstream,) = run.gateway.upstream_table.of_service("menus")
     assert upstream.cold_until > run.time.clock.monotonic()
     assert run.ask().status == 200
 
--- a/packages/gateway/tests/test_gossip.py
+++ b/packages/gateway/tests/test_gossip.py
@@ -5,10 +5,10 @@
 
 import pytest
 from cardamomloft.core.messages import (
-    ChangesQuestion,
-    ConfigurationTold,
-    NoticesCompared,
-    NoticesTold,
+    ChangesRequest,
+    ConfigurationPush,
+    NoticeDigest,
+    NoticePush,
 )
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.notices import CrashUnderRequest, UpstreamLeaving
@@ -97,7 +97,7 @@
         if self.rng.random() < self.loss or {sender.me.seat, address} & self.disconnected:
             return
         delay = MESSAGE_DELAY.total_seconds()
-        self.time.reactor.callLater(delay, receiver.gossip.take, sender.me, message)
+        self.time.reactor.callLater(delay, receiver.gossip.receive, sender.me, message)
 
     def run(self, duration: timedelta) -> None:
         self.time.advance(duration, 10 * MS)
@@ -111,7 +111,7 @@
 def test_notice_reaches_all_gateways_in_time(count, seed):
     fleet = Fleet(count, seed)
     fleet.run(CATCH_UP_TIME)
-    fleet.members[0].gossip.tell([CRASH])
+    fleet.members[0].gossip.publish([CRASH])
     fleet.run(DELIVERY_TIME)
     assert fleet.members_without(CRASH) == []
 
@@ -120,7 +120,7 @@
 def test_notice_reaches_all_gateways_in_time_despite_lost_messages(count):
     fleet = Fleet(count)
     fleet.loss = 0.2
-    fleet.members[0].gossip.tell([CRASH])
+    fleet.members[0].gossip.publish([CRASH])
     fleet.run(DELIVERY_TIME)
     assert fleet.members_without(CRASH) == []
 
@@ -128,7 +128,7 @@
 def test_notice_reaches_disconnected_gateways_once_they_are_reconnected():
     fleet = Fleet(60)
     fleet.disconnected = {f"e-{number}" for number in range(20, 40)}
-    fleet.members[0].gossip.tell([CRASH])
+    fleet.members[0].gossip.publish([CRASH])
     fleet.run(DELIVERY_TIME)
     assert set(fleet.members_without(CRASH)) == fleet.disconnected
     fleet.disconnected = set()
@@ -138,7 +138,7 @@
 
 def test_gateway_that_starts_later_receives_earlier_notices():
     fleet = Fleet(10)
-    fleet.members[0].gossip.tell([CRASH])
+    fleet.members[0].gossip.publish([CRASH])
     fleet.run(CATCH_UP_TIME)
     late = fleet.add("late")
     late.listed = False
@@ -166,7 +166,7 @@
     fleet = Fleet(10)
     fleet.run(CATCH_UP_TIME)
     fleet.members[0].plans = [kit.plan(7)]
-    fleet.members[1].gossip.tell([CRASH])
+    fleet.members[1].gossip.publish([CRASH])
     fleet.run(DELIVERY_TIME)
     assert [member.plans for member in fleet.members[1:]] == [[]] * 9
 
@@ -184,7 +184,7 @@
     fleet.run(CATCH_UP_TIME)
     before = sum(member.sent for member in fleet.members)
     notices = [CRASH._replace(upstream=f"i-{number}") for number in range(20)]
-    fleet.members[0].gossip.tell(notices)
+    fleet.members[0].gossip.publish(notices)
     fleet.run(400 * MS)
     sent = sum(member.sent for member in fleet.members) - before
     assert sent <= len(fleet.members) * (FANOUT + 1)
@@ -192,8 +192,8 @@
 
 def test_excuse_prevails_over_the_crash_notice():
     fleet = Fleet(10)
-    fleet.members[0].gossip.tell([CRASH])
-    fleet.members[1].gossip.tell([CRASH._replace(excused=True)])
+    fleet.members[0].gossip.publish([CRASH])
+    fleet.members[1].gossip.publish([CRASH._replace(excused=True)])
     fleet.run(DELIVERY_TIME)
     for member in fleet.members:
         assert member.received[-1].notice.excused
@@ -204,14 +204,14 @@
     fleet = Fleet(2)
     member, stranger = fleet.members[0], Incarnation("stranger", "1")
     for message in (
-        NoticesTold(b"\xc1"),
-        NoticesCompared((), False, False, 0, ""),
-        NoticesCompared((1,) * 1000, True, False, 0, ""),
-        ConfigurationTold(b"x"),
-        ConfigurationTold(encode_facts([ZoneDrained("a")])),
-        ChangesQuestion(1, 0, 1, 1),
+        NoticePush(b"\xc1"),
+        NoticeDigest((), False, False, 0, ""),
+        NoticeDigest((1,) * 1000, True, False, 0, ""),
+        ConfigurationPush(b"x"),
+        ConfigurationPush(encode_facts([ZoneDrained("a")])),
+        ChangesRequest(1, 0, 1, 1),
     ):
-        member.gossip.take(stranger, message)
+        member.gossip.receive(stranger, message)
     assert member.received == []
     assert member.metrics.counters["notices_unreadable"] == 3
     assert member.metrics.counters["peer_messages_of_another_kind"] == 1
@@ -235,11 +235,11 @@
         member = fleet.members[at]
         match kind:
             case "crash":
-                member.gossip.tell([CRASH._replace(upstream=f"i-{at}")])
+                member.gossip.publish([CRASH._replace(upstream=f"i-{at}")])
             case "excuse":
-                member.gossip.tell([CRASH._replace(upstream=f"i-{at}", excused=True)])
+                member.gossip.publish([CRASH._replace(upstream=f"i-{at}", excused=True)])
             case "leave":
-                member.gossip.tell([UpstreamLeaving(f"i-{at}", 0)])
+                member.gossip.publish([UpstreamLeaving(f"i-{at}", 0)])
             case "cut":
                 fleet.disconnected.add(member.me.seat)
             case "heal":
@@ -252,4 +252,4 @@
     fleet.disconnected, fleet.loss = set(), 0.0
     fleet.run(2 * DELIVERY_TIME)
     now = fleet.time.clock.monotonic()
-    assert len({member.gossip._board.sums(now) for member in fleet.members}) == 1
+    assert len({member.gossip._board.checksums(now) for member in fleet.members}) == 1
