--- a/packages/gateway/tests/test_heeding.py
+++ b/packages/gateway/tests/test_heeding.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 import pytest
-from cardamomloft.core.notices import REQUEST_LIFE
+from cardamomloft.core.notices import CRASH_RETENTION
 from cardamomloft.core.quarantine import RESTART_TIME
 from cardamomloft_standins import gateway as kit
 from cardamomloft_standins.carrying import (
@@ -27,7 +27,7 @@
     answer = bench.answer()
     assert answer.status == 503
     assert header(answer, "cardamomloft-reason") == "upstreams-crash-under-it"
-    time_left = REQUEST_LIFE - 2 * RESTART_TIME
+    time_left = CRASH_RETENTION - 2 * RESTART_TIME
     assert float(header(answer, "retry-after")) == pytest.approx(time_left.total_seconds())
     assert len(bench.client.sent) == 3
 
@@ -38,7 +38,7 @@
     for _ in range(2):
         bench.answer()
         bench.time.advance(RESTART_TIME)
-    assert len(bench.forwarder.noticing.refused()) == 1
+    assert len(bench.forwarder.notice_handler.quarantined()) == 1
     bench.client.outcomes = deque(outcomes)
     return bench
 
@@ -68,7 +68,7 @@
     for _ in range(3):
         bench.answer()
         bench.time.advance(RESTART_TIME)
-    assert bench.forwarder.noticing.refused() == []
+    assert bench.forwarder.notice_handler.quarantined() == []
     assert bench.answer().status == 200
 
 
@@ -78,7 +78,7 @@
     for _ in range(10):
         bench.answer()
         bench.time.advance(RESTART_TIME)
-    assert bench.forwarder.noticing.refused() == []
+    assert bench.forwarder.notice_handler.quarantined() == []
 
 
 @pytest.mark.parametrize("status", [200, 404, 500])
@@ -102,7 +102,7 @@
 def test_leaving_reported_by_another_endpoint_at_the_address_is_ignored():
     bench = Bench(kit.answer(421, b"", not_run=True, x_leaving="1"), kit.answer())
     published = []
-    bench.forwarder.noticing.tell = published.extend
+    bench.forwarder.notice_handler.publish = published.extend
     bench.answer()
     assert published == []
 
--- a/packages/gateway/tests/test_plaintext.py
+++ b/packages/gateway/tests/test_plaintext.py
@@ -7,8 +7,8 @@
 from cardamomloft.gateway import plaintext
 
 SCRIPT = """
-from cardamomloft.gateway.plaintext import leave_out_tls
-leave_out_tls()
+from cardamomloft.gateway.plaintext import block_openssl_import
+block_openssl_import()
 import sys
 import cardamomloft.gateway.node
 from twisted.internet import reactor
@@ -23,4 +23,4 @@
 def test_openssl_that_is_already_imported_is_an_error(monkeypatch):
     monkeypatch.setitem(sys.modules, "OpenSSL", sys)
     with pytest.raises(RuntimeError, match="already"):
-        plaintext.leave_out_tls()
+        plaintext.block_openssl_import()
--- a/packages/gateway/tests/test_presence.py
+++ b/packages/gateway/tests/test_presence.py
@@ -17,37 +17,37 @@
 def test_record_is_written_once_and_then_renewed():
     control, presence = _presence()
     for _ in range(3):
-        presence.keep()
+        presence.refresh()
     assert control.calls == ["record e-1", "renew 7", "renew 7"]
     assert presence.interval == 1500 * kit.MS
 
 
 def test_expired_lease_is_replaced_at_once():
     control, presence = _presence()
-    presence.keep()
+    presence.refresh()
     control.renewed = Ok(False)
-    presence.keep()
+    presence.refresh()
     assert control.calls[-2:] == ["renew 7", "record e-1"]
 
 
 def test_failed_renewal_keeps_the_lease_and_failed_record_is_retried():
     control, presence = _presence()
     control.lease = kit.AWAY
-    presence.keep()
+    presence.refresh()
     control.lease = Ok("7")
-    presence.keep()
+    presence.refresh()
     control.renewed = kit.AWAY
-    presence.keep()
-    presence.keep()
+    presence.refresh()
+    presence.refresh()
     assert control.calls == ["record e-1", "record e-1", *["renew 7"] * 4]
 
 
 def test_failed_renewal_is_retried_at_once_and_only_once():
     """Guards against a lease that expires after lost calls, before the next regular renewal."""
     control, presence = _presence()
-    presence.keep()
+    presence.refresh()
     control.renewed = kit.AWAY
-    presence.keep()
+    presence.refresh()
     assert control.calls == ["record e-1", "renew 7", "renew 7"]
 
 
@@ -55,8 +55,8 @@
     control, presence = _presence()
     answers = [kit.AWAY, Ok(False)]
     control.renew = lambda lease: succeed(answers.pop(0))
-    presence.keep()
-    presence.keep()
+    presence.refresh()
+    presence.refresh()
     assert control.calls == ["record e-1", "record e-1"]
 
 
@@ -64,18 +64,18 @@
     failures = []
     control = kit.FakeControl()
     presence = Presence(control, RECORD, 3000 * kit.MS, lambda: failures.append("failed"))
-    presence.keep()
+    presence.refresh()
     control.renewed = Ok(False)
-    presence.keep()
+    presence.refresh()
     assert failures == []
     control.renewed = kit.AWAY
-    presence.keep()
+    presence.refresh()
     assert failures == ["failed"]
 
 
 def test_withdrawn_record_is_not_written_again():
     control, presence = _presence()
-    presence.keep()
+    presence.refresh()
     presence.withdraw()
-    presence.keep()
+    presence.refresh()
     assert control.calls == ["record e-1", "withdraw 7"]
--- a/packages/gateway/tests/test_relayed_changes.py
+++ b/packages/gateway/tests/test_relayed_changes.py
@@ -8,8 +8,8 @@
 from types import SimpleNamespace
 
 import pytest
-from cardamomloft.core.entrybook import EntryBook
-from cardamomloft.core.messages import ChangesAnswer, ChangesQuestion
+from cardamomloft.core.entrytable import EntryTable
+from cardamomloft.core.messages import ChangesRequest, ChangesResponse
 from cardamomloft.core.model import Incarnation
 from cardamomloft.core.registrations import (
     EntryWithdrawn,
@@ -119,13 +119,13 @@
     for _ in range(6):
         run.configure()
         for _ in range(2):
-            rejected.follower.doubt()
+            rejected.follower.poll_now()
             run.run(1500 * MS)
         assert run.late() == []
-    assert rejected.follower.away
+    assert rejected.follower.store_unavailable
     getattr(run.store, fault).clear()
     run.run(2000 * MS)
-    assert not rejected.follower.away
+    assert not rejected.follower.store_unavailable
 
 
 def test_outage_is_detected_with_relays_as_soon_as_without():
@@ -133,9 +133,9 @@
     names = {gateway.name for gateway in run.gateways}
     run.store.refused |= names
     for gateway in run.gateways:
-        gateway.follower.doubt()
+        gateway.follower.poll_now()
     run.run(1200 * MS)
-    assert {gateway.name for gateway in run.gateways if gateway.follower.away} == names
+    assert {gateway.name for gateway in run.gateways if gateway.follower.store_unavailable} == names
 
 
 def test_subscribers_leave_polling_to_relays_during_an_outage():
@@ -210,7 +210,7 @@
     subscriber = run.listeners()[0]
     before = subscriber.metrics.counters["changes_from_store"]
     run.run(DRAIN * 0.2)
-    subscriber.follower.doubt()
+    subscriber.follower.poll_now()
     run.run(700 * MS)
     assert subscriber.metrics.counters["changes_from_store"] == before + 1
 
@@ -218,7 +218,7 @@
 def test_request_with_huge_numbers_causes_no_fault():
     run = Deployment()
     subscriber, relay = run.listeners()[0], run.by_name(run.relays[0])
-    relay.receive(subscriber.me, ChangesQuestion(10**6, run.store.era, run.store.revision, 2**61))
+    relay.receive(subscriber.me, ChangesRequest(10**6, run.store.era, run.store.revision, 2**61))
     assert relay.feed.port.held > 0
     run.run(31_000 * MS)
     assert all(gateway.faults == [] for gateway in run.gateways)
@@ -236,12 +236,12 @@
     port.peers = SimpleNamespace(send=lambda *message: sent.append(message) or True)
     relay = kit.entry_records(1)[0]
     outcomes = []
-    port.ask(relay, kit.at(5), DRAIN, DRAIN).addCallback(outcomes.append)
+    port.request_changes(relay, kit.at(5), DRAIN, DRAIN).addCallback(outcomes.append)
     time.advance(40 * MS)
     request = sent[0][1]
-    port.take(
+    port.receive(
         Incarnation(relay.name, "1"),
-        ChangesAnswer(request.number, 0, 5, encode_facts([]), False, age_ms, held_ms),
+        ChangesResponse(request.number, 0, 5, encode_facts([]), False, age_ms, held_ms),
     )
     assert outcomes[0].ok.complete_at <= time.clock.monotonic()
 
@@ -250,11 +250,11 @@
     run = Deployment()
     subscriber, stranger = run.listeners()[0], Incarnation("stranger", "1")
     for number in range(200):
-        subscriber.receive(stranger, ChangesAnswer(number, 1, 10**9, b"", False, 0, 0))
+        subscriber.receive(stranger, ChangesResponse(number, 1, 10**9, b"", False, 0, 0))
         subscriber.receive(
-            Incarnation(run.relays[0], "9"), ChangesAnswer(number, 1, 10**9, b"x", True, 0, 0)
+            Incarnation(run.relays[0], "9"), ChangesResponse(number, 1, 10**9, b"x", True, 0, 0)
         )
-    subscriber.receive(stranger, ChangesQuestion(1, 0, 0, 10**9))
+    subscriber.receive(stranger, ChangesRequest(1, 0, 0, 10**9))
     run.configure()
     run.run(DRAIN)
     assert run.late() == []
@@ -381,7 +381,7 @@
 def test_records_and_leases_are_handled_by_the_store():
     control = kit.FakeControl()
     record = kit.entry_records(1)[0]
-    entry_table = EntryBook(record, timedelta(seconds=10))
+    entry_table = EntryTable(record, timedelta(seconds=10))
     time = kit.Time(Clock())
     feed = ChangeFeed(
         time.reactor,
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 import pytest
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.registrations import (
     EntryRecord,
     EntryRecorded,
@@ -16,15 +16,15 @@
     ZoneDrained,
     ZoneRestored,
 )
-from cardamomloft.core.restoration import DOUBT_TIME
+from cardamomloft.core.restoration import CONFIRMATION_TIMEOUT
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.relays import relays_of
-from cardamomloft.feed.sources import Sources
+from cardamomloft.feed.sources import SourceSelector
 from cardamomloft.gateway.control import Changes, Listing
 from cardamomloft.gateway.relayedcontrol import RelayedControl
-from cardamomloft.gateway.relaying import Passed
+from cardamomloft.gateway.relaying import RelayedChanges
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft_standins import gateway as kit
@@ -52,9 +52,9 @@
 
     def __init__(self) -> None:
         self.time = kit.Time(Clock())
-        self.upstream_table = UpstreamBook({"a": "east", "b": "east"})
+        self.upstream_table = UpstreamTable({"a": "east", "b": "east"})
         own = EntryRecord("e-0", "10.0.0.1:80", "a", "east")
-        self.entry_table = EntryBook(own, timedelta(seconds=10))
+        self.entry_table = EntryTable(own, timedelta(seconds=10))
         selector = Selector(self.upstream_table, "e-0", "a", None, Preferences())
         self.plans = []
         self.metrics = Metrics()
@@ -69,7 +69,7 @@
         )
 
     def listed(self, *facts, era=1) -> None:
-        self.view.take_listing(Listing(facts, kit.at(10, era)))
+        self.view.apply_listing(Listing(facts, kit.at(10, era)))
 
     def advance(self, duration) -> None:
         for _ in range(duration // (100 * MS)):
@@ -90,7 +90,7 @@
     view.listed(up(1), era=2)
     assert view.eligible() == ["i-1", "i-2"]
     view.advance(1500 * MS)
-    view.view.take_changes((up(2),))
+    view.view.apply_changes((up(2),))
     view.advance(5000 * MS)
     assert view.eligible() == ["i-1", "i-2"]
 
@@ -107,12 +107,12 @@
 def test_endpoint_that_left_before_a_restore_is_not_used_again(left):
     view = View()
     view.listed(up(1), up(2))
-    view.view.take_changes((left,))
+    view.view.apply_changes((left,))
     view.listed(up(1), up(2), era=2)
     view.advance(CONVERGENCE_TIME)
     assert view.eligible() == ["i-2"]
     assert view.metrics.counters["doubted_facts"] == 1
-    view.view.take_changes((up(1),))
+    view.view.apply_changes((up(1),))
     assert view.eligible() == ["i-1", "i-2"]
 
 
@@ -122,9 +122,9 @@
     view = View()
     entry = EntryRecorded(kit.entry_records(1)[0])
     view.listed(up(1), entry)
-    view.view.take_changes((UpstreamWithdrawn("i-1"), EntryWithdrawn(entry.record.name)))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"), EntryWithdrawn(entry.record.name)))
     view.listed(up(1), entry, era=2)
-    view.advance(DOUBT_TIME - 200 * MS)
+    view.advance(CONFIRMATION_TIMEOUT - 200 * MS)
     if is_relisted:
         view.listed(up(1), entry, era=2)
     assert (view.eligible(), len(view.entry_table.records(with_own=False))) == ([], 0)
@@ -135,32 +135,32 @@
 def test_unconfirmed_registration_that_is_withdrawn_is_not_used():
     view = View()
     view.listed(up(1))
-    view.view.take_changes((UpstreamWithdrawn("i-1"),))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), era=2)
-    view.view.take_changes((UpstreamWithdrawn("i-1"),))
-    view.advance(2 * DOUBT_TIME)
+    view.view.apply_changes((UpstreamWithdrawn("i-1"),))
+    view.advance(2 * CONFIRMATION_TIMEOUT)
     assert view.eligible() == []
 
 
 def test_unconfirmed_registration_missing_in_a_later_listing_is_not_used():
     view = View()
     view.listed(up(1), up(2))
-    view.view.take_changes((UpstreamWithdrawn("i-1"),))
+    view.view.apply_changes((UpstreamWithdrawn("i-1"),))
     view.listed(up(1), up(2), era=2)
     view.listed(up(2), era=2)
-    view.advance(2 * DOUBT_TIME)
+    view.advance(2 * CONFIRMATION_TIMEOUT)
     assert view.eligible() == ["i-2"]
 
 
 def test_drain_lost_in_a_restore_stays_until_operators_repeat_it():
     view = View()
     view.listed(up(1))
-    view.view.take_changes((ZoneDrained("a"),))
+    view.view.apply_changes((ZoneDrained("a"),))
     view.listed(up(1), era=2)
     view.advance(WRITE_REPEAT_DELAY)
     assert view.eligible() == []
-    view.view.take_changes((ZoneDrained("a"),))
-    view.advance(2 * DOUBT_TIME)
+    view.view.apply_changes((ZoneDrained("a"),))
+    view.advance(2 * CONFIRMATION_TIMEOUT)
     assert view.eligible() == []
 
 
@@ -169,7 +169,7 @@
     view.listed(up(1), ZoneDrained("a"))
     view.listed(up(1), era=2)
     view.listed(up(1), era=2)
-    view.advance(DOUBT_TIME - 200 * MS)
+    view.advance(CONFIRMATION_TIMEOUT - 200 * MS)
     assert view.eligible() == []
     view.advance(400 * MS)
     assert view.eligible() == ["i-1"]
@@ -179,7 +179,7 @@
     view = View()
     view.listed(up(1), ZoneDrained("a"))
     view.listed(up(1), era=2)
-    view.view.take_changes((ZoneRestored("a"),))
+    view.view.apply_changes((ZoneRestored("a"),))
     assert view.eligible() == ["i-1"]
 
 
@@ -189,7 +189,7 @@
     view.listed(*records)
     view.listed(*records[:1], era=2)
     assert len(view.entry_table.records(with_own=True)) == 5
-    assert view.entry_table.sharing(view.time.clock.monotonic()) == 5
+    assert view.entry_table.max_recent_count(view.time.clock.monotonic()) == 5
 
 
 def test_listing_without_eras_replaces_the_state():
@@ -273,7 +273,7 @@
         run.store.write(("zone", "c"), ZoneDrained("c"))
     run.run(DRAIN)
     assert {"c" in gateway.drained for gateway in run.gateways} == {True}
-    run.run(DOUBT_TIME)
+    run.run(CONFIRMATION_TIMEOUT)
     assert {frozenset(gateway.drained) for gateway in run.gateways} == {frozenset("c")}
 
 
@@ -320,12 +320,14 @@
     time = kit.Time(Clock())
     records = kit.entry_records(ENTRIES)
     own = next(row for row in records if row not in relays_of("east", records))
-    sources, table = Sources(own, DRAIN), ChangeTable()
-    table.listed((), kit.at(60, era=2))
-    sources.complete(time.clock.monotonic())
+    sources, table = SourceSelector(own, DRAIN), ChangeTable()
+    table.apply_listing((), kit.at(60, era=2))
+    sources.record_complete(time.clock.monotonic())
     time.advance(100 * MS)
-    answer = Passed((RELAYED_FACT,), index, time.clock.monotonic(), whole)
-    port = SimpleNamespace(ask=lambda *args: succeed(Ok(answer)), publish=lambda: None)
+    answer = RelayedChanges((RELAYED_FACT,), index, time.clock.monotonic(), whole)
+    port = SimpleNamespace(
+        request_changes=lambda *args: succeed(Ok(answer)), answer_held_requests=lambda: None
+    )
     store = SimpleNamespace(changes=lambda after, wait: succeed(Ok(FROM_STORE)))
     control = RelayedControl(store, time.clock, table, sources, port, lambda: records, Metrics())
     found = []
@@ -388,7 +390,7 @@
     run.configure()
     run.run(DRAIN)
     assert run.late() == []
-    run.run(DOUBT_TIME)
+    run.run(CONFIRMATION_TIMEOUT)
     drained = {key[1] for key in run.store.held if key[0] == "zone"}
     for gateway in run.gateways:
         assert gateway.faults == []
--- a/packages/operators/src/cardamomloft/operators/recording.py
+++ b/packages/operators/src/cardamomloft/operators/recording.py
@@ -12,7 +12,7 @@
     Record,
     Recorded,
     Step,
-    StoreAway,
+    StoreUnavailable,
     Swap,
     Unsettled,
 )
@@ -105,7 +105,7 @@
     match outcome:
         case Conflict():
             return Ok(outcome)
-        case StoreAway(detail):
+        case StoreUnavailable(detail):
             return Error(unavailable(detail))
         case Unsettled(record, detail):
             return Error(_unknown(record, detail))
--- a/packages/peers/src/cardamomloft/peers/codec.py
+++ b/packages/peers/src/cardamomloft/peers/codec.py
@@ -28,11 +28,11 @@
     messages.ChunkRequest,
     messages.ChunkReply,
     messages.VmNotice,
-    messages.ChangesQuestion,
-    messages.ChangesAnswer,
-    messages.NoticesTold,
-    messages.NoticesCompared,
-    messages.ConfigurationTold,
+    messages.ChangesRequest,
+    messages.ChangesResponse,
+    messages.NoticePush,
+    messages.NoticeDigest,
+    messages.ConfigurationPush,
 )
 _HEADERS = {kind: MAGIC + bytes([VERSION, at]) for at, kind in enumerate(_KINDS)}
 
--- a/packages/runtime/src/cardamomloft/runtime/lifecycle.py
+++ b/packages/runtime/src/cardamomloft/runtime/lifecycle.py
@@ -97,4 +97,4 @@
     _state.upon(LifeCycle.state).loop().returns(_name)
     _state.upon(LifeCycle.admits).loop().returns(_name in _ADMITTING)
 
-make_life_cycle: t.Callable[[LifeActions], LifeCycle] = _builder.build()
+make_lifecycle: t.Callable[[LifeActions], LifeCycle] = _builder.build()
--- a/packages/runtime/tests/test_lifecycle.py
+++ b/packages/runtime/tests/test_lifecycle.py
@@ -3,7 +3,7 @@
 import itertools
 
 import pytest
-from cardamomloft.runtime.lifecycle import make_life_cycle
+from cardamomloft.runtime.lifecycle import make_lifecycle
 
 INPUTS = ("prepared", "stop", "lingered", "drained")
 ORDER = ("starting", "ready", "leaving", "closing", "stopped")
@@ -19,7 +19,7 @@
 
 def play(*inputs):
     actions = Actions()
-    life = make_life_cycle(actions)
+    life = make_lifecycle(actions)
     for name in inputs:
         getattr(life, name)()
     return life, actions.done
@@ -52,7 +52,7 @@
 def test_whatever_comes_in_any_order_no_action_is_done_twice_and_no_state_goes_back():
     for inputs in itertools.product(INPUTS, repeat=6):
         actions = Actions()
-        life = make_life_cycle(actions)
+        life = make_lifecycle(actions)
         states = [life.state()]
         for name in inputs:
             getattr(life, name)()
--- a/packages/upstreams/src/cardamomloft/upstreams/client.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/client.py
@@ -192,7 +192,7 @@
         self._body: AnswerBody | None = None
         self._stop_detail: str | None = None
         self._dialect = client.dialect
-        fresh = not (req.idempotent or self._dialect.reuses)
+        fresh = not (req.idempotent or self._dialect.reuse_always)
         self._attempt = Attempt(client.pool, fresh=fresh)
         client.in_flight[req.endpoint.address] += 1
         self._timer = client.reactor.callLater(req.timeout.total_seconds(), self._timed_out)
--- a/packages/upstreams/src/cardamomloft/upstreams/dialect.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/dialect.py
@@ -28,7 +28,7 @@
         Headers of a request: its id, which the answer repeats, and the milliseconds left.
     not_run
         Header of a definite refusal; its value is ``1``.
-    refusing
+    refusal_statuses
         Statuses that are a definite refusal together with `not_run`.
     misdirected
         Status by which an endpoint refuses a request that expects another one, or None.
@@ -40,26 +40,26 @@
         Header of answers with the endpoint's load as ``running,waiting,slots``, or None.
     close_ends_body
         Whether a body without a length is whole when its connection ends in order.
-    reuses
+    reuse_always
         Whether kept connections also carry requests that must not run twice.
     """
 
     request_id: str = REQUEST_ID_HEADER
     deadline_ms: str = DEADLINE_HEADER
     not_run: str = NOT_RUN_HEADER
-    refusing: frozenset[int] = frozenset({SHED_STATUS})
+    refusal_statuses: frozenset[int] = frozenset({SHED_STATUS})
     misdirected: int | None = None
     expected: str | None = None
     leaving: str = LEAVING_HEADER
     load: str | None = None
     close_ends_body: bool = False
-    reuses: bool = False
+    reuse_always: bool = False
 
     def is_refusal(self, status: int, not_run: str | None) -> bool:
         """Tell whether an answer proves that the request was not run."""
         if status == self.misdirected:
             return True
-        return status in self.refusing and not_run == "1"
+        return status in self.refusal_statuses and not_run == "1"
 
 
 class HeaderLoad(t.NamedTuple):
@@ -77,7 +77,7 @@
 
 
 def parse_retry_after(text: str | None) -> timedelta | None:
-    """Return the time that a refusing endpoint wants to be left alone, or None.
+    """Return the time that a refusal_statuses endpoint wants to be left alone, or None.
 
     Only seconds are read, with fractions; a date depends on two clocks.
     """
--- a/packages/upstreams/tests/test_dialect.py
+++ b/packages/upstreams/tests/test_dialect.py
@@ -23,11 +23,11 @@
     request_id="x-attempt",
     deadline_ms="x-left",
     not_run="x-never",
-    refusing=frozenset({429, 503}),
+    refusal_statuses=frozenset({429, 503}),
     misdirected=421,
     expected="x-life",
     close_ends_body=True,
-    reuses=True,
+    reuse_always=True,
 )
 
 
--- a/scripts/slopes_configuration.py
+++ b/scripts/slopes_configuration.py
@@ -83,7 +83,7 @@
     def change() -> None:
         router.configure(Revision(next(numbers), document), quarantine=False)
         members.configure(document, shares.partners)
-        members.standing(2)
+        members.standby_status(2)
 
     change()
     return change
--- a/scripts/slopes_gateway.py
+++ b/scripts/slopes_gateway.py
@@ -14,7 +14,7 @@
 from cardamomloft.core.naming import entries_for
 from cardamomloft.core.registrations import EntryRecord, Registration
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.documents import load_registration
 from cardamomloft_standins.gateway import RULE
 
@@ -38,7 +38,7 @@
 
 def selector(endpoints: int) -> Selector:
     """Return a selector over `endpoints` of one service."""
-    book = UpstreamBook({f"z-{zone}": f"r-{zone % REGIONS}" for zone in range(ZONES)})
+    book = UpstreamTable({f"z-{zone}": f"r-{zone % REGIONS}" for zone in range(ZONES)})
     for number in range(endpoints):
         book.register(registration(number), NOW)
     return Selector(book, "e-0", "z-0", ColdLimit(1.5, 5), Preferences())
@@ -64,7 +64,7 @@
 
 def division(endpoints: int) -> float:
     """Return the time to divide the endpoints by service after a change, in microseconds."""
-    book = UpstreamBook({f"z-{zone}": f"r-{zone % REGIONS}" for zone in range(ZONES)})
+    book = UpstreamTable({f"z-{zone}": f"r-{zone % REGIONS}" for zone in range(ZONES)})
     for number in range(endpoints):
         book.register(registration(number), NOW)
 
--- a/scripts/slopes_ledger.py
+++ b/scripts/slopes_ledger.py
@@ -24,7 +24,7 @@
 
 
 def _filled(count: int) -> Ledger:
-    ledger = Ledger(ManualClock(), max_entries=count, max_bytes=_ROOM)
+    ledger = Ledger(ManualClock(), max_operations=count, max_bytes=_ROOM)
     for at in range(count):
         operation = f"entry-r0-z0-1.{at:016x}.{at:040x}"
         ledger.begin(operation, f"{at:064x}", timedelta(minutes=15))
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -10,7 +10,7 @@
 from cardamomloft.core.limits import limits_of
 from cardamomloft.core.messages import Digest
 from cardamomloft.core.model import Incarnation
-from cardamomloft.core.shares import REVIEW, Shares
+from cardamomloft.core.shares import REVIEW_INTERVAL, Shares
 from cardamomloft.entry import status
 from cardamomloft.operators.fleet import read_status
 from slopes_document import ENDPOINTS_PER_ENTRY, Size, full_size, make_document
@@ -38,7 +38,7 @@
 
 def _page(shares: Shares) -> str:
     """Return a status page with nothing but the limits on it."""
-    limits = [status._limit(row) for row in shares.rows()]
+    limits = [status._limit_row(row) for row in shares.rows()]
     known = {"seat": "a", "incarnation": "1", "zone": "z", "region": "r", "state": "ready"}
     numbers = {"revision": 1, "settled": 1, "ready": True, "services": {}, "drains": []}
     return json.dumps({**known, **numbers, "limits": limits})
@@ -88,7 +88,7 @@
         shares = make()
 
         def tick(shares: Shares = shares, clock: ManualClock = clock) -> None:
-            clock.advance(REVIEW)
+            clock.advance(REVIEW_INTERVAL)
             shares.tick()
 
         page = _page(shares)
--- a/scripts/slopes_store.py
+++ b/scripts/slopes_store.py
@@ -6,8 +6,8 @@
 
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.stewardship import (
-    LEASE,
-    STANDBYS,
+    LEASE_DURATION,
+    STANDBYS_PER_REGION,
     ReadLease,
     Renew,
     Step,
@@ -15,7 +15,7 @@
     TryLease,
     WatchLease,
 )
-from cardamomloft.entry.steward import WATCH_WAIT
+from cardamomloft.entry.steward import WATCH_TIMEOUT
 from slopes_fit import Series
 
 _REGION_SIZES = (4, 12, 47, 94, 188)
@@ -34,7 +34,7 @@
         rng = random.Random(seed)
         self.entries = {f"e{at}": Stewardship("r", self.clock, rng) for at in range(size)}
         for at, entry in enumerate(self.entries.values()):
-            entry.place(standby=at < STANDBYS, size=size)
+            entry.set_role(standby=at < STANDBYS_PER_REGION, size=size)
         self.calls = 0
         self._holder: str | None = None
         self._until = timedelta(0)
@@ -55,11 +55,11 @@
                 del self._watches[name]
                 self._perform(name, self._report(entry))
             if entry.peer_to_probe() and self._holder:
-                entry.heard(self._holder)
+                entry.record_message(self._holder)
             self._perform(name, entry.tick())
             if entry.watches_configuration and now >= self._config_watches.get(name, now):
                 self.calls += 1
-                self._config_watches[name] = now + WATCH_WAIT
+                self._config_watches[name] = now + WATCH_TIMEOUT
 
     def _report(self, entry: Stewardship) -> list[Step]:
         return entry.lease_held(self._holder) if self._holder else entry.lease_free()
@@ -73,7 +73,7 @@
     def _answer(self, name: str, entry: Stewardship, step: Step) -> list[Step]:
         now = self.clock.monotonic()
         if isinstance(step, WatchLease) and self._holder:
-            self._watches[name] = now + WATCH_WAIT
+            self._watches[name] = now + WATCH_TIMEOUT
             return []
         if isinstance(step, WatchLease | ReadLease):
             return self._report(entry)
@@ -81,7 +81,7 @@
             return entry.lease_refused()
         if isinstance(step, Renew) and self._holder != name:
             return entry.lease_lost()
-        self._holder, self._until = name, now + LEASE
+        self._holder, self._until = name, now + LEASE_DURATION
         return entry.lease_granted()
 
 
--- a/standins/src/cardamomloft_standins/carrying.py
+++ b/standins/src/cardamomloft_standins/carrying.py
@@ -4,10 +4,10 @@
 from cardamomloft.callers.exchange import RequestHead
 from cardamomloft.core.budgets import ColdLimit, RetryBudget
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.upstreambook import UpstreamBook
-from cardamomloft.gateway.calls import Reader
+from cardamomloft.core.upstreamtable import UpstreamTable
+from cardamomloft.gateway.calls import RequestReader
 from cardamomloft.gateway.forwarding import Forwarder
-from cardamomloft.gateway.noticing import Noticing
+from cardamomloft.gateway.noticehandler import NoticeHandler
 from cardamomloft.gateway.records import RequestLog
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import SendFailure
@@ -42,7 +42,7 @@
     def __init__(self, *outcomes, slack=1000.0, endpoints=4) -> None:
         self.time = kit.Time(Clock())
         self.client = kit.FakeClient(*outcomes)
-        self.book = UpstreamBook({"a": "east"})
+        self.book = UpstreamTable({"a": "east"})
         for number in range(endpoints):
             self.book.register(kit.registration(number), 0 * MS)
         self.selector = Selector(self.book, "e-0", "a", ColdLimit(1.5, 5), Preferences())
@@ -58,7 +58,7 @@
             lambda service: budget,
             self.metrics,
             RequestLog(lambda: 1),
-            Noticing(self.time.clock, self.book, self.metrics),
+            NoticeHandler(self.time.clock, self.book, self.metrics),
         )
 
     def start(self, path="/menus/7", body=b"", whole=True, caller="app/1", address="10.0.0.9"):
@@ -70,14 +70,16 @@
             ("user-agent", caller),
         )
         head = RequestHead("GET", path, "", pairs, address, len(body), False)
-        call = Reader(kit.plan(), kit.HEADERS, kit.rng()).read(head, self.time.clock.monotonic())
+        call = RequestReader(kit.plan(), kit.HEADERS, kit.rng()).read(
+            head, self.time.clock.monotonic()
+        )
         carried = RequestBody(len(body), self)
         if body:
             carried.data_received(body if whole else body[:1])
             if whole:
                 carried.end()
         self.gone = Deferred()
-        return ensureDeferred(self.forwarder.carry(call, head, carried, self.gone))
+        return ensureDeferred(self.forwarder.forward(call, head, carried, self.gone))
 
     def answer(self, *args, **kwargs):
         """Carry a request that is answered at once."""
--- a/standins/src/cardamomloft_standins/experiment/policies.py
+++ b/standins/src/cardamomloft_standins/experiment/policies.py
@@ -9,11 +9,11 @@
 from cardamomloft.core.model import Refusal, RefusalReason
 from cardamomloft.core.routes import RouteRule
 from cardamomloft.core.selection import Choice, Preferences, Reason, Selector
-from cardamomloft.core.upstreambook import Upstream, UpstreamBook
+from cardamomloft.core.upstreamtable import Upstream, UpstreamTable
 
 from cardamomloft_standins.experiment.sharing import SharingSelector
 
-MakeSelector = Callable[[UpstreamBook, str, str, ColdLimit], Selector]
+MakeSelector = Callable[[UpstreamTable, str, str, ColdLimit], Selector]
 
 
 class _Plain(Selector):
@@ -32,11 +32,11 @@
         usable = [
             up
             for up in self._book.of_service(service)
-            if up.id not in tried and up.rest_until <= now
+            if up.id not in tried and up.ejected_until <= now
         ]
         if not usable:
             return Refusal(RefusalReason.OVERLOAD, "no endpoint is left")
-        return Choice(min(usable, key=lambda up: self.rank(up, key, now)), Reason.HOME)
+        return Choice(min(usable, key=lambda up: self.rank(up, key, now)), Reason.PRIMARY)
 
     def rank(self, upstream: Upstream, key: str, now: timedelta) -> t.Any:
         """Return what the least of is chosen."""
@@ -67,13 +67,13 @@
     return lambda book, name, zone, cold: kind(book, name, zone, cold, preferences)
 
 
-_UNBOUNDED = Preferences(usual_load=99, least_load=99, most_load=99)
+_UNBOUNDED = Preferences(default_load=99, min_load=99, max_load=99)
 
 POLICIES: dict[str, MakeSelector] = {
     "product": _made_by(Selector, Preferences()),
-    "eager-second": _made_by(Selector, Preferences(second_load=1.0)),
-    "first-only": _made_by(Selector, Preferences(known_load=0.0)),
-    "one-choice": _made_by(Selector, Preferences(choices=1)),
+    "eager-second": _made_by(Selector, Preferences(secondary_load=1.0)),
+    "first-only": _made_by(Selector, Preferences(cached_load=0.0)),
+    "one-choice": _made_by(Selector, Preferences(endpoints_per_key=1)),
     "hash-unbounded": _made_by(Selector, _UNBOUNDED),
     "shared-failures": _made_by(SharingSelector, Preferences()),
     "nearest": _made_by(Nearest, Preferences()),
--- a/standins/src/cardamomloft_standins/experiment/sharing.py
+++ b/standins/src/cardamomloft_standins/experiment/sharing.py
@@ -4,10 +4,10 @@
 from collections.abc import Sequence
 from datetime import timedelta
 
-from cardamomloft.core.registrations import Life
+from cardamomloft.core.registrations import UpstreamIncarnation
 from cardamomloft.core.selection import Selector
 from cardamomloft.core.suspicion import Suspicions
-from cardamomloft.core.upstreambook import Upstream
+from cardamomloft.core.upstreamtable import Upstream
 
 PASSING = timedelta(milliseconds=150)
 """From a failure at one gateway until all others know of it: a relay on each side, and the links
@@ -38,13 +38,13 @@
         """Tell `others` from now on."""
         self._loop, self._others = loop, others
 
-    def failed(self, upstream: Upstream, now: timedelta) -> None:
+    def record_failure(self, upstream: Upstream, now: timedelta) -> None:
         """Note a failure here, and tell the others."""
         self._tell(upstream.id, now, failed=True)
 
-    def answered(self, upstream: Upstream, took: timedelta, load: float) -> None:
+    def record_answer(self, upstream: Upstream, took: timedelta, load: float) -> None:
         """Note an answer here, and tell the others if the endpoint is suspected."""
-        super().answered(upstream, took, load)
+        super().record_answer(upstream, took, load)
         if self._suspicions.is_suspected(_life_of(upstream)):
             self._tell(upstream.id, timedelta(seconds=self._loop.seconds()), failed=False)
 
@@ -56,10 +56,10 @@
         life = _life_of(upstream)
         if failed:
             now = timedelta(seconds=self._loop.seconds())
-            self._suspicions.failed(life, entry, at, now)
+            self._suspicions.record_failure(life, entry, at, now)
         else:
-            self._suspicions.answered(life, at)
-        upstream.rest_until = self._suspicions.rest_until(life)
+            self._suspicions.record_answer(life, at)
+        upstream.ejected_until = self._suspicions.ejected_until(life)
 
     def _tell(self, upstream_id: str, at: timedelta, *, failed: bool) -> None:
         self.told += 1
@@ -76,5 +76,5 @@
         one.connect(loop, [other for other in telling if other is not one])
 
 
-def _life_of(upstream: Upstream) -> Life:
-    return Life(upstream.id, upstream.registration.started_ms)
+def _life_of(upstream: Upstream) -> UpstreamIncarnation:
+    return UpstreamIncarnation(upstream.id, upstream.registration.started_ms)
--- a/standins/src/cardamomloft_standins/experiment/world.py
+++ b/standins/src/cardamomloft_standins/experiment/world.py
@@ -9,10 +9,10 @@
 from cardamomloft.core.budgets import ColdLimit, RetryBudget
 from cardamomloft.core.registrations import Registration
 from cardamomloft.core.routes import RouteRule, ServicePolicy, ServiceShare
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.forwarding import Forwarder
-from cardamomloft.gateway.noticing import Noticing
+from cardamomloft.gateway.noticehandler import NoticeHandler
 from cardamomloft.gateway.records import RequestLog
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import SendFailure, UpstreamAnswer, UpstreamRequest
@@ -131,7 +131,7 @@
     def _endpoints_in(self, zone: str) -> list[ModelEndpoint]:
         return [up for up in self.endpoints.values() if up.registration.zone == zone]
 
-    def _books(self) -> t.Iterator[UpstreamBook]:
+    def _books(self) -> t.Iterator[UpstreamTable]:
         for entries in self.entries.values():
             for entry in entries:
                 yield entry.book
@@ -183,7 +183,7 @@
 
     def __init__(self, world: World, name: str, zone: str, policy: MakeSelector) -> None:
         self._world = world
-        self.book = book = UpstreamBook(world.scenario.zones)
+        self.book = book = UpstreamTable(world.scenario.zones)
         for endpoint in world.endpoints.values():
             book.register(endpoint.registration, timedelta(0))
         self.selector = selector = policy(book, name, zone, _COLD)
@@ -201,7 +201,7 @@
             lambda service: budget,
             Metrics(),
             _NoLog(lambda: 1),
-            Noticing(world.clock, book, Metrics()),
+            NoticeHandler(world.clock, book, Metrics()),
         )
 
     def ask(self, request_id: str, key: str, patience: timedelta) -> "Deferred[Answer]":
@@ -212,7 +212,7 @@
         call = Call(request_id, rule, SERVICE, key, now, until, "/", now + patience)
         head = RequestHead("GET", "/", "", (), "10.0.0.1", 0, False)
         gone: Deferred[None] = Deferred()
-        carried = self._forwarder.carry(call, head, RequestBody(0, _Flow()), gone)
+        carried = self._forwarder.forward(call, head, RequestBody(0, _Flow()), gone)
         return Deferred.fromCoroutine(carried)
 
 
--- a/standins/src/cardamomloft_standins/gateway.py
+++ b/standins/src/cardamomloft_standins/gateway.py
@@ -24,7 +24,9 @@
 
 MS = timedelta(milliseconds=1)
 HEADERS = CallerHeaders("x-request-id", "x-deadline-ms", "x-object")
-DIALECT = Dialect(misdirected=421, expected="x-expected", load="x-load", refusing=frozenset({503}))
+DIALECT = Dialect(
+    misdirected=421, expected="x-expected", load="x-load", refusal_statuses=frozenset({503})
+)
 AWAY = Error(StoreFailure(False, "away"))
 
 RULE = RouteRule(
@@ -157,7 +159,7 @@
         self.waits.append(wait)
         return succeed(self.next) if self.pending is None else self.pending
 
-    def record(self, record, life):
+    def record(self, record, ttl):
         """Note that an entry is recorded."""
         self.calls.append(f"record {record.name}")
         return succeed(self.lease)
--- a/standins/src/cardamomloft_standins/relayed.py
+++ b/standins/src/cardamomloft_standins/relayed.py
@@ -4,17 +4,17 @@
 import typing as t
 from datetime import timedelta
 
-from cardamomloft.core.entrybook import EntryBook
+from cardamomloft.core.entrytable import EntryTable
 from cardamomloft.core.model import Incarnation
-from cardamomloft.core.notices import Dated
+from cardamomloft.core.notices import DatedNotice
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import EntryRecorded, EntryWithdrawn, PlanRead
 from cardamomloft.core.selection import Preferences, Selector
-from cardamomloft.core.upstreambook import UpstreamBook
+from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.feed.relays import relays_of
 from cardamomloft.gateway.changefeed import ChangeFeed
 from cardamomloft.gateway.control import Changes, Listing
-from cardamomloft.gateway.following import Follower, Pace
+from cardamomloft.gateway.following import Follower, PollTiming
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.store.failures import StoreFailure
@@ -185,14 +185,14 @@
     def __init__(self, record, store: Store, network: Network, time: kit.Time, seed: int) -> None:
         self.record, self.name, self.network = record, record.name, network
         self.me = Incarnation(record.name, str(seed))
-        self.entries = EntryBook(record, timedelta(seconds=10))
+        self.entries = EntryTable(record, timedelta(seconds=10))
         self.time = time
         self.plans: list[int] = [0]
         self.faults = []
         self.returns: list[timedelta] = []
         self.entries_gone: list[timedelta] = []
         self.stopped = False
-        self.notices: list[Dated] = []
+        self.notices: list[DatedNotice] = []
         network.gateways[record.peers] = self
         client = Client(store, self.name)
         metrics = self.metrics = Metrics()
@@ -210,7 +210,7 @@
             metrics,
         )
         self.feed.port.peers = self
-        self.book = UpstreamBook(dict.fromkeys("abc", record.region))
+        self.book = UpstreamTable(dict.fromkeys("abc", record.region))
         selector = Selector(self.book, self.name, record.zone, None, Preferences())
         self.view = StoreView(
             time.clock, self.book, self.entries, selector, _ignore, self._on_plan, metrics
@@ -220,8 +220,8 @@
             time.clock,
             self.feed.control,
             random.Random(seed),
-            Pace(DRAIN * 0.4, DRAIN * 0.6),
-            self.view.take_listing,
+            PollTiming(DRAIN * 0.4, DRAIN * 0.6),
+            self.view.apply_listing,
             self._on_changes,
             self._on_returned,
         )
@@ -251,7 +251,7 @@
     def receive(self, sender, message) -> None:
         """Take a message of another gateway."""
         if not self.stopped:
-            self.feed.take(sender, message)
+            self.feed.receive(sender, message)
 
     @property
     def drained(self) -> set[str]:
@@ -261,7 +261,7 @@
     def _on_changes(self, facts) -> None:
         gone = [fact for fact in facts if isinstance(fact, EntryWithdrawn)]
         self.entries_gone += [self.time.clock.monotonic()] * len(gone)
-        self.view.take_changes(facts)
+        self.view.apply_changes(facts)
 
     def _on_plan(self, plan) -> None:
         if plan.number > self.plans[-1]:
@@ -269,7 +269,7 @@
 
     def _on_returned(self) -> None:
         self.returns.append(self.time.clock.monotonic())
-        self.view.store_returned()
+        self.view.store_recovered()
 
 
 def _ignore(address) -> None:
--- a/standins/tests/test_experiment.py
+++ b/standins/tests/test_experiment.py
@@ -220,16 +220,16 @@
     first, second, *_ = [entry.selector for row in world.entries.values() for entry in row]
 
     def rests():
-        return [one._book.get("a1-0").rest_until for one in (first, second)]
+        return [one._book.get("a1-0").ejected_until for one in (first, second)]
 
     now = world.clock.monotonic()
-    first.failed(first._book.get("a1-0"), now)
+    first.record_failure(first._book.get("a1-0"), now)
     world.reactor.advance(0.2)
     assert max(rests()) < now
-    second.failed(second._book.get("a1-0"), world.clock.monotonic())
+    second.record_failure(second._book.get("a1-0"), world.clock.monotonic())
     world.reactor.advance(0.2)
     assert min(rests()) > world.clock.monotonic()
-    first.answered(first._book.get("a1-0"), timedelta(seconds=1), 0.0)
+    first.record_answer(first._book.get("a1-0"), timedelta(seconds=1), 0.0)
     world.reactor.advance(0.2)
     assert max(rests()) < world.clock.monotonic()
     assert first.told + second.told == 3
--- a/tests/adapter/test_folder.py
+++ b/tests/adapter/test_folder.py
@@ -14,7 +14,15 @@
     r"|ttl_time|asOf|waitMs|/v1/(?:resolve|ready)|x-cardamomloft-",
     re.IGNORECASE,
 )
-DECISION_MODULES = {"selection", "affinity", "budgets", "regions", "naming", "entrybook", "retries"}
+DECISION_MODULES = {
+    "selection",
+    "affinity",
+    "budgets",
+    "regions",
+    "naming",
+    "entrytable",
+    "retries",
+}
 
 
 def _sources(folder: pathlib.Path) -> list[pathlib.Path]:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -42,7 +42,7 @@
 from cardamomloft.core.rules import RuleSet
 from cardamomloft.core.shares import Shares
 from cardamomloft.core.steering import Steering
-from cardamomloft.entry.executor import PASSED_ON_HEADER, Executor
+from cardamomloft.entry.executor import FORWARDED_BY_HEADER, Executor
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import UpstreamAnswer
 from expression import Ok, Result
@@ -109,7 +109,7 @@
             me,
             self.clock,
             ids,
-            Ledger(self.clock, max_entries=100, max_bytes=10_000_000),
+            Ledger(self.clock, max_operations=100, max_bytes=10_000_000),
             None,
             None,
             Upstream(self, me),
@@ -213,7 +213,7 @@
     def send(self, sent):
         shop, seat = self.shop, sent.endpoint.name.removeprefix("entry/")
         name = shop.names[dict(sent.headers)["idempotency-key"]]
-        assert dict(sent.headers)[PASSED_ON_HEADER] == self.seat
+        assert dict(sent.headers)[FORWARDED_BY_HEADER] == self.seat
         shop.record.saw(f"entry {self.seat}", f"{name} -> entry {seat}")
         asked = shop.receive(seat, f"entry {self.seat}", sent.headers, sent.body, Deferred())
 
