--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -70,11 +70,11 @@
     ids
         Checks the operation ids that this entry issued.
     ledger
-        Outcomes of the operations begun here.
+        Outcomes of the operations that this process has begun.
     claims
         Claims on caller-supplied ids, or None if such ids are disabled.
     store
-        Holds the claims.
+        Stores the claims.
     forwarder
         Sends requests to upstreams.
     client
@@ -91,7 +91,7 @@
     Attributes
     ----------
     running
-        Number of operations in flight here.
+        Number of operations in flight at this entry.
     """
 
     def __init__(
@@ -223,7 +223,7 @@
         await done
 
     async def _check_lease(self, lease: str) -> None:
-        """Drop the lease if the store has lost it; writes under it would keep failing."""
+        """Drop the lease if the store no longer has it; all writes under it would fail."""
         match await self._store.renew(lease):
             case Result(tag="ok", ok=False):
                 self._claims.drop_lease(lease)
--- a/packages/entry/src/cardamomloft/entry/forwarding.py
+++ b/packages/entry/src/cardamomloft/entry/forwarding.py
@@ -208,7 +208,7 @@
     ) -> KeptAnswer | AnswerNotKept | Refusal | Unknown:
         """Run a request with an operation id and return its complete answer.
 
-        It continues after the caller disconnected: the answer is kept for duplicates.
+        The run continues after the caller has disconnected, since duplicates need its answer.
         """
         outcome = await self._run(req, head, Payload(body, None), Caller())
         match outcome:
@@ -228,7 +228,7 @@
                 return Unknown(f"the upstream's answer is incomplete: {detail}")
 
     async def _payload(self, body: RequestBody) -> Payload | Refusal:
-        """Buffer small bodies, so that they can be resent; stream the others."""
+        """Buffer a small body, so that it can be resent; stream any other."""
         if body.length == 0:
             return Payload(b"", None)
         if not isinstance(body.length, int) or body.length > MAX_BUFFERED_BODY_BYTES:
@@ -274,8 +274,8 @@
                     lambda _: self._leave_queue(ticket.number)
                 )
                 self._queued[ticket.number] = waiting
-                # Queueing may have displaced another request, which is refused here, and the limits
-                # may be able to borrow a slot.
+                # Queueing may have displaced another request, which is to be refused, and the
+                # limits may be able to borrow a slot.
                 if not self._pump_scheduled:
                     self._pump_scheduled = True
                     self._reactor.callLater(0, self._after_queueing)
@@ -418,7 +418,7 @@
 
 
 def _flush_delivery(delivery: Delivery, pacing: PacedConsumer) -> "Deferred[Delivery]":
-    """Return the delivery when its last piece is written; discard the rest of an incomplete one."""
+    """Return the delivery once its last piece is written; discard what waits if incomplete."""
     if not delivery.complete:
         pacing.drop()
 
--- a/packages/entry/src/cardamomloft/entry/gossip.py
+++ b/packages/entry/src/cardamomloft/entry/gossip.py
@@ -31,7 +31,7 @@
         Chooses the peers that get a digest.
     shares
         Names the peers that share limits with this entry.
-    describe
+    make_digest
         Builds this entry's digest.
     """
 
@@ -41,13 +41,13 @@
         rng: random.Random,
         membership: Membership,
         shares: Shares,
-        describe: Callable[[], Digest],
+        make_digest: Callable[[], Digest],
     ) -> None:
         self._send = send
         self._rng = rng
         self._membership = membership
         self._shares = shares
-        self._describe = describe
+        self._make_digest = make_digest
         self._addresses: dict[str, str] = {}
 
     def configure(self, document: Document) -> None:
@@ -55,7 +55,7 @@
         self._addresses = {seat: row["peers"] for seat, row in document["entries"].items()}
 
     def send(self, outgoing: Iterable[Outgoing], to: Incarnation | None = None) -> None:
-        """Send each message; those for the seat of `to` reach that process only, no successor."""
+        """Send each message; those for the seat of `to` only to that process, not a successor."""
         for seat, message in outgoing:
             # Seed peers are given by address, since no roster is known at the start.
             address = seat if ":" in seat else self._addresses.get(seat)
@@ -64,20 +64,20 @@
                 self._send(address, message, process)
 
     def send_digests(self) -> None:
-        """Send the digest to a few peers, and request those of holders that have not agreed yet."""
-        digest = self._describe()
+        """Send the digest to a few peers, and request missing digests from holders of limits."""
+        digest = self._make_digest()
         self._membership.set_own_digest(digest)
         targets = self._membership.gossip_targets(self._rng, DIGEST_FANOUT)
         self.send(Outgoing(seat, digest) for seat in targets)
-        # Random gossip may not reach these holders soon.
+        # Random gossip alone may take long to reach these holders.
         missing = sorted(self._shares.awaited)
         chosen = self._rng.sample(missing, min(MAX_HOLDER_REQUESTS, len(missing)))
         request = DocumentRequest(digest.revision)
         self.send(Outgoing(seat, request) for seat in chosen)
 
     def announce(self) -> None:
-        """Send the digest at once to a few peers and to all that share limits with this entry."""
-        digest = self._describe()
+        """Send the digest now to a few peers and to all that share limits with this entry."""
+        digest = self._make_digest()
         self._membership.set_own_digest(digest)
         targets = set(self._membership.gossip_targets(self._rng, DIGEST_FANOUT))
         targets |= self._shares.partners
--- a/packages/entry/src/cardamomloft/entry/loads.py
+++ b/packages/entry/src/cardamomloft/entry/loads.py
@@ -21,25 +21,25 @@
         Sends the poll.
     clock
         Source of time.
-    usable
+    has_free_slot
         Returns whether this entry has a free slot at an endpoint.
     """
 
     def __init__(
-        self, client: UpstreamClient, clock: Clock, usable: Callable[[Endpoint], bool]
+        self, client: UpstreamClient, clock: Clock, has_free_slot: Callable[[Endpoint], bool]
     ) -> None:
         self._client = client
         self._clock = clock
-        self._usable = usable
+        self._has_free_slot = has_free_slot
         self._next_index = 0
 
     def poll(self, endpoints: Sequence[Endpoint], steering: Steering) -> "Deferred[None] | None":
-        """Poll the next usable endpoint and pass its report, or the lack of one, to `steering`."""
-        usable = [endpoint for endpoint in endpoints if self._usable(endpoint)]
-        if not usable:
+        """Poll the next endpoint with a free slot; pass its report or its failure to `steering`."""
+        candidates = [endpoint for endpoint in endpoints if self._has_free_slot(endpoint)]
+        if not candidates:
             return None
-        self._next_index = (self._next_index + 1) % len(usable)
-        endpoint = usable[self._next_index]
+        self._next_index = (self._next_index + 1) % len(candidates)
+        endpoint = candidates[self._next_index]
         requested_at = self._clock.monotonic()
 
         def on_result(result: Result[UpstreamLoad, str]) -> None:
--- a/packages/entry/src/cardamomloft/entry/lookups.py
+++ b/packages/entry/src/cardamomloft/entry/lookups.py
@@ -10,10 +10,10 @@
 from cardamomloft.core.router import Router
 
 ENTRIES_PER_LOOKUP = 3
-"""Entries in one answer; the others are the caller's fallback if one fails."""
+"""Maximum number of entries in one answer; callers use the next one if one fails."""
 
 LOOKUP_VALIDITY = timedelta(seconds=2)
-"""How long callers may cache an answer; a stopping entry serves longer than that."""
+"""How long callers may cache an answer; a stopping entry accepts requests for longer than that."""
 
 
 class Lookups:
--- a/packages/entry/src/cardamomloft/entry/maps.py
+++ b/packages/entry/src/cardamomloft/entry/maps.py
@@ -1,9 +1,9 @@
 """Loads the client-block map in chunks and serves its chunks to peers.
 
 The document names the map's chunks by digest. Stewards and standbys read missing chunks from the
-store, other entries request them from peers in their region. A change of a few blocks thus costs
-each entry only the chunks concerned, and the store a few reads per region. Until a chunk arrives,
-its blocks map to the default site, which costs callers latency only.
+store; other entries request them from peers in their region. After a change of a few blocks, each
+entry loads only the changed chunks, and the store serves only a few reads per region. Until a chunk
+arrives, its blocks map to the default site, which affects only callers' latency.
 """
 
 import random
@@ -57,7 +57,7 @@
         return self.map.missing(self._wanted)
 
     def configure(self, clients: ClientsRow) -> BlockMap:
-        """Start loading the map of a new document; return the part that is already here."""
+        """Start loading the map of a new document; return the map of the chunks loaded so far."""
         self._wanted = tuple(clients.get("chunks", ()))
         self._chunks = {
             digest: self._chunks[digest] for digest in self._wanted if digest in self._chunks
@@ -65,11 +65,11 @@
         if not self._wanted:
             self.map = BlockMap.from_blocks(clients.get("blocks", {}), clients["default"])
         else:
-            self.map = self._with_chunks(self._present(), clients["default"])
+            self.map = self._with_chunks(self._loaded_digests(), clients["default"])
         return self.map
 
     def next_requests(self, peers: Sequence[str], *, from_store: bool) -> list[Outgoing]:
-        """Request a few missing chunks; to be called several times a second.
+        """Request a few missing chunks; call it several times a second.
 
         No reply is awaited: a chunk that does not arrive is requested again, from random peers.
         """
@@ -86,19 +86,19 @@
         return [Outgoing(self._rng.choice(peers), ChunkRequest(digest)) for digest in digests]
 
     def on_request(self, seat: str, req: ChunkRequest) -> list[Outgoing]:
-        """Return the reply to a peer's request, or nothing if the chunk is not here."""
+        """Return the reply to a peer's request, or nothing if the chunk is not loaded."""
         chunk = self._chunks.get(req.digest)
         return [] if chunk is None else [Outgoing(seat, ChunkReply(req.digest, chunk))]
 
     def add_chunk(self, digest: str, chunk: bytes) -> None:
-        """Add a chunk from the store or a peer, unless it is not missing or fails its digest."""
+        """Add a chunk from the store or a peer; ignore it if not missing or not of that digest."""
         if digest not in self.missing or digest_of(chunk) != digest:
             return
         self._chunks[digest] = chunk
-        self.map = self._with_chunks([*self._present(), digest], self.map.default)
+        self.map = self._with_chunks([*self._loaded_digests(), digest], self.map.default)
         self._on_map(self.map)
 
-    def _present(self) -> list[str]:
+    def _loaded_digests(self) -> list[str]:
         missing = set(self.missing)
         return [digest for digest in self._wanted if digest not in missing]
 
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -1,7 +1,7 @@
 """The entry process: creates its components, connects them, and starts and stops them.
 
-Requests flow from callers through the decisions to upstreams. The platform and peers only update
-state.
+A request passes from the callers' listener to the router, which selects an endpoint, and on to the
+upstream. Data from the platform and from peers only updates the state that the router uses.
 """
 
 import random
@@ -58,13 +58,13 @@
 TICK_INTERVAL = timedelta(milliseconds=50)
 RETRY_AFTER = timedelta(seconds=1)
 LEAVING_TIME = LOOKUP_VALIDITY + timedelta(milliseconds=500)
-"""How long a leaving entry takes requests: until callers' cached look-ups have expired."""
+"""How long a leaving entry accepts requests: until callers' cached look-ups have expired."""
 SEAT_RETRY_INTERVAL = timedelta(seconds=2)
 INITIAL_READ_INTERVAL = timedelta(milliseconds=1500)
 NO_CAPACITY_TIMEOUT = timedelta(seconds=10)
-"""How long an entry without shares of its own and without peers still counts as ready."""
+"""How long an entry that has neither shares of its own nor reachable peers remains ready."""
 TOTAL_CLAIMS_PER_S = 300
-"""Claims written per second by the whole deployment, divided evenly among its entries."""
+"""Maximum claims written per second by all entries together, divided evenly among them."""
 
 
 class EntryNode:
@@ -78,8 +78,8 @@
         Settings that have been checked.
     clock, rng
         Sources of time and of random numbers.
-    outside
-        The adapters of the platform and of upstreams.
+    adapters
+        The adapters of the store, the VM list and the upstreams.
 
     Attributes
     ----------
@@ -123,7 +123,7 @@
         clock, rng, cfg = self._clock, self._rng, self._cfg
         self.shares = Shares(self.me, clock)
         self.pacer = Pacer(self.shares, clock)
-        # Built with the first document, which names the region; no request is routed before.
+        # Built from the first document, which names the region; requests are refused until then.
         self.router: Router | None = None
         self.membership = Membership(self.me, clock)
         self.replica = Replica(
@@ -165,7 +165,7 @@
     # Start and stop.
 
     def start(self) -> None:
-        """Listen on all addresses and start to look for a configuration.
+        """Listen on all addresses and start to read the configuration.
 
         Raises
         ------
@@ -211,13 +211,13 @@
         log("leaving")
         self.gossip.announce()
         self.app.closing()
-        hard = self._cfg.get("hard_stop_ms")
-        if hard is not None:
-            self._reactor.callLater(hard / 1000, force_stop, self)
+        hard_stop_ms = self._cfg.get("hard_stop_ms")
+        if hard_stop_ms is not None:
+            self._reactor.callLater(hard_stop_ms / 1000, force_stop, self)
         self._reactor.callLater(LEAVING_TIME.total_seconds(), self.lifecycle.lingered)
 
     def on_closing(self) -> None:
-        """Refuse new requests, finish those in flight and hand the shares over."""
+        """Refuse new requests, finish those in flight and hand over the shares."""
         log("closing", in_flight=self.app.in_flight)
         ensureDeferred(close(self, self._timers, self._clock)).addErrback(self._on_fault)
 
@@ -349,7 +349,7 @@
             self.store,
             self.replica,
             Stewardship(region, self._clock, self._rng),
-            self._on_offer,
+            self._on_configuration_read,
             self._on_fault,
         )
 
@@ -383,7 +383,7 @@
         standby, size = self.membership.standby_status(STANDBYS_PER_REGION)
         self.steward.stewardship.set_role(standby=standby, size=size)
 
-    def _on_offer(self) -> None:
+    def _on_configuration_read(self) -> None:
         self.store_read_at = self._clock.monotonic()
         self.put_in_force()
 
@@ -398,7 +398,8 @@
 
     def _own_digest(self, revision: int) -> Digest:
         state = self.lifecycle.state()
-        # After a pause of all entries, none may confirm another's revision as current.
+        # An entry whose revision is not confirmed must not confirm that of a peer: if all entries
+        # were paused, they would confirm each other's outdated revision.
         if state == "ready" and not self.ready():
             state = "starting"
         prefix = self.ids.prefix() if state == "ready" else None
@@ -417,7 +418,7 @@
         self.gossip.send(outgoing, to)
 
     def _send_digests(self) -> None:
-        # An entry without shares of its own depends on loans, hence on reachable peers.
+        # An entry without shares of its own needs loans, and reachable peers that grant them.
         if self.shares.owns_any or self.membership.has_recent_peer():
             self._capacity_seen_at = self._clock.monotonic()
         self.gossip.send_digests()
@@ -443,7 +444,7 @@
             self.gossip.announce()
 
     def _read_first_configuration(self) -> "Deferred[t.Any] | None":
-        """Read the store while no revision is held; stewards are chosen only with a roster."""
+        """Read the store until there is a revision; without its roster there is no steward."""
         return None if self.replica.held else ensureDeferred(self._read_configuration())
 
     def _on_map(self, blocks: BlockMap) -> None:
@@ -451,7 +452,7 @@
             self.router.classifier.use_blocks(blocks)
 
     def _tick_limits(self) -> None:
-        """Borrow, renew and return loans, and dispatch the queued requests that now fit."""
+        """Borrow, renew and return loans, and dispatch the queued requests that have a slot now."""
         self.router.report_demand()
         self._send(self.shares.tick())
         self.forwarder.pump()
@@ -476,9 +477,9 @@
 
     def region_peers(self) -> list[str]:
         """Return the other seats in this region."""
-        region_of, here = self.router.region_of, self.router.region
+        region_of, own_region = self.router.region_of, self.router.region
         entries = self.router.document["entries"].items()
-        seats = [seat for seat, row in entries if region_of(row["zone"]) == here]
+        seats = [seat for seat, row in entries if region_of(row["zone"]) == own_region]
         return [seat for seat in seats if seat != self.me.seat]
 
     def _apply_vm_rows(self, rows: list[VmRow]) -> None:
@@ -500,7 +501,7 @@
         return self.loads.poll(self.router.region_endpoints, self.router.steering)
 
     def _on_broken_invariant(self, failure: Failure) -> None:
-        """End the process, since its state is inconsistent; its successor starts anew."""
+        """End the process, since its state is inconsistent; its successor does not inherit it."""
         log("broken-invariant", detail=failure.getErrorMessage(), trace=failure.getTraceback())
         self.lifecycle.drained()
         if not self.stopped.called:
@@ -515,7 +516,7 @@
 
 
 class _DeferredActions:
-    """Runs the actions of a transition in the next turn of the loop, when it has ended."""
+    """Runs the actions of a transition in the next turn of the event loop, after its end."""
 
     def __init__(self, reactor: t.Any, actions: LifecycleActions) -> None:
         self._reactor = reactor
--- a/packages/entry/src/cardamomloft/entry/seat.py
+++ b/packages/entry/src/cardamomloft/entry/seat.py
@@ -1,8 +1,8 @@
-"""The seat record in the store: whether an earlier process may have left uses and loans.
+"""The seat record in the store: whether an earlier process may still use or have lent shares.
 
-Each incarnation of a seat is recorded before it owns any share, and so is its clean stop. An entry
-that finds a clean stop, or no record, need not wait for a predecessor. An entry that cannot write
-its record, because the store is unavailable, uses only loans from its peers until it can.
+Each incarnation of a seat is recorded before it owns any share, and again when it stops cleanly. An
+entry that finds a clean stop, or no record, need not wait for a predecessor. An entry that
+cannot write its record, because the store is unavailable, uses only loans from its peers.
 """
 
 import json
@@ -28,8 +28,8 @@
     recorded
         Whether the store has the record of this incarnation.
     may_have_predecessor
-        Whether an earlier incarnation may still have uses or loans; True until the
-        opposite is known.
+        Whether an earlier incarnation may still use or have lent shares; True until a
+        record shows the opposite.
     """
 
     def __init__(self, me: Incarnation, store: Store) -> None:
@@ -49,8 +49,8 @@
                 return False
         row = _parse(found)
         if row is not None and row["incarnation"] == self._me.number:
-            # The last write took effect although its answer was lost. No earlier one still can:
-            # each write is conditional on the version read before it.
+            # The last write took effect although its answer was lost. No earlier write can take
+            # effect now, because each one requires the version that was read before it.
             self._set_recorded()
             return True
         self._no_predecessor = found is None or (row is not None and row["stopped"])
@@ -63,7 +63,7 @@
         self.may_have_predecessor = not self._no_predecessor
 
     async def record_stop(self) -> bool:
-        """Record a clean stop of this incarnation; only valid when nothing is used or lent."""
+        """Record a clean stop of this incarnation; call it only when no share is used or lent."""
         match await self._store.get(self._key):
             case Result(tag="ok", ok=found):
                 pass
--- a/packages/entry/src/cardamomloft/entry/status.py
+++ b/packages/entry/src/cardamomloft/entry/status.py
@@ -117,16 +117,19 @@
         return [self._drain(name, drain["kind"]) for name, drain in drains]
 
     def _drain(self, name: str, kind: str) -> dict[str, t.Any]:
-        """Return the progress of one drain here; a drained entry knows only its own."""
+        """Return the progress of one drain at this entry.
+
+        For a drain of another entry, this entry has no requests to report.
+        """
         router = self._node.router
         if kind == "entry":
             return self._drain_of_entry(name)
         dispatches = [d for d in router.in_flight() if name in _matching_names(d.endpoint, kind)]
         shifting = router.steering.drains() if kind in ("zone", "region") else []
-        own = [p for p in shifting if name in (p.zone, router.region_of(p.zone))]
-        moving = any(p.traffic > 0 for p in own)
+        concerned = [p for p in shifting if name in (p.zone, router.region_of(p.zone))]
+        moving = any(p.traffic > 0 for p in concerned)
         expected = [router.admission.expected(d.ticket.req.service) for d in dispatches]
-        remaining = max([p.ends_in for p in own] + expected, default=timedelta(0))
+        remaining = max([p.ends_in for p in concerned] + expected, default=timedelta(0))
         return _drain_row(name, kind, len(dispatches), remaining, moving=moving)
 
     def _drain_of_entry(self, name: str) -> dict[str, t.Any]:
@@ -134,8 +137,10 @@
         own = name == self._node.me.seat
         dispatches = router.in_flight() if own else []
         expected = [router.admission.expected(d.ticket.req.service) for d in dispatches]
-        here = self._node.app.in_flight if own else 0
-        return _drain_row(name, "entry", here, max(expected, default=timedelta(0)), moving=False)
+        in_flight = self._node.app.in_flight if own else 0
+        return _drain_row(
+            name, "entry", in_flight, max(expected, default=timedelta(0)), moving=False
+        )
 
     def _age_ms(self, at: timedelta | None) -> int | None:
         return None if at is None else (self._clock.monotonic() - at) // _MILLISECOND
--- a/packages/entry/src/cardamomloft/entry/steward.py
+++ b/packages/entry/src/cardamomloft/entry/steward.py
@@ -1,4 +1,4 @@
-"""Makes a steward's store calls: the region's lease and the watch on the configuration."""
+"""Makes a steward's store calls for the region's lease and the watch on the configuration."""
 
 import random
 import typing as t
@@ -18,13 +18,13 @@
 
 CONFIGURATION_KEY = "config/current"
 WATCH_TIMEOUT = timedelta(minutes=5)
-"""How long the store may hold a watch that sees no change."""
+"""How long a watch stays open without a change before the store answers it."""
 INITIAL_BACK_OFF = timedelta(milliseconds=500)
 MAX_BACK_OFF = timedelta(seconds=10)
 
 
 def offer_record(replica: Replica, record: Record | None) -> None:
-    """Offer the replica the store's configuration record; None if there is no record."""
+    """Offer the store's configuration record, or its absence, to the replica."""
     if record is None:
         replica.on_store_empty()
         return
@@ -42,7 +42,7 @@
 
     Parameters
     ----------
-    on_offer
+    on_configuration_read
         Called after a successful read of the configuration.
     on_fault
         Called with exceptions; a step that raises counts as failed.
@@ -62,7 +62,7 @@
         store: Store,
         replica: Replica,
         stewardship: Stewardship,
-        on_offer: Callable[[], None],
+        on_configuration_read: Callable[[], None],
         on_fault: Callable[[Failure], None],
     ) -> None:
         self._me = me
@@ -72,7 +72,7 @@
         self._store = store
         self._replica = replica
         self.stewardship = stewardship
-        self._on_offer = on_offer
+        self._on_configuration_read = on_configuration_read
         self._on_fault = on_fault
         self._lease: str | None = None
         self._lease_index = 0
@@ -173,7 +173,7 @@
         if record is None or self._last_offered != record:
             offer_record(self._replica, record)
         self._last_offered = record
-        self._on_offer()
+        self._on_configuration_read()
 
     def _on_watch_failure(self, failure: Failure) -> None:
         self._back_off()
--- a/packages/entry/src/cardamomloft/entry/stopping.py
+++ b/packages/entry/src/cardamomloft/entry/stopping.py
@@ -1,4 +1,4 @@
-"""The last phase of a stop: requests in flight finish and the shares are handed over."""
+"""The last phase of a stop: finishes requests in flight and hands over the shares."""
 
 import typing as t
 from datetime import timedelta
@@ -18,7 +18,7 @@
 
 
 async def close(node: "EntryNode", timers: Timers, clock: Clock) -> None:
-    """Wait for requests in flight, hand the shares over and close the callers' connections."""
+    """Wait for requests in flight, hand over the shares and close the callers' connections."""
     await node.app.drained()
     while node.executor is not None and (
         node.executor.running or node.forwarder.pending_cancellations
@@ -29,8 +29,8 @@
     while not node.shares.is_clear and clock.monotonic() < deadline:
         await timers.sleep(POLL_INTERVAL)
     if node.shares.is_clear and node.seat.recorded:
-        noted = await node.seat.record_stop()
-        log("handed-over", noted=noted)
+        stop_recorded = await node.seat.record_stop()
+        log("handed-over", noted=stop_recorded)
     if node.steward is not None:
         await node.steward.release()
     await node.app.disconnect()
@@ -38,7 +38,7 @@
 
 
 def force_stop(node: "EntryNode") -> None:
-    """Stop despite requests in flight, and log these."""
+    """Stop despite requests in flight, and log them."""
     if node.lifecycle.state() == "stopped":
         return
     dispatches = node.router.in_flight() if node.router else []
--- a/packages/entry/src/cardamomloft/entry/vms.py
+++ b/packages/entry/src/cardamomloft/entry/vms.py
@@ -1,4 +1,4 @@
-"""Polls the platform's VM list: stewards often, other entries seldom and by notices."""
+"""Polls the VM list; entries that poll it seldom also get changes as notices from stewards."""
 
 from collections.abc import Callable, Sequence
 from datetime import datetime, timedelta
@@ -27,7 +27,7 @@
     metrics
         Counts failed fetches and malformed notices.
     on_rows
-        Called with all rows after each fetch and notice.
+        Called with all known rows after each fetch and each notice.
     send
         Sends notices to peers.
 
@@ -55,13 +55,13 @@
         self._rows: dict[str, VmRow] = {}
 
     def poll(
-        self, roster: int, *, at_each_call: bool, notify: Sequence[str] = ()
+        self, roster_size: int, *, at_each_call: bool, notify: Sequence[str] = ()
     ) -> "Deferred[None] | None":
         """Fetch the list if a fetch is due.
 
         Parameters
         ----------
-        roster
+        roster_size
             Number of entries in the roster; the poll interval is proportional to it.
         at_each_call
             Whether to fetch at each call, as stewards and their standbys do.
@@ -72,7 +72,7 @@
         if now < self._next_fetch_at:
             return None
         if not at_each_call:
-            self._next_fetch_at = now + roster * POLL_INTERVAL_PER_ENTRY
+            self._next_fetch_at = now + roster_size * POLL_INTERVAL_PER_ENTRY
         return ensureDeferred(self._fetch(notify))
 
     def on_notice(self, notice: VmNotice) -> None:
--- a/packages/entry/tests/test_node.py
+++ b/packages/entry/tests/test_node.py
@@ -24,8 +24,8 @@
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
-AWAY = Error(StoreFailure(False, "away"))
-PAGE = Path(__file__).parents[3] / "docs" / "operating.md"
+UNAVAILABLE = Error(StoreFailure(False, "unavailable"))
+OPERATING_PAGE = Path(__file__).parents[3] / "docs" / "operating.md"
 SETTINGS = {
     "seat": "e1",
     "zone": "a",
@@ -60,7 +60,7 @@
 
 class FakeStore:
     def __init__(self):
-        self.away = False
+        self.unavailable = False
         self.values = {}
         self.calls = Counter()
 
@@ -74,11 +74,11 @@
 
     def get(self, key):
         self.calls["get"] += 1
-        return succeed(AWAY if self.away else Ok(self.values.get(key)))
+        return succeed(UNAVAILABLE if self.unavailable else Ok(self.values.get(key)))
 
     def compare_and_swap(self, key, value, version):
-        if self.away:
-            return succeed(AWAY)
+        if self.unavailable:
+            return succeed(UNAVAILABLE)
         swapped = version == (self.values[key].version if key in self.values else 0)
         if swapped:
             self.put(key, value)
@@ -88,7 +88,7 @@
         return Deferred()
 
     def create_lease(self, ttl):
-        return succeed(AWAY if self.away else Ok("lease"))
+        return succeed(UNAVAILABLE if self.unavailable else Ok("lease"))
 
     def release(self, lease):
         return succeed(Ok(None))
@@ -113,7 +113,7 @@
         self.rows = None
 
     def fetch(self):
-        return succeed(Error("away") if self.rows is None else Ok(self.rows))
+        return succeed(Error("unavailable") if self.rows is None else Ok(self.rows))
 
 
 class FakeClient:
@@ -158,7 +158,7 @@
     def seat_row(self):
         return json.loads(self.store.values["seat/e1"].value)
 
-    def ask(self, path="/m/1"):
+    def refusal_reason(self, path="/m/1"):
         head = RequestHead("GET", path, "", (), "127.0.0.1", 0, False)
         answers = []
         self.node.handle(head, None, Deferred()).addCallback(answers.append)
@@ -192,7 +192,7 @@
     """Otherwise its successor would not wait for its uses and loans to end."""
     bench = Bench(store)
     compare_and_swap = store.compare_and_swap
-    store.compare_and_swap = lambda *args: succeed(AWAY)
+    store.compare_and_swap = lambda *args: succeed(UNAVAILABLE)
     bench.start()
     bench.pass_time(30)
     assert bench.node.router.revision == 3 and not bench.node.seat.recorded
@@ -204,18 +204,18 @@
 
 
 def test_without_a_configuration_every_request_is_refused(store):
-    store.away = True
+    store.unavailable = True
     bench = Bench(store).start()
     assert not bench.node.ready()
-    assert bench.ask() == RefusalReason.NOT_READY
+    assert bench.refusal_reason() == RefusalReason.NOT_READY
     assert isinstance(bench.node.lookup("127.0.0.1"), Refusal)
-    store.away = False
+    store.unavailable = False
     bench.pass_time(2)
     assert bench.node.ready() and not isinstance(bench.node.lookup("127.0.0.1"), Refusal)
 
 
 def test_with_the_store_unavailable_the_configuration_comes_from_a_peer(store):
-    store.away = True
+    store.unavailable = True
     bench = Bench(store, peer_seeds=["127.0.0.1:7202"]).start()
     requests = [m for address, m in bench.peers.sent if address == "127.0.0.1:7202"]
     assert any(isinstance(message, DocumentRequest) for message in requests)
@@ -255,7 +255,7 @@
     assert bench.node.ready()
     bench.clock.advance(timedelta(seconds=30))
     bench.reactor.advance(0.025)
-    assert bench.ask() == RefusalReason.NOT_READY
+    assert bench.refusal_reason() == RefusalReason.NOT_READY
     assert isinstance(bench.node.lookup("127.0.0.1"), Refusal)
     bench.peers.sent.clear()
     bench.node._send_digests()
@@ -279,7 +279,7 @@
     bench.pass_time(8)
     assert bench.ended == [None] and bench.peers.closed
     assert bench.seat_row()["stopped"]
-    assert bench.ask() == RefusalReason.STOPPING
+    assert bench.refusal_reason() == RefusalReason.STOPPING
 
 
 def test_a_planned_stop_waits_for_requests_in_flight(store):
@@ -315,14 +315,14 @@
 
 def test_a_stop_ends_with_the_store_unavailable(store):
     bench = Bench(store).start()
-    store.away = True
+    store.unavailable = True
     bench.node.stop()
     bench.pass_time(10)
     assert bench.ended == [None] and not bench.seat_row()["stopped"]
 
 
 def test_a_stop_without_a_configuration_ends(store):
-    store.away = True
+    store.unavailable = True
     bench = Bench(store).start()
     bench.node.stop()
     bench.pass_time(10)
@@ -412,5 +412,5 @@
         bench.node.metrics.count(f"refused.{reason}")
     bench.node.metrics.count("unknown")
     shown = set(re.findall(r"^(\w+)", bench.node.status_page.metrics_text(), re.MULTILINE))
-    named = set(re.findall(r"cardamomloft_\w+", PAGE.read_text(encoding="utf-8")))
+    named = set(re.findall(r"cardamomloft_\w+", OPERATING_PAGE.read_text(encoding="utf-8")))
     assert named and named <= shown
--- a/packages/entry/tests/test_pacing.py
+++ b/packages/entry/tests/test_pacing.py
@@ -22,9 +22,9 @@
 
     def reserve(self, key, nbytes):
         assert key == "link/r1/r2"
-        left = self.next - self.reactor.seconds()
-        if left > 0:
-            return timedelta(seconds=left)
+        remaining = self.next - self.reactor.seconds()
+        if remaining > 0:
+            return timedelta(seconds=remaining)
         self.next = self.reactor.seconds() + 1
         return timedelta(0)
 
@@ -194,7 +194,7 @@
     sink, body, over, _ = start_body(reactor, 60)
     for piece in PIECES[:3]:
         body.data_received(piece)
-    body.fail("the caller has left")
+    body.fail("the caller has disconnected")
     pass_time(reactor, 5)
     assert isinstance(over[0], Failure) and over[0].check(BodyIncomplete)
     assert sink.written == PIECES[:1]
--- a/packages/entry/tests/test_seat.py
+++ b/packages/entry/tests/test_seat.py
@@ -12,7 +12,7 @@
 
 
 class FakeStore:
-    """One key; `faults` in order: None, "away", "lost" (not written) or "late" (written)."""
+    """One key; `faults` in order: None, "unavailable", "lost" (not written) or "late" (written)."""
 
     def __init__(self):
         self.record = None
@@ -26,14 +26,14 @@
         assert key == "seat/e1"
         found = self.record
         if self.fault() is not None:
-            return succeed(Error(StoreFailure(False, "away")))
+            return succeed(Error(StoreFailure(False, "unavailable")))
         self.after_get()
         return succeed(Ok(found))
 
     def compare_and_swap(self, key, value, version):
         fault = self.fault()
-        if fault == "away":
-            return succeed(Error(StoreFailure(False, "away")))
+        if fault == "unavailable":
+            return succeed(Error(StoreFailure(False, "unavailable")))
         swapped = fault != "lost" and version == (self.record.version if self.record else 0)
         if swapped:
             self.record = Record(value, version + 1)
@@ -86,7 +86,7 @@
 
 def test_with_the_store_unavailable_a_predecessor_is_assumed(store):
     first = seat_record(store, "1")
-    for faults in (["away"], [None, "away"]):
+    for faults in (["unavailable"], [None, "unavailable"]):
         store.faults = faults
         assert not run(first.record())
         assert (first.recorded, first.may_have_predecessor) == (False, True)
@@ -116,7 +116,7 @@
     assert run(second.record()) and not second.may_have_predecessor
 
 
-@pytest.mark.parametrize("fault", ["lost", "late", "away"])
+@pytest.mark.parametrize("fault", ["lost", "late", "unavailable"])
 def test_a_stop_is_clean_only_if_its_record_reached_the_store(store, fault):
     first, second = seat_record(store, "1"), seat_record(store, "2")
     run(first.record())
--- a/packages/entry/tests/test_steward.py
+++ b/packages/entry/tests/test_steward.py
@@ -16,14 +16,14 @@
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
 TICK = timedelta(milliseconds=25)
-AWAY = Error(StoreFailure(False, "away"))
+UNAVAILABLE = Error(StoreFailure(False, "unavailable"))
 
 
 class FakeStore:
-    """A lease key and the configuration record; `away` and `raising` inject faults."""
+    """A lease key and the configuration record; `unavailable` and `raising` inject faults."""
 
     def __init__(self):
-        self.away = False
+        self.unavailable = False
         self.raising = False
         self.holder = None
         self.leases = {}
@@ -35,7 +35,7 @@
         self.calls[name] += 1
         if self.raising:
             raise RuntimeError("a defect")
-        return succeed(AWAY if self.away else result())
+        return succeed(UNAVAILABLE if self.unavailable else result())
 
     def expire(self):
         self.holder = None
@@ -71,7 +71,7 @@
 
     def watch(self, key, index, wait):
         if key == CONFIGURATION_KEY:
-            if self.away or index == 0:
+            if self.unavailable or index == 0:
                 return self.answer("config", lambda: Ok(Watched(self.config, 1)))
             self.watches.append(Deferred())
             return self.watches[-1]
@@ -110,11 +110,11 @@
             self.store,
             self.replica,
             stewardship,
-            self.on_offer,
+            self.on_configuration_read,
             self.faults.append,
         )
 
-    def on_offer(self):
+    def on_configuration_read(self):
         self.offered += 1
 
     @property
@@ -168,14 +168,14 @@
 
 
 def test_a_store_outage_costs_few_calls_and_is_recovered_from(steward):
-    steward.store.away = True
-    steward.store.watches[-1].callback(AWAY)
+    steward.store.unavailable = True
+    steward.store.watches[-1].callback(UNAVAILABLE)
     before = steward.store.calls.total()
     steward.run(60)
     assert (
         steward.store.calls.total() - before <= 120
     ), "more than two calls per second during an outage"
-    steward.store.away = False
+    steward.store.unavailable = False
     steward.store.expire()
     steward.store.config = record(5)
     steward.run(60)
@@ -185,10 +185,10 @@
 @pytest.mark.parametrize("standby", [True, False])
 def test_an_outage_costs_a_candidate_few_calls(standby):
     bench = Bench(standby)
-    bench.store.away = True
+    bench.store.unavailable = True
     bench.run(60)
     assert 1 <= bench.store.calls.total() <= 30
-    bench.store.away = False
+    bench.store.unavailable = False
     bench.run(60)
     assert bench.is_steward
 
--- a/packages/runtime/src/cardamomloft/runtime/eventloop.py
+++ b/packages/runtime/src/cardamomloft/runtime/eventloop.py
@@ -1,7 +1,7 @@
 """The event loop of every process, whose timers count elapsed time.
 
-Twisted's reactors time their calls by the time of day: a step back delays every timer, a step
-forward ends timeouts early. This reactor uses the same clock as the decisions.
+Twisted's reactors schedule calls by the time of day: a step back delays every timer, a step forward
+ends timeouts early. This reactor uses the elapsed-time clock that the decision code uses too.
 """
 
 from cardamomloft.core.clock import elapsed_seconds
@@ -10,7 +10,7 @@
 
 
 class ElapsedTimeReactor(EPollReactor):
-    """Twisted's epoll reactor on a clock that steps of the time of day do not change."""
+    """Twisted's epoll reactor with a clock that is not affected by steps of the time of day."""
 
     def seconds(self) -> float:
         """Return the current time of the reactor's timers, in seconds of elapsed time."""
--- a/packages/runtime/src/cardamomloft/runtime/lifecycle.py
+++ b/packages/runtime/src/cardamomloft/runtime/lifecycle.py
@@ -1,7 +1,7 @@
 """The lifecycle of a process as a state machine: starting, ready, leaving, closing, stopped.
 
 A leaving process is no longer named in look-ups, but accepts requests of callers with a cached
-look-up. A closing one refuses new requests and finishes those in flight.
+look-up. A closing process refuses new requests and finishes those in flight.
 """
 
 import typing as t
@@ -10,7 +10,7 @@
 
 
 class Lifecycle(t.Protocol):
-    """Inputs and queries of the machine; an input that a state does not expect is ignored."""
+    """Inputs and queries of the state machine; a state ignores inputs without a transition."""
 
     def prepared(self) -> None:
         """Report that the process has a configuration and can serve."""
@@ -22,7 +22,7 @@
         """Report that callers' cached look-ups have expired."""
 
     def drained(self) -> None:
-        """Report that no request is in flight, or that the stop must not wait longer."""
+        """Report that no request is in flight, or that the time for a graceful stop is over."""
 
     def state(self) -> str:
         """Return the name of the current state."""
--- a/packages/runtime/src/cardamomloft/runtime/logs.py
+++ b/packages/runtime/src/cardamomloft/runtime/logs.py
@@ -7,8 +7,8 @@
 from twisted.logger import ILogObserver, LogEvent, LogLevel, formatEvent, globalLogBeginner
 from zope.interface import implementer
 
-MAX_REPORTED = 1_000
-"""Keys whose last logged problem is kept; all are cleared beyond it, and may be logged again."""
+MAX_REPORTED_KEYS = 1_000
+"""Keys whose last logged problem is kept; beyond it all are cleared and may be logged again."""
 
 
 def log(event: str, **fields: object) -> None:
@@ -34,7 +34,7 @@
 
 
 class ReportedProblems:
-    """Remembers logged problems, so that each is logged once and not at every read."""
+    """Remembers logged problems by key, so that a problem is not logged again at every read."""
 
     def __init__(self) -> None:
         self._details: dict[str, str] = {}
@@ -43,11 +43,11 @@
         """Record the problem `detail` of `key`; return whether it differs from the last one."""
         if self._details.get(key) == detail:
             return False
-        if len(self._details) >= MAX_REPORTED:
+        if len(self._details) >= MAX_REPORTED_KEYS:
             self._details.clear()
         self._details[key] = detail
         return True
 
     def forget(self, key: str) -> None:
-        """Record that `key` has no problem any more."""
+        """Record that the problem of `key` is resolved."""
         self._details.pop(key, None)
--- a/packages/runtime/src/cardamomloft/runtime/metrics.py
+++ b/packages/runtime/src/cardamomloft/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, and latency histograms by service, for the operators' /metrics page."""
+"""Counters and latency histograms for the operators' /metrics page."""
 
 from collections import Counter
 from datetime import timedelta
@@ -22,11 +22,11 @@
         """Add `by` to the counter `name`."""
         self.counters[name] += by
 
-    def observe(self, service: str, latency: timedelta) -> None:
-        """Record one latency, from the request's head to the end of the answer."""
-        histogram = self._latency.get(service)
+    def observe(self, name: str, latency: timedelta) -> None:
+        """Record one latency under `name`, which is usually that of a service."""
+        histogram = self._latency.get(name)
         if histogram is None:
-            histogram = self._latency[service] = HdrHistogram(
+            histogram = self._latency[name] = HdrHistogram(
                 _MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS
             )
         histogram.record_value(max(_MIN_LATENCY_US, int(latency / timedelta(microseconds=1))))
@@ -37,14 +37,14 @@
             f"cardamomloft_{name.replace('-', '_').replace('.', '_')}_total {value}"
             for name, value in sorted(self.counters.items())
         ]
-        for service, histogram in sorted(self._latency.items()):
+        for name, histogram in sorted(self._latency.items()):
             lines += [
-                f'cardamomloft_latency_seconds{{service="{service}",quantile="{p / 100:g}"}} '
+                f'cardamomloft_latency_seconds{{service="{name}",quantile="{p / 100:g}"}} '
                 f"{histogram.get_value_at_percentile(p) / 1e6:.6f}"
                 for p in _PERCENTILES
             ]
             lines.append(
-                f'cardamomloft_latency_seconds_count{{service="{service}"}} '
+                f'cardamomloft_latency_seconds_count{{service="{name}"}} '
                 f"{histogram.get_total_count()}"
             )
         return "\n".join(lines) + "\n"
--- a/packages/runtime/src/cardamomloft/runtime/output.py
+++ b/packages/runtime/src/cardamomloft/runtime/output.py
@@ -4,7 +4,7 @@
 import os
 
 MAX_PENDING_BYTES = 256 * 1024
-"""Bytes buffered for a slow reader: some seconds of log lines about requests."""
+"""Bytes buffered for a slow reader, enough for a few seconds of request log lines."""
 
 
 class LogOutput:
@@ -15,13 +15,13 @@
     descriptor
         The file descriptor to write to.
     max_pending_bytes
-        Bytes buffered for a slow reader; lines beyond it are dropped whole, and their number is
-        logged once the buffer is empty.
+        Bytes buffered for a slow reader. A line that would exceed it is dropped, and the number
+        of dropped lines is logged once the buffer is empty.
 
     Attributes
     ----------
     dropped_lines
-        Number of lines dropped since the last such log line.
+        Number of dropped lines that has not been logged yet.
     """
 
     def __init__(self, descriptor: int, max_pending_bytes: int = MAX_PENDING_BYTES) -> None:
--- a/packages/runtime/src/cardamomloft/runtime/timers.py
+++ b/packages/runtime/src/cardamomloft/runtime/timers.py
@@ -26,7 +26,7 @@
         self._calls: list[LoopingCall] = []
 
     def every(self, interval: timedelta, action: Callable[[], t.Any]) -> None:
-        """Call `action` now and at each `interval`, but not before its last Deferred has fired."""
+        """Call `action` now and every `interval`, except while its last Deferred has not fired."""
         call = LoopingCall(self._guard, action)
         call.clock = self._reactor
         call.start(interval.total_seconds())
--- a/packages/runtime/tests/test_lifecycle.py
+++ b/packages/runtime/tests/test_lifecycle.py
@@ -17,7 +17,7 @@
         return lambda: self.done.append(name)
 
 
-def play(*inputs):
+def apply_inputs(*inputs):
     actions = Actions()
     lifecycle = make_lifecycle(actions)
     for name in inputs:
@@ -26,7 +26,7 @@
 
 
 def test_a_planned_stop_goes_through_every_state():
-    lifecycle, done = play("prepared", "stop", "lingered", "drained")
+    lifecycle, done = apply_inputs("prepared", "stop", "lingered", "drained")
     assert lifecycle.state() == "stopped"
     assert done == ["on_ready", "on_leaving", "on_closing", "on_stopped"]
 
@@ -45,7 +45,7 @@
     ],
 )
 def test_new_requests_are_accepted_in_ready_and_leaving_only(inputs, state, admits):
-    lifecycle, _ = play(*inputs)
+    lifecycle, _ = apply_inputs(*inputs)
     assert (lifecycle.state(), lifecycle.admits()) == (state, admits)
 
 
--- a/packages/runtime/tests/test_output.py
+++ b/packages/runtime/tests/test_output.py
@@ -45,9 +45,9 @@
     received += _read(pipe[0])
     output.write(b"after\n")
     output.flush()
-    *whole, note, last = (received + _read(pipe[0])).splitlines()
-    assert set(whole) == {line.strip()}
-    assert json.loads(note)["count"] == dropped_lines == 2000 - len(whole)
+    *kept, note, last = (received + _read(pipe[0])).splitlines()
+    assert set(kept) == {line.strip()}
+    assert json.loads(note)["count"] == dropped_lines == 2000 - len(kept)
     assert last == b"after"
 
 
