--- a/packages/operators/src/cardamomloft/operators/acceptance.py
+++ b/packages/operators/src/cardamomloft/operators/acceptance.py
@@ -2,7 +2,7 @@
 
 A revision is accepted when it is in force at every entry of the roster, apart from entries that are
 out of service. Evidence is either the entry's own status or the state "gone" in the VM list; an
-entry that does not answer, or a VM that is not listed, proves nothing. A status holds for one
+entry that does not answer, or a VM that is not listed, is no evidence. A status applies to one
 process incarnation only, so acceptance is confirmed by comparing two polling rounds.
 """
 
@@ -140,9 +140,9 @@
     removed
         Seats that the revision removes from the roster. Their VMs may already be deleted, so a
         missing row in the VM list counts as "gone" for them.
-    before
-        The reports of the previous polling round. Without them the verdicts hold only for the
-        processes that answered, not for a process that replaces one of them.
+    first_round
+        The reports of the previous polling round. Without them the verdicts apply only to the
+        processes that answered, not to a process that replaces one of them.
     """
     by_seat = {report.seat: report for report in reports}
     answered = _reports_by_seat(by_seat.values())
--- a/packages/operators/src/cardamomloft/operators/applying.py
+++ b/packages/operators/src/cardamomloft/operators/applying.py
@@ -24,7 +24,7 @@
 from expression import Error, Ok, Result
 
 MAX_RECENT_ENTRIES = 20
-"""Audit entries that a file is checked against for conflicts."""
+"""Number of the latest audit entries that a file is checked against for conflicts."""
 
 
 class Intent(t.NamedTuple):
@@ -123,7 +123,7 @@
     known = find_recorded(base, recent, intent.change)
     if known is not None:
         if not known.written.superseded and base.document != document:
-            text = f"change {intent.change} is recorded, with another file; leave --change out"
+            text = f"change {intent.change} is recorded already with another file; omit --change"
             return Error(Failure(ExitCode.REFUSED, text))
         session.console.info(f"change {intent.change} is recorded already")
         return Ok(await wait_and_report(session, known, wait))
@@ -159,8 +159,8 @@
     highest = await _highest_entry_revision(session, base, document)
     if highest > base.number:
         session.console.warn(
-            f"warning: entries hold revision {highest}, the store only {base.number}:"
-            " it lost changes"
+            f"warning: entries have revision {highest}, the store only {base.number}:"
+            " the store has lost changes"
         )
     new = next_record(
         base.record,
@@ -204,7 +204,7 @@
     """Return the change with the id `change` if the recent audit trail contains it.
 
     The store keeps only the current document, so the returned record contains that one even if the
-    change is older: its acceptance is evaluated for the current roster, which is valid because
+    change is older. Its acceptance is thus evaluated for the current roster, which is valid because
     every later revision includes the change.
     """
     if base.record is None:
@@ -252,7 +252,7 @@
     revisions = "revision" if len(numbers) == 1 else "revisions"
     listed = ", ".join(str(number) for number in sorted(numbers))
     text = f"conflict: the file undoes {revisions} {listed}; nothing was written"
-    last = f"take this into the file, or undo it knowingly with --base {base.number}"
+    last = f"merge this into the file, or undo it deliberately with --base {base.number}"
     return Error(failure._replace(text=text, lines=(*failure.lines[:-2], last)))
 
 
--- a/packages/operators/src/cardamomloft/operators/conflicts.py
+++ b/packages/operators/src/cardamomloft/operators/conflicts.py
@@ -90,8 +90,8 @@
         return OverlapKind.UNDOES if mine.new == theirs["old"] else OverlapKind.EDITS
     both_absent = mine.new is None and theirs["old"] is None
     if _is_ancestor(mine.path, theirs["path"]):
-        lost = both_absent and _has_value_at(mine.path, mine.old, theirs["path"])
-        return OverlapKind.UNDOES if lost else OverlapKind.EDITS
+        removed = both_absent and _has_value_at(mine.path, mine.old, theirs["path"])
+        return OverlapKind.UNDOES if removed else OverlapKind.EDITS
     # The recorded change added a whole table, and this file removes a row from it. A drain or move
     # is added by its own command, so a file that lacks it is stale; in other tables, removing a row
     # is usually an ordinary edit.
--- a/packages/operators/src/cardamomloft/operators/fleet.py
+++ b/packages/operators/src/cardamomloft/operators/fleet.py
@@ -88,7 +88,7 @@
 async def vm_states(session: Session) -> Result[Mapping[str, VmState], str]:
     """Return the state of each VM by name, or an error text."""
     if session.vms is None:
-        return Error("no VM list is named: give --vms or --settings")
+        return Error("no VM list is configured: give --vms or --settings")
     fetched = await session.vms.fetch()
     return fetched.map(lambda rows: {row.name: row.state for row in rows})
 
--- a/packages/operators/src/cardamomloft/operators/main.py
+++ b/packages/operators/src/cardamomloft/operators/main.py
@@ -64,7 +64,7 @@
     vms
         The platform's list of VMs, http://IP:PORT.
     entry
-        Operators' addresses IP:PORT of entries to ask while the store is away.
+        Operators' addresses IP:PORT of entries to use when the store is unavailable.
     settings
         A JSON file with store, vms, entries and who; options take precedence over it.
     json
@@ -95,14 +95,14 @@
 
 @command
 def publish(file: Path, *, default: str) -> Command:
-    """Put a client-block map into the store and print the part of the document that names it.
+    """Write a client-block map to the store and print the `clients` table that refers to it.
 
     Parameters
     ----------
     file
         JSON object from client block to site.
     default
-        The site of addresses in no block.
+        The site of addresses that are in no block.
     """
     return _with_file_text(file, lambda session, text: clientmap.publish(session, text, default))
 
@@ -140,7 +140,7 @@
     who
         Who makes the change; the login name if not given.
     change
-        The id of a change whose outcome is not known, to find or finish it.
+        The id of an earlier change whose outcome is unknown; a retry records it at most once.
     base
         The revision that the file was edited from; any later one is a conflict.
     wait
@@ -181,11 +181,11 @@
     at
         When the drain starts, ISO 8601 with offset from UTC; now if not given.
     undo
-        Take the drain back.
+        Remove the drain.
     who
         Who makes the change; the login name if not given.
     change
-        The id of a change whose outcome is not known, to find or finish it.
+        The id of an earlier change whose outcome is unknown; a retry records it at most once.
     wait
         Seconds to wait for acceptance and for the drain to be done.
     """
@@ -222,21 +222,21 @@
     why
         The reason, for the audit trail.
     percent
-        How much of the origin's traffic moves; needed unless the move is taken back.
+        How much of the origin's traffic moves; required unless --undo is given.
     cap
-        Percent per second at most; the service's own cap if not given.
+        Maximum percent per second; the service's own cap if not given.
     undo
-        Take the move back.
+        Remove the move.
     who
         Who makes the change; the login name if not given.
     change
-        The id of a change whose outcome is not known, to find or finish it.
+        The id of an earlier change whose outcome is unknown; a retry records it at most once.
     wait
         Seconds to wait for acceptance.
     """
     request = MoveRequest(service, origin, target, percent or 0.0, cap)
     if percent is None and not undo:
-        return _fail_with(Failure(ExitCode.USAGE, "--percent is needed, unless --undo is given"))
+        return _fail_with(Failure(ExitCode.USAGE, "--percent is required unless --undo is given"))
     return lambda session: planning.move(
         session, request, undo, _intent(session, who, why, change), _seconds(wait)
     )
@@ -244,7 +244,7 @@
 
 @command
 def status() -> Command:
-    """Show who has which revision, the headroom of services, drains and moves."""
+    """Show the revision of each entry, the headroom of services, drains and moves."""
     return reporting.status
 
 
@@ -257,7 +257,7 @@
     last
         How many changes to show.
     verify
-        Check the whole chain of changes.
+        Verify the hash chain of all changes.
     """
     if last < 1:
         return _fail_with(Failure(ExitCode.USAGE, "--last must be at least 1"))
@@ -273,7 +273,7 @@
     zone: str | None = None,
     header: list[str] | None = None,
 ) -> Command:
-    """Show which rule decides about a request, and why not the ones before it.
+    """Show which rule matches a request, and why the preceding rules do not.
 
     Parameters
     ----------
--- a/packages/operators/src/cardamomloft/operators/planning.py
+++ b/packages/operators/src/cardamomloft/operators/planning.py
@@ -132,7 +132,9 @@
     match edit(base.document):
         case Result(tag="error", error=mistake):
             return Error(
-                wording.mistakes_failure("the configuration cannot be edited so", (mistake,))
+                wording.mistakes_failure(
+                    "the edit is not possible in the current configuration", (mistake,)
+                )
             )
         case Result(ok=document) if document == base.document:
             session.console.info(f"no change: revision {base.number} holds this already")
@@ -146,16 +148,18 @@
             pass
     match check_document(document):
         case Result(tag="error", error=mistakes):
-            return Error(wording.mistakes_failure("the edit makes mistakes", mistakes))
-    _warn_about_new(session, base.document, document)
+            return Error(
+                wording.mistakes_failure("the edited configuration has mistakes", mistakes)
+            )
+    _show_new_warnings(session, base.document, document)
     recorded = await applying.record(session, base, document, intent, recent)
     return recorded.map(
         lambda done: done if isinstance(done, Conflict) else EditResult(done, changed=True)
     )
 
 
-def _warn_about_new(session: Session, old: Document, new: Document) -> None:
-    """Show the warnings that the edit adds to those of the old document."""
+def _show_new_warnings(session: Session, old: Document, new: Document) -> None:
+    """Show the warnings about the new document that did not apply to the old one."""
     before = set(warnings(old))
     found = [mistake for mistake in warnings(new) if mistake not in before]
     session.console.warn(*(f"warning: {mistake}" for mistake in found))
--- a/packages/operators/src/cardamomloft/operators/recording.py
+++ b/packages/operators/src/cardamomloft/operators/recording.py
@@ -61,7 +61,7 @@
 async def read_base(session: Session) -> Result[Base, Failure]:
     """Read the current record."""
     if session.store is None:
-        text = "no store is named: give --store or --settings"
+        text = "no store is configured: give --store or --settings"
         return Error(Failure(ExitCode.USAGE, text))
     match await session.store.get(CURRENT_KEY):
         case Result(tag="error", error=fault):
@@ -97,8 +97,8 @@
     entry = changes.audit_entry(record, b"", difference)
     limit = changes.MAX_RECORD_BYTES
     if len(entry) > limit:
-        text = f"the change is audited in {len(entry)} bytes, the store takes {limit}"
-        return Error(f"{text}: make it in parts")
+        text = f"the audit entry of the change has {len(entry)} bytes, the limit is {limit}"
+        return Error(f"{text}: split the change")
     return Ok(None)
 
 
@@ -123,8 +123,8 @@
 async def _write_audit_entry(session: Session, record: Record) -> WrittenRecord:
     """Write the audit entry of the recorded change.
 
-    The record is read from the store, since it may be from an earlier attempt with the same change
-    id.
+    The record is read from the store, since an earlier attempt with the same change id may have
+    written it.
     """
     match await read_base(session):
         case Result(tag="ok", ok=Base(current)) if (
@@ -217,7 +217,7 @@
 
 
 def _unreadable(detail: str) -> Failure:
-    text = f"the store's {CURRENT_KEY} cannot be read: {detail}; nothing written"
+    text = f"the store's {CURRENT_KEY} cannot be read: {detail}; nothing was written"
     return Failure(ExitCode.REFUSED, text)
 
 
--- a/packages/operators/src/cardamomloft/operators/reporting.py
+++ b/packages/operators/src/cardamomloft/operators/reporting.py
@@ -65,7 +65,7 @@
     failure: Failure | None = None
     match await read_base(session):
         case Result(tag="error", error=failure):
-            session.console.warn(f"{failure.text}; showing what the entries given say")
+            session.console.warn(f"{failure.text}; showing the status of the given entries")
         case Result(ok=base):
             pass
     reports = await _poll_entries(session, base)
@@ -141,10 +141,10 @@
 def _check_end(base: Base, number: int, entries: Sequence[bytes]) -> Result[int, str]:
     last = trail.read_entry(entries[-1]) if entries else None
     if base.record is None or last is None:
-        return Error("it has no readable end")
+        return Error("its last entry is missing or unreadable")
     previous = entries[-2] if len(entries) > 1 else None
     if entries[-1] != audit_entry(base.record, previous, last["difference"]):
-        return Error(f"entry {number} does not belong to the record in force")
+        return Error(f"entry {number} does not match the current record")
     return Ok(number)
 
 
@@ -374,8 +374,8 @@
 
 def _displayed_state(answer: EntryStatus) -> str:
     """Return the lifecycle state, or "not ready" for an entry that fails its readiness check."""
-    cannot = answer["state"] == "ready" and not answer["ready"]
-    return "not ready" if cannot else answer["state"]
+    not_ready = answer["state"] == "ready" and not answer["ready"]
+    return "not ready" if not_ready else answer["state"]
 
 
 def _entry_payload(report: EntryReport, seat_verdict: SeatVerdict) -> dict[str, t.Any]:
--- a/packages/operators/src/cardamomloft/operators/waiting.py
+++ b/packages/operators/src/cardamomloft/operators/waiting.py
@@ -24,9 +24,9 @@
 
 
 class RequiredSeats(t.NamedTuple):
-    """The operators' addresses of the seats that must have a revision, by seat.
+    """The seats that must have a revision, with their operators' addresses.
 
-    `removed` are those seats that are no longer on the roster of the revision.
+    `removed` are those of them that are no longer on the roster of the revision.
     """
 
     addresses: Mapping[str, str]
@@ -145,8 +145,8 @@
     session: Session, required: RequiredSeats, known: Mapping[str, EntryReport]
 ) -> dict[str, EntryReport]:
     """Poll the seats that have no report in `known`, and return the reports of all seats."""
-    rest = {seat: a for seat, a in required.addresses.items() if seat not in known}
-    answered = {report.seat: report for report in await fleet.poll(session, rest)}
+    missing = {seat: a for seat, a in required.addresses.items() if seat not in known}
+    answered = {report.seat: report for report in await fleet.poll(session, missing)}
     return {seat: known.get(seat) or answered[seat] for seat in required.addresses}
 
 
@@ -175,5 +175,5 @@
 
 def _format_seats(seats: t.Iterable[str], shown: int = 4) -> str:
     ordered = sorted(seats)
-    rest = len(ordered) - shown
-    return ", ".join(ordered[:shown]) + (f" and {rest} more" if rest > 0 else "")
+    omitted = len(ordered) - shown
+    return ", ".join(ordered[:shown]) + (f" and {omitted} more" if omitted > 0 else "")
--- a/packages/operators/src/cardamomloft/operators/wording.py
+++ b/packages/operators/src/cardamomloft/operators/wording.py
@@ -16,7 +16,7 @@
 
 
 class RecordedChange(t.NamedTuple):
-    """A change that is in the store, its difference, and the audit entries before it."""
+    """A change that is in the store, its difference, and the latest audit entries before it."""
 
     written: WrittenRecord
     difference: list[PathChange]
@@ -33,9 +33,9 @@
     number = acceptance.number
     if not lacking:
         out = acceptance.with_verdict(Verdict.OUT)
-        known = f"; known to be out: {', '.join(s.seat for s in out)}" if out else ""
+        suffix = f"; out of service: {', '.join(s.seat for s in out)}" if out else ""
         entries = format_count(len(in_force), "entry", "entries")
-        session.console.info(f"accepted: revision {number} is in force at {entries}{known}")
+        session.console.info(f"accepted: revision {number} is in force at {entries}{suffix}")
         return Outcome(ExitCode.OK, payload)
     entries = format_count(len(lacking), "entry", "entries")
     session.console.info(f"recorded, not accepted: revision {number} is not in force at {entries}")
@@ -77,11 +77,11 @@
 ) -> Failure:
     """Return the failure of a change that conflicts with the recorded changes `theirs`."""
     found = conflicts.overlaps(theirs, mine)
-    lines = [line for entry in theirs for line in _entry_lines(entry, found)]
+    lines = [line for entry in theirs for line in _audit_entry_lines(entry, found)]
     if theirs:
         lines.append(_overlap_summary(found))
-    lines.append(f"take this into the file, then apply it with --base {current.number}")
-    text = f"conflict: revision {current.number} was recorded first; nothing of this was written"
+    lines.append(f"merge this into the file, then apply it with --base {current.number}")
+    text = f"conflict: revision {current.number} was recorded first; nothing was written"
     payload = {
         "outcome": "conflict",
         "revision": current.number,
@@ -127,10 +127,12 @@
 
 
 def report_recorded(session: Session, written: WrittenRecord) -> None:
-    """Print that a change was recorded, and warn if its audit entry is missing."""
+    """Print that a change was recorded, and warn if its audit entry is not written yet."""
     record = written.record
-    after = "; a later revision has replaced it" if written.superseded else ""
-    session.console.info(f"recorded: revision {record['number']}, change {record['change']}{after}")
+    suffix = "; a later revision has replaced it" if written.superseded else ""
+    session.console.info(
+        f"recorded: revision {record['number']}, change {record['change']}{suffix}"
+    )
     if not written.audited:
         session.console.warn(
             "the audit entry could not be written yet; the next change or audit writes it"
@@ -158,7 +160,7 @@
     return [{**overlap._asdict(), "touch": str(overlap.touch)} for overlap in found]
 
 
-def _entry_lines(entry: AuditEntry, found: t.Iterable[Overlap]) -> list[str]:
+def _audit_entry_lines(entry: AuditEntry, found: t.Iterable[Overlap]) -> list[str]:
     kinds = {overlap.path: overlap.touch for overlap in found if overlap.number == entry["number"]}
     head = f"revision {entry['number']} by {entry['who']} at {entry['when']}: {entry['why']}"
     if entry["difference"] is None:
--- a/packages/operators/tests/test_operator_writes.py
+++ b/packages/operators/tests/test_operator_writes.py
@@ -111,15 +111,17 @@
     assert started.store.writes.count(CURRENT) == 1 and verify_chain(trail(started)).ok == 2
 
 
-@pytest.mark.parametrize("first_lands", [True, False])
-def test_a_retried_change_is_audited_as_the_attempt_that_was_recorded(started, ctl, first_lands):
+@pytest.mark.parametrize("first_attempt_written", [True, False])
+def test_a_retried_change_is_audited_as_the_attempt_that_was_recorded(
+    started, ctl, first_attempt_written
+):
     def lose_answer():
         started.store.faults += [("get", "", "down")] * recording.MAX_READ_ATTEMPTS
         held.append(started.store.values[CURRENT])
         return "late"
 
-    def land():
-        if first_lands:
+    def finish_first_write():
+        if first_attempt_written:
             started.store.put(CURRENT, held[1])
 
     held = []
@@ -129,9 +131,9 @@
     held.append(started.store.values[CURRENT].value)
     started.store.values[CURRENT] = held[0]
     started.clock.advance(timedelta(minutes=1))
-    started.store.faults = [("swap", CURRENT, land)]
+    started.store.faults = [("swap", CURRENT, finish_first_write)]
     assert as_json(ctl, line)[0] is ExitCode.OK
-    assert (started.store.values[CURRENT].value == held[1]) == first_lands
+    assert (started.store.values[CURRENT].value == held[1]) == first_attempt_written
     (change,) = json.loads(trail(started)[1])["difference"]
     assert change["new"] == started.current["document"]["moves"]
     assert ctl("audit --verify")[0] is ExitCode.OK
@@ -184,12 +186,12 @@
     ctl("apply longer.json --why w --change a2")
     ctl("drain zone north-a --why x --at 2026-02-01T00:00Z")
     for number in (1, 3):
-        honest = started.store.values[f"audit/{number}"]
-        forged = honest.value.replace(b'"who":"ann"', b'"who":"bob"')
-        started.store.values[f"audit/{number}"] = honest._replace(value=forged)
+        original = started.store.values[f"audit/{number}"]
+        forged = original.value.replace(b'"who":"ann"', b'"who":"bob"')
+        started.store.values[f"audit/{number}"] = original._replace(value=forged)
         code, payload = as_json(ctl, "audit --verify")
         assert (code, payload["outcome"]) == (ExitCode.REFUSED, "broken")
-        started.store.values[f"audit/{number}"] = honest
+        started.store.values[f"audit/{number}"] = original
     assert ctl("audit --verify")[0] is ExitCode.OK
 
 
