--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -55,7 +55,7 @@
         )
     _write_results(measurements)
     _print_table(measurements, failed, [group for group in GROUPS if group not in selected])
-    print(f"whole run: {time.monotonic() - start:.1f} s")
+    print(f"total run time: {time.monotonic() - start:.1f} s")
     return 1 if failed else 0
 
 
--- a/scripts/bench_baselines.py
+++ b/scripts/bench_baselines.py
@@ -4,8 +4,8 @@
 
 - ``pass``: forward with klein and treq, round robin over the endpoints.
 - ``queue``: each process owns a fixed set of slots and an unbounded queue; no admission control.
-- ``static``: like ``queue``, but refuse requests that can't finish by their deadline. This is a
-  static division of slots among the entries.
+- ``static``: like ``queue``, but with admission control: refuse requests that can't finish by their
+  deadline.
 """
 
 import itertools
@@ -28,7 +28,7 @@
 
 
 class Settings(t.TypedDict):
-    """Settings of a baseline process; `slots` has an endpoint's address for each owned slot."""
+    """Settings of a baseline process; `slots` lists the endpoint's address of each owned slot."""
 
     listen: str
     mode: t.Literal["pass", "queue", "static"]
@@ -37,7 +37,7 @@
 
 
 class Forwarder:
-    """HTTP forwarder of one baseline process."""
+    """Forwards the requests of one baseline process, or refuses them, according to its mode."""
 
     app = Klein()
 
@@ -70,8 +70,10 @@
         return deadline - time.monotonic() - self._cfg["work_ms"] / 1000
 
     def _meets_deadline(self, deadline: float) -> bool:
-        rounds = (len(self._waiting) + 1) / len(self._cfg["slots"]) if not self._free_slots else 0
-        return self._slack_s(deadline) >= rounds * self._cfg["work_ms"] / 1000
+        queued_rounds = (
+            (len(self._waiting) + 1) / len(self._cfg["slots"]) if not self._free_slots else 0
+        )
+        return self._slack_s(deadline) >= queued_rounds * self._cfg["work_ms"] / 1000
 
     async def _acquire_slot(self) -> str:
         if self._free_slots:
@@ -132,7 +134,7 @@
 
 
 def stop_baselines(fleet: Fleet, mode: str) -> None:
-    """End all baseline processes of a mode."""
+    """Stop all baseline processes of a mode."""
     names = [n for n in fleet.processes if n.removeprefix(f"{mode}-").isdecimal()]
     fleet.end(names)
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -285,7 +285,7 @@
             print("   errors seen:", result.report["last_errors"][-3:])
     summary = summarize(results)
     faults = failed_checks(summary, results)
-    print(f"whole demo: {time.monotonic() - start:.1f} s")
+    print(f"total demo time: {time.monotonic() - start:.1f} s")
     for fault in faults:
         print("BROKEN:", fault)
     print(json.dumps(summary))
--- a/scripts/losses.py
+++ b/scripts/losses.py
@@ -100,7 +100,7 @@
 
 def _print_causes(causes: dict[str, Counter[str]]) -> None:
     for service, counts in sorted(causes.items()):
-        print(f"{service}: {sum(counts.values())} requests with a line")
+        print(f"{service}: {sum(counts.values())} logged requests")
         for cause, count in counts.most_common():
             print(f"  {count:6} {cause}")
 
@@ -124,7 +124,7 @@
     texts = (text for path in files for text in path.open()) if files else sys.stdin
     lines = list(parse_lines(texts))
     if not lines:
-        raise SystemExit("there is no log line of a gateway in the input")
+        raise SystemExit("the input contains no log line of a gateway")
     _print_causes(count_causes(lines))
     _print_windows(sum_counters(lines, min(line.timestamp for line in lines)))
 
--- a/scripts/pages.py
+++ b/scripts/pages.py
@@ -5,9 +5,9 @@
 The fenced `sh` blocks of the page run in order, in one shell, from the repository's root. A `text`
 block that directly follows is the expected output, in which `...` matches any text within a line
 and, on a line of its own, any number of lines. The run ends at the first failing command. All
-processes that the page has started are ended.
+processes that the page has started are terminated.
 
-It is not part of the tests, because it uses fixed ports on loopback.
+The script is not part of the test suite, because pages use fixed ports on loopback.
 """
 
 import argparse
@@ -111,15 +111,15 @@
                     return True, "".join(printed).removesuffix("\n")
                 printed.append(line)
         except BrokenPipeError:
-            printed.append("(the shell has ended)\n")
+            printed.append("(the shell has exited)\n")
         except queue.Empty:
-            printed.append(f"(no end within {timeout:g} s)\n")
+            printed.append(f"(not finished within {timeout:g} s)\n")
         return False, "".join(printed)
 
 
 @contextlib.contextmanager
 def open_shell() -> Iterator[Shell]:
-    """Yield a shell in a new process group; end the whole group when the block exits."""
+    """Yield a shell in a new process group; terminate the group when the `with` block exits."""
     path = f"{ROOT / '.venv' / 'bin'}:{os.environ['PATH']}"
     popen = subprocess.Popen(
         ["sh", "-e"],
@@ -157,26 +157,28 @@
     with open_shell() as shell:
         for step in found:
             start = time.monotonic()
-            done, printed = shell.run(step.commands, timeout)
-            shown = step.expected is None or matches(step.expected, printed)
-            verdict = "ok" if done and shown else "FAILED" if not done else "DIFFERS"
+            succeeded, printed = shell.run(step.commands, timeout)
+            matched = step.expected is None or matches(step.expected, printed)
+            verdict = "ok" if succeeded and matched else "FAILED" if not succeeded else "DIFFERS"
             print(f"{path.name}:{step.line}: {verdict} ({time.monotonic() - start:.1f} s)")
             if show or verdict != "ok":
                 print(printed)
             if verdict != "ok":
-                print(f"--- expected:\n{step.expected}" if step.expected and done else "", end="")
+                print(
+                    f"--- expected:\n{step.expected}" if step.expected and succeeded else "", end=""
+                )
                 return False
     return bool(found)
 
 
 def main() -> int:
-    """Run the pages given on the command line."""
+    """Run the pages given on the command line; return 1 if any of them failed."""
     parser = argparse.ArgumentParser(description="Run the commands of pages as written.")
     parser.add_argument("pages", nargs="+", type=pathlib.Path)
     parser.add_argument(
         "--timeout", type=float, default=BLOCK_TIMEOUT_S, help="seconds for each block"
     )
-    parser.add_argument("--show", action="store_true", help="print what each block printed")
+    parser.add_argument("--show", action="store_true", help="print the output of every block")
     args = parser.parse_args()
     succeeded = [run_page(page, args.timeout, show=args.show) for page in args.pages]
     return 0 if all(succeeded) else 1
--- a/scripts/trials.py
+++ b/scripts/trials.py
@@ -1,9 +1,9 @@
 """Fault-injection trials on running deployments.
 
-Each trial starts a small deployment of separate processes on loopback, runs a mixed load, causes a
-failure, and compares the callers' reports with the run counts of the upstreams. It prints one line
-of metrics with "ok" or "BROKEN". The last line is one JSON object. Exits with 1 if a check failed
-or a trial could not be completed.
+Each trial starts a small deployment of separate processes on loopback, runs a mixed load, injects a
+fault, and compares the callers' reports with the run counts of the upstreams. Each trial prints one
+line of metrics with "ok" or "BROKEN"; the last line of the output is one JSON object. The exit code
+is 1 if a check failed or a trial could not be completed.
 """
 
 import argparse
@@ -54,9 +54,9 @@
     with_retry_percent,
 )
 
-# Longer than a loan, which expires six seconds after the maximum deadline of 2 s.
+# Longer than a loan lasts: it expires 6 s after the maximum deadline of 2 s.
 FREEZE_DURATION_S = 12.0
-# Writes to lose per fault interval, by round; 1000 means all of them.
+# Writes to lose per fault interval, by round; 1000 exceeds the number of writes.
 MAX_LOST_WRITES = (1, 1, 1, 1, 1000, 1000)
 FAULT_INTERVAL_S = 0.06
 OUTAGE_DURATION_S = 15.0
@@ -111,9 +111,9 @@
     after, answer = apply(fleet, with_retry_percent(fleet.document, "menus", 12), "after")
     verified, rows = read_audit_trail(fleet)
     checks = {
-        "apply fails with 5 while the store is away": codes == [5, 5],
-        "an apply is accepted afterwards": after == 0,
-        "only that one was recorded": len(rows) == 2 and verified == 0,
+        "apply exits with 5 while the store is unavailable": codes == [5, 5],
+        "the apply after the outage is accepted": after == 0,
+        "only this change is recorded": len(rows) == 2 and verified == 0,
     }
     metrics = {"exits": [*codes, after], "audit_rows": len(rows), "ready_s": ready_s}
     result = add_checks(evaluate(fleet, 40, (34, 0.95)), checks, **metrics)
@@ -141,7 +141,7 @@
     checks = {
         "each apply ends with 0 or 5, or with 6 and then 0": _applies_settled(codes),
         "exactly the accepted changes are recorded": len(rows) == 1 + codes.count(0),
-        "the audit trail is whole": verified == 0,
+        "the audit trail is intact": verified == 0,
         "writes were lost": sum(lost) >= 10,
     }
     result = evaluate(fleet, 20, (18, 0.9))
@@ -202,13 +202,15 @@
                 fleet.document = edits[ended.index(0)]
         verified, rows = read_audit_trail(fleet)
     checks = {
-        "one wins and the other sees a conflict": all(sorted(pair) == [0, 3] for pair in codes),
-        "only the winners are recorded": len(rows) == 1 + len(codes),
-        "the audit trail is whole": verified == 0,
-        "no revision goes back": not poller.went_back,
+        "one apply is accepted and the other is a conflict": all(
+            sorted(pair) == [0, 3] for pair in codes
+        ),
+        "only the accepted changes are recorded": len(rows) == 1 + len(codes),
+        "the audit trail is intact": verified == 0,
+        "no entry returns to an older revision": not poller.decreases,
     }
     result = evaluate(fleet, 16, (2, 0.95))
-    return add_checks(result, checks, exits=codes, polls=poller.polls, went_back=poller.went_back)
+    return add_checks(result, checks, exits=codes, polls=poller.polls, went_back=poller.decreases)
 
 
 def _seats(fleet: Fleet) -> list[str]:
@@ -230,7 +232,7 @@
 
 
 def run_upstream_faults(fleet: Fleet) -> TrialResult:
-    """Have upstreams truncate, duplicate, delay past the deadline and withhold answers in turn."""
+    """Make upstreams truncate and duplicate answers, answer after the deadline, and hang."""
     start_load(fleet, 26, streams=8.0)
     time.sleep(2.0)
     for _ in range(2):
@@ -258,7 +260,7 @@
     fleet.processes["load"].wait(40.0)
     later = count_started(fleet, "east-b") - at_end
     control_upstreams(fleet, "east-a", refuse=False)
-    checks = {"the drain is done": code == 0, "no request starts in it later": later == 0}
+    checks = {"the drain is done": code == 0, "no request starts there later": later == 0}
     result = evaluate(fleet, 22, (15, 0.9))
     return add_checks(result, checks, exit=code, drain_s=answer.get("drain_s"), started_later=later)
 
@@ -272,7 +274,7 @@
     named_late: list[float] = []
     for seat in _seats(fleet):
         with LookupPoller(fleet, seat) as lookups:
-            # The check on named_late needs at least one look-up that names the entry.
+            # The check on `named_late` requires at least one look-up that names the entry.
             wait_until(f"{seat} named", lambda seen=lookups: seen.valid_until > 0)
             start = time.monotonic()
             fleet.processes[seat].signal(signal.SIGTERM)
@@ -284,11 +286,11 @@
     result = evaluate(fleet, 34)
     checks = {
         "every entry exits with 0": codes == [0] * len(codes),
-        "no connection is cut": result.metrics["cut"] == 0,
-        "no run is cut off": result.metrics["cut_off"] == 0,
+        "no connection is closed early": result.metrics["cut"] == 0,
+        "no run at an upstream is aborted": result.metrics["cut_off"] == 0,
         "no request ends unknown or failed": not {"unknown", "failed"} & _observed_outcomes(result),
-        "no look-up names an entry for longer than it takes work": max(named_late) <= 0,
-        "the load lasted to the end": not load_ended,
+        "no look-up names an entry that refuses requests": max(named_late) <= 0,
+        "the load ran until the last restart": not load_ended,
     }
     return add_checks(result, checks, exits=codes, stop_s=seconds, named_late_s=named_late)
 
@@ -329,7 +331,7 @@
         seconds = time.monotonic() - start
     growth = round(max(peak_during - before, resident_mb(pid, "VmHWM") - peak), 1)
     checks = {
-        "the answer is complete and shows every byte": future.result(),
+        "the answer confirms every byte": future.result(),
         "the upload waited for the upstream": not stopped_early,
         f"memory grows by less than {UPLOAD_GROWTH_MB:g} MB": growth < UPLOAD_GROWTH_MB,
     }
@@ -400,7 +402,7 @@
         with deployment(trial, document) as fleet:
             return trial.run(fleet)
     except Exception as exc:
-        return TrialResult({}, [f"not carried to its end: {type(exc).__name__}: {exc}"])
+        return TrialResult({}, [f"not completed: {type(exc).__name__}: {exc}"])
     finally:
         signal.alarm(0)
 
@@ -413,9 +415,9 @@
 
 
 def on_signal(number: int, _: object) -> t.NoReturn:
-    """Raise an exception, so that context managers end all processes."""
+    """Raise an exception, so that context managers terminate all processes."""
     if number == signal.SIGALRM:
-        raise TimeoutError(f"not within {TRIAL_TIMEOUT_S} s")
+        raise TimeoutError(f"trial not finished within {TRIAL_TIMEOUT_S} s")
     raise SystemExit(128 + number)
 
 
@@ -429,7 +431,7 @@
     try:
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except BlockingIOError:
-        print("trials are running already; their addresses are taken", file=sys.stderr)
+        print("other trials are running and use the same addresses", file=sys.stderr)
         return 3
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGALRM):
         signal.signal(number, on_signal)
--- a/scripts/trials_kit.py
+++ b/scripts/trials_kit.py
@@ -183,7 +183,7 @@
 
 
 def kill(fleet: Fleet, seats: Iterable[str]) -> None:
-    """Kill the given entries at once."""
+    """Kill the given entries all at the same time, and wait until they have ended."""
     procs = [fleet.processes[seat] for seat in seats]
     for proc in procs:
         proc.signal(signal.SIGKILL)
@@ -236,7 +236,7 @@
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._poll)
         self.polls = 0
-        self.went_back: list[str] = []
+        self.decreases: list[str] = []
 
     def __enter__(self) -> "RevisionPoller":
         self._thread.start()
@@ -255,7 +255,7 @@
                     continue
                 self.polls += 1
                 if page["revision"] < highest.get(seat, 0):
-                    self.went_back.append(f"{seat} {highest[seat]} to {page['revision']}")
+                    self.decreases.append(f"{seat} {highest[seat]} to {page['revision']}")
                 highest[seat] = page["revision"]
 
 
@@ -304,8 +304,9 @@
 
     Parameters
     ----------
-    again
-        Second of the load from which on the given fraction of requests must be complete.
+    recovery
+        The second of the load from which the service must have recovered, and the minimum fraction
+        of requests that must then be complete.
     """
     report = fleet.load_report("load", seconds + 20)
     upstream_counts = summarize_counts(fleet.upstream_counts())
@@ -365,6 +366,6 @@
 
 
 def add_checks(result: TrialResult, checks: dict[str, bool], **metrics: t.Any) -> TrialResult:
-    """Return the result with further metrics and the violations among `checks`."""
-    violations = [f"not so: {name}" for name, held in checks.items() if not held]
+    """Return the result with further metrics, and a violation for each of `checks` that failed."""
+    violations = [f"check failed: {name}" for name, passed in checks.items() if not passed]
     return TrialResult({**metrics, **result.metrics}, result.violations + violations)
