--- a/packages/operators/src/cardamomloft/operators/acceptance.py
+++ b/packages/operators/src/cardamomloft/operators/acceptance.py
@@ -185,7 +185,7 @@
         revision = report.status["revision"]
         if seat not in lacking:
             return SeatVerdict(seat, Verdict.IN_FORCE, revision, f"has revision {revision}")
-        replaced = ", but was started meanwhile" if revision >= number else ""
+        replaced = ", but was restarted between polls" if revision >= number else ""
         return SeatVerdict(seat, Verdict.LACKING, revision, f"has revision {revision}{replaced}")
     if seat in gone:
         return SeatVerdict(seat, Verdict.OUT, None, "VM gone")
--- a/packages/operators/src/cardamomloft/operators/waiting.py
+++ b/packages/operators/src/cardamomloft/operators/waiting.py
@@ -71,7 +71,7 @@
     """Poll the entries until revision `number` is accepted, or `wait` has elapsed.
 
     The first round polls each entry until it reports the revision. The second round polls all
-    entries once more, since one may have been replaced meanwhile by a process with an older
+    entries once more, since one may have been replaced since then by a process with an older
     revision. The second round is also run if `wait` has elapsed by then.
     """
     deadline = session.clock.monotonic() + wait
--- a/packages/operators/tests/test_operator_decisions.py
+++ b/packages/operators/tests/test_operator_decisions.py
@@ -228,8 +228,8 @@
         found = conflicts.filter_undoing(
             conflicts.overlaps([first, second], difference(both, mine))
         )
-        lost = [n for n, name in ((7, "a"), (8, "b")) if name not in mine.get("drains", {})]
-        assert [overlap.number for overlap in found] == lost
+        undone = [n for n, name in ((7, "a"), (8, "b")) if name not in mine.get("drains", {})]
+        assert [overlap.number for overlap in found] == undone
 
 
 def test_removing_part_of_an_added_table_does_not_undo_it():
--- a/packages/operators/tests/test_operator_waiting.py
+++ b/packages/operators/tests/test_operator_waiting.py
@@ -56,7 +56,7 @@
     started.on_asked[("e3", 3)] = lambda: started.lives.update(e3=2)
     ended, payload = as_json(ctl, f"apply longer.json --why w --change a2 --wait {wait}")
     assert ended is code
-    lacking = [] if code is ExitCode.OK else ["has revision 2, but was started meanwhile"]
+    lacking = [] if code is ExitCode.OK else ["has revision 2, but was restarted between polls"]
     assert [row["detail"] for row in payload["lacking"]] == lacking
 
 
--- a/scripts/bench_once.py
+++ b/scripts/bench_once.py
@@ -20,7 +20,7 @@
 
 
 class Faults(t.NamedTuple):
-    """Injected faults: killed entries, orders in flight at them, and answers cut short."""
+    """Injected faults: killed entries, orders in flight at them, and truncated answers."""
 
     kills: int
     in_flight: int
--- a/scripts/bench_overload.py
+++ b/scripts/bench_overload.py
@@ -79,12 +79,12 @@
 
 def _priority_loss(result: LoadResult) -> int:
     """Return the number of orders refused in seconds in which lower priorities were served."""
-    lost = 0
+    refused_orders = 0
     for second in result.window:
         one = result._replace(window=range(second, second + 1))
         if one.count("by_second", "normal") or one.count("by_second", "bulk"):
-            lost += one.count("outcomes_by_second", "orders:refused")
-    return lost
+            refused_orders += one.count("outcomes_by_second", "orders:refused")
+    return refused_orders
 
 
 def _overload_measurements(
@@ -133,7 +133,7 @@
 
 
 class _SkewResult(t.NamedTuple):
-    """Result of a load on one entry, and the messages that all entries sent to peers meanwhile."""
+    """Result of a load on one entry, and the messages that all entries sent to peers during it."""
 
     result: LoadResult
     messages: float
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,4 +1,4 @@
-"""Run whole deployments as separate processes on loopback, for the demo, trials and benchmarks.
+"""Run complete deployments as separate processes on loopback, for the demo, trials and benchmarks.
 
 All processes are direct children of the script and are ended by their process id. The context
 manager `running` ends them when its block exits.
@@ -101,7 +101,7 @@
     start = time.monotonic()
     while not condition():
         if time.monotonic() - start > timeout:
-            raise TimeoutError(f"{what}: not within {timeout} s")
+            raise TimeoutError(f"{what}: not reached within {timeout} s")
         time.sleep(_PAUSE_S)
     return time.monotonic() - start
 
@@ -381,7 +381,7 @@
 
 
 def percentile(values: list[float], percent: float) -> float:
-    """Return the nearest-rank percentile of `values`, which need no order; 0 if there are none."""
+    """Return the nearest-rank percentile of `values` in any order; 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
--- a/scripts/slopes_page.py
+++ b/scripts/slopes_page.py
@@ -60,7 +60,7 @@
         begin, end = (_MARK.format(edge=edge, part=name) for edge in ("begin", "end"))
         pattern = re.compile(f"{re.escape(begin)}.*?{re.escape(end)}", re.DOTALL)
         if not pattern.search(page):
-            raise ValueError(f"the page has no marks for {name}")
+            raise ValueError(f"the page has no markers for {name}")
         page = pattern.sub(lambda _, text=text, b=begin, e=end: f"{b}\n{text}\n{e}", page)
     return page
 
--- a/scripts/trials.py
+++ b/scripts/trials.py
@@ -93,7 +93,7 @@
 
 
 def run_store_down(fleet: Fleet) -> TrialResult:
-    """Make the store hang, then refuse; restart an entry and apply changes meanwhile."""
+    """Make the store hang, then refuse; restart an entry and apply changes during it."""
     start_load(fleet, 40)
     time.sleep(2.0)
     codes, ready_s = [], 0.0
@@ -218,7 +218,7 @@
 
 
 def run_zone_gone(fleet: Fleet) -> TrialResult:
-    """Fail all entries and upstreams of a zone at once; update the VM list 3 s later."""
+    """Fail all entries and upstreams of a zone together; update the VM list 3 s later."""
     start_load(fleet, 22)
     time.sleep(4.0)
     seats = entries_of(fleet, "east-a")
