--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -210,7 +210,7 @@
         """Withdraw from look-ups; keep serving callers that have a cached look-up."""
         log("leaving")
         self.gossip.announce()
-        self.app.closing()
+        self.app.start_closing()
         hard_stop_ms = self._cfg.get("hard_stop_ms")
         if hard_stop_ms is not None:
             self._reactor.callLater(hard_stop_ms / 1000, force_stop, self)
