--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -214,7 +214,7 @@
         hard_stop_ms = self._cfg.get("hard_stop_ms")
         if hard_stop_ms is not None:
             self._reactor.callLater(hard_stop_ms / 1000, force_stop, self)
-        self._reactor.callLater(LEAVING_TIME.total_seconds(), self.lifecycle.lingered)
+        self._reactor.callLater(LEAVING_TIME.total_seconds(), self.lifecycle.lookups_expired)
 
     def on_closing(self) -> None:
         """Refuse new requests, finish those in flight and hand over the shares."""
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -262,7 +262,7 @@
         self.presence.withdraw()
         self.app.start_closing()
         stop_time = self._bounds.stop_time.total_seconds()
-        self._reactor.callLater(stop_time * LINGER_FRACTION, self.lifecycle.lingered)
+        self._reactor.callLater(stop_time * LINGER_FRACTION, self.lifecycle.lookups_expired)
         self._hard_stop = self._reactor.callLater(
             stop_time * HARD_STOP_FRACTION, self.lifecycle.drained
         )
