--- a/standins/src/cardamomloft_standins/__init__.py
+++ b/standins/src/cardamomloft_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for outside systems, used by tests, demo and benchmarks only."""
+"""Stand-ins for external systems, for tests, the demo and benchmarks only."""
--- a/standins/src/cardamomloft_standins/answers.py
+++ b/standins/src/cardamomloft_standins/answers.py
@@ -1,4 +1,4 @@
-"""How upstream stand-ins send their answers: whole, streamed, cut short or twice."""
+"""Answers of upstream stand-ins: complete, streamed, truncated or duplicated."""
 
 import json
 import typing as t
@@ -14,7 +14,7 @@
 
 
 def pattern(offset: int, size: int) -> bytes:
-    """Return `size` bytes (at most a chunk) of a streamed answer, from `offset` on."""
+    """Return the `size` bytes (at most `CHUNK_BYTES`) at `offset` of a streamed answer."""
     start = offset % len(_CYCLE)
     return _PATTERN[start : start + size]
 
@@ -22,7 +22,7 @@
 def send(
     request: http.Request, status: int, content: object, headers: Mapping[str, str] | None = None
 ) -> None:
-    """Answer `request` with JSON."""
+    """Answer `request` with `content` as JSON."""
     body = json.dumps(content).encode()
     request.setResponseCode(status)
     _set_headers(request, len(body))
@@ -33,13 +33,13 @@
 
 
 def send_echo(request: t.Any, endpoint: str, *, cut: bool, again: bool) -> None:
-    """Answer with what was received.
+    """Answer with a JSON description of the received request.
 
     Parameters
     ----------
-    cut
+    truncate
         Send half of the announced bytes, then close the connection.
-    again
+    duplicate
         Send the whole answer a second time on the same connection.
     """
     body = json.dumps(
@@ -66,14 +66,14 @@
 
 @implementer(IPullProducer)
 class AnswerStream:
-    """Streams `size` bytes of :func:`pattern` as fast as the caller takes them.
+    """Streams `size` bytes of :func:`pattern` as fast as the caller reads them.
 
     Parameters
     ----------
-    cut
+    truncate
         Stop after half of the announced bytes and close the connection.
-    done
-        Called before the last bytes leave.
+    on_last_chunk
+        Called before the last chunk is written.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self._sent = 0
 
     def start(self) -> None:
-        """Send the head, then the body."""
+        """Set the headers and begin to stream the body."""
         _set_headers(self._request, self._size, "application/octet-stream")
         self._request.registerProducer(self, False)
 
@@ -103,7 +103,7 @@
             self._finish()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: the endpoint learns of a lost connection by itself."""
+        """Do nothing: the request's `connectionLost` notifies the endpoint."""
 
     def _finish(self) -> None:
         self._request.unregisterProducer()
--- a/standins/src/cardamomloft_standins/assembled.py
+++ b/standins/src/cardamomloft_standins/assembled.py
@@ -1,4 +1,4 @@
-"""A whole gateway on fakes: its settings, and a run of it on one clock."""
+"""A complete gateway with a fake store and fake upstreams, on a manual clock."""
 
 from cardamomloft.callers.body import RequestBody
 from cardamomloft.callers.exchange import RequestHead
@@ -31,7 +31,15 @@
 
 
 class Run:
-    """A gateway with a control store and endpoints that the test sets, on one clock."""
+    """A gateway whose control store and upstream answers are set by the test.
+
+    Parameters
+    ----------
+    control
+        The control store; by default one that lists a single registration.
+    start
+        Whether to start the gateway at once.
+    """
 
     def __init__(self, control=None, start=True) -> None:
         self.control = control or kit.FakeControl(Ok(kit.listing(kit.registration(1))))
@@ -51,18 +59,18 @@
             self.start()
 
     def start(self) -> None:
-        """Start it, and let it read the store."""
+        """Start the gateway and advance the clock until it has read the store."""
         self.gateway.start()
         self.time.advance(20 * MS)
 
     def change(self, *facts, index=11) -> None:
-        """Let the store tell of `facts`, up to the revision `index`."""
+        """Deliver `facts` from the store as changes up to revision `index`."""
         self.control.next = Ok(Changes(tuple(facts), kit.at(index)))
         self.time.advance(1200 * MS)
         self.control.next = kit.no_changes(index)
 
     def ask(self, path="/menus/7", host="a.example"):
-        """Ask for `path`, and return the answer if there is one at once."""
+        """Send a GET request; return the answer, or None if it is still pending."""
         pairs = (("host", host), ("x-request-id", "id-1"), ("x-object", "17"))
         head = RequestHead("GET", path, "", pairs, "10.0.0.9", 0, False)
         results = []
@@ -70,5 +78,5 @@
         return results[0] if results else None
 
     def lookup(self, zone="a", region="east"):
-        """Ask which gateways a client there should use."""
+        """Look up the gateways for a client in `zone` and `region`."""
         return self.gateway.lookup("a.example", zone, region)
--- a/standins/src/cardamomloft_standins/books.py
+++ b/standins/src/cardamomloft_standins/books.py
@@ -1,4 +1,4 @@
-"""What an upstream endpoint has truly run: the figures that tests compare with the promises."""
+"""Counters of the requests that an upstream stand-in has run, for tests to check against."""
 
 import typing as t
 from collections import Counter, deque
@@ -10,16 +10,16 @@
 
 
 class Books:
-    """Counts runs, slots in use and cut requests of one endpoint.
+    """Counts executions, slots in use and aborted requests of one endpoint.
 
     Parameters
     ----------
     name
         The endpoint's name.
     slots
-        How many requests it declares to bear at once.
+        The number of concurrent requests that the endpoint declares.
     clock
-        Measures time since the start.
+        Measures the time since the start.
     """
 
     def __init__(self, name: str, slots: int, clock: IReactorTime) -> None:
@@ -39,7 +39,7 @@
         self.counts: Counter[str] = Counter()
 
     def start(self, key: str | None) -> None:
-        """Record that work has begun for the operation `key`."""
+        """Record the start of a request with the idempotency key `key`."""
         self.started += 1
         self.running += 1
         self.most_running = max(self.most_running, self.running)
@@ -50,24 +50,24 @@
             self._runs[key] += 1
 
     def end(self) -> None:
-        """Record that a slot is free again."""
+        """Record that a request has released its slot."""
         self.running -= 1
         self._history.append((self._clock.seconds(), self.running))
 
     def cut(self, request_id: str | None) -> None:
-        """Record that the caller's connection was lost while the request ran."""
+        """Record that the caller disconnected while its request was running."""
         if request_id is None:
             self._cut_nameless += 1
         else:
             self._cut_ids.add(request_id)
 
     def cancelled(self, request_id: str) -> None:
-        """Record a cancellation; one that comes after its lost connection excuses the cut."""
+        """Record a cancellation; the request no longer counts as aborted by a disconnect."""
         self.counts["cancelled"] += 1
         self._cut_ids.discard(request_id)
 
     def running_at(self, age_s: float) -> int:
-        """Return how many requests ran `age_s` seconds ago."""
+        """Return how many requests were running `age_s` seconds ago."""
         shown = self._clock.seconds() - age_s
         older = (running for at, running in reversed(self._history) if at <= shown)
         return next(older, self._history[0][1])
@@ -77,7 +77,7 @@
         return self._clock.seconds() - self._started
 
     def figures(self) -> dict[str, t.Any]:
-        """Return all figures as they appear at ``/-/books``."""
+        """Return the document that ``/-/books`` serves."""
         last = self._last_start
         return {
             "endpoint": self._name,
--- a/standins/src/cardamomloft_standins/carrying.py
+++ b/standins/src/cardamomloft_standins/carrying.py
@@ -1,4 +1,4 @@
-"""One request's way through a gateway's forwarding, between fakes."""
+"""A gateway's forwarder with a fake upstream client, on a manual clock."""
 
 from cardamomloft.callers.body import RequestBody
 from cardamomloft.callers.exchange import RequestHead
@@ -27,16 +27,16 @@
 
 
 class Bench:
-    """A forwarder between fakes.
+    """A forwarder whose upstream answers are set by the test.
 
     Parameters
     ----------
     outcomes
-        What the endpoints' answers are, in turn; the last one for ever.
+        Outcomes of the sends in order; the last one is repeated.
     slack
-        Of the budget of repeats.
+        Slack of the retry budget.
     endpoints
-        How many there are.
+        Number of registered endpoints.
     """
 
     def __init__(self, *outcomes, slack=1000.0, endpoints=4) -> None:
@@ -62,7 +62,7 @@
         )
 
     def start(self, path="/menus/7", body=b"", whole=True, caller="app/1", address="10.0.0.9"):
-        """Begin to carry a request, and return its answer to come."""
+        """Forward a request; return a Deferred of its answer."""
         pairs = (
             ("host", "a.example"),
             ("x-request-id", "id-1"),
@@ -82,7 +82,7 @@
         return ensureDeferred(self.forwarder.forward(call, head, carried, self.gone))
 
     def answer(self, *args, **kwargs):
-        """Carry a request that is answered at once."""
+        """Forward a request and return its answer, which must be available at once."""
         done = self.start(*args, **kwargs)
         result = []
         done.addBoth(result.append)
@@ -90,12 +90,12 @@
         return result[0]
 
     def pause_body(self):
-        """Do nothing: bodies are there at once."""
+        """Do nothing: bodies are in memory."""
 
     def resume_body(self):
-        """Do nothing: bodies are there at once."""
+        """Do nothing: bodies are in memory."""
 
 
 def header(answer, name):
-    """Return the value of an answer's header, or None."""
+    """Return the value of the answer's header `name` (lower case), or None."""
     return next((value for key, value in answer.headers if key.lower() == name), None)
--- a/standins/src/cardamomloft_standins/control.py
+++ b/standins/src/cardamomloft_standins/control.py
@@ -1,6 +1,7 @@
-"""One address that controls all upstream endpoints of a process, even those that refuse.
+"""Control server for all upstream endpoints of a process.
 
-``/<endpoint>/-/...`` is the same as ``/-/...`` on that endpoint's own address.
+``/<endpoint>/-/...`` is handled like ``/-/...`` on that endpoint's own address, and also works
+while the endpoint refuses connections.
 """
 
 import typing as t
@@ -15,7 +16,7 @@
 
 
 class ControlRequest(UpstreamRequest):
-    """A request for one of several endpoints."""
+    """A control request, whose path names the endpoint."""
 
     def __init__(
         self, endpoints: dict[str, Upstream], first: Upstream, *args: t.Any, **kwargs: t.Any
@@ -24,7 +25,7 @@
         self._endpoints = endpoints
 
     def process(self) -> None:
-        """Find the endpoint by the first part of the path."""
+        """Dispatch to the endpoint that the first path segment names."""
         name, _, path = self.path.decode("latin-1").removeprefix("/").partition("/-/")
         upstream = self._endpoints.get(name)
         if upstream is None:
@@ -33,23 +34,23 @@
             upstream.administer(self, self.method.decode(), path)
 
     def connectionLost(self, reason: t.Any) -> None:  # noqa: N802
-        """Do nothing but end the request: no endpoint works for it."""
+        """End the request; it holds no slot of an endpoint."""
         http.Request.connectionLost(self, reason)
 
 
 class ControlFactory(http.HTTPFactory):
-    """Builds the control side's channels."""
+    """Builds the channels of the control server."""
 
     def __init__(self, endpoints: Sequence[Upstream], reactor: t.Any) -> None:
         super().__init__(reactor=reactor)
         self._endpoints = {upstream.name: upstream for upstream in endpoints}
 
     def buildProtocol(self, addr: IPv4Address) -> t.Any:  # noqa: N802
-        """Return a channel whose requests know all endpoints."""
+        """Return a channel whose requests can address every endpoint."""
         channel = super().buildProtocol(addr)
         first = next(iter(self._endpoints.values()))
         channel.requestFactory = partial(ControlRequest, self._endpoints, first)
         return channel
 
     def log(self, request: t.Any) -> None:
-        """Keep no access log."""
+        """Write no access log."""
--- a/standins/src/cardamomloft_standins/endpoints.py
+++ b/standins/src/cardamomloft_standins/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of one service for tests with real gateways: threads of the test's own process."""
+"""Threaded HTTP endpoints inside the test process, for tests with real gateway processes."""
 
 import contextlib
 import http.client
@@ -14,16 +14,16 @@
 from cardamomloft.gateway.calls import CallerHeaders
 
 HOST = "kiosks.example"
-"""The host of the rules in `examples/gateway-routes.json`."""
+"""The host that the rules in `examples/gateway-routes.json` match."""
 
 OWN_NAMES = CallerHeaders("X-Request-Id", "X-Deadline-Ms", "X-Placement-Key")
-"""How callers name things where no platform has names of its own."""
+"""Header names of callers without a platform adapter."""
 
 BACK_S = 1.0
-"""How long an endpoint that has crashed is away, in seconds."""
+"""Time from a crash until the endpoint listens again, in seconds."""
 
 POLL_S = 0.01
-"""How often an endpoint looks whether it is to end, in seconds."""
+"""Interval at which a server thread checks for shutdown, in seconds."""
 
 _numbers = itertools.count(1)
 
@@ -38,12 +38,12 @@
 
 
 class Endpoint:
-    """One endpoint that notes what reaches it; `behaviour` answers, or does not.
+    """One endpoint that records its requests; `behaviour` handles each of them.
 
     Attributes
     ----------
     headers
-        What each answer says besides.
+        Additional headers of every answer.
     """
 
     def __init__(self, name: str, arrivals: list[Arrival], behaviour: Behaviour) -> None:
@@ -62,12 +62,12 @@
         return f"{host}:{port}"
 
     def crash(self) -> None:
-        """End as when the process ends, and be back on the same address soon."""
+        """Close all connections like a crashed process; restart on the same address later."""
         self._end()
         threading.Timer(BACK_S, self._open, (self.server.server_address[1],)).start()
 
     def close(self) -> None:
-        """End for good."""
+        """Stop the endpoint without a restart."""
         self._closed = True
         self._end()
 
@@ -91,33 +91,33 @@
     endpoint: Endpoint
 
     def handle_error(self, request: t.Any, client_address: t.Any) -> None:
-        """Print nothing: connections end in any way here."""
+        """Ignore errors: tests end connections in many ways."""
 
 
 class _Handler(http.server.BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def setup(self) -> None:
-        """Note the connection, so that it ends with the endpoint."""
+        """Record the connection, so that the endpoint can close it."""
         super().setup()
         self.server.endpoint.connections.add(self.connection)
 
     def finish(self) -> None:
-        """Forget the connection."""
+        """Remove the connection from the record."""
         self.server.endpoint.connections.discard(self.connection)
         super().finish()
 
     def do_GET(self) -> None:  # noqa: N802
-        """Note the request and let the endpoint's behaviour answer it."""
+        """Record the request and pass it to the endpoint's behaviour."""
         endpoint = self.server.endpoint
         endpoint.arrivals.append(Arrival(endpoint.name, self.path))
         endpoint.behaviour(endpoint, self)
 
     def log_message(self, *args: t.Any) -> None:
-        """Keep no log."""
+        """Write no access log."""
 
     def answer(self, status: int = 200, **headers: str) -> None:
-        """Answer with the name of the endpoint."""
+        """Send the endpoint's name as the body of an answer."""
         body = self.server.endpoint.name.encode()
         self.send_response(status)
         own = {"Content-Length": str(len(body))}
@@ -128,12 +128,12 @@
 
 
 def serve(endpoint: Endpoint, handler: _Handler) -> None:
-    """Answer well."""
+    """Answer with status 200."""
     handler.answer()
 
 
 def refuse(retry_after: str) -> Behaviour:
-    """Return the behaviour of an endpoint that runs nothing, and wants nothing for some seconds."""
+    """Return a behaviour that answers 503 without running the request, with ``Retry-After``."""
 
     def behave(endpoint: Endpoint, handler: _Handler) -> None:
         handler.answer(503, **{"X-Not-Run": "1", "Retry-After": retry_after})
@@ -142,7 +142,7 @@
 
 
 def crash_on(path: str) -> Behaviour:
-    """Return the behaviour of an endpoint that ends without an answer at one path."""
+    """Return a behaviour that crashes the endpoint on `path` and answers all other requests."""
 
     def behave(endpoint: Endpoint, handler: _Handler) -> None:
         if handler.path == path:
@@ -157,7 +157,7 @@
 def service(
     store: str, count: int, behaviour: Behaviour = serve
 ) -> Iterator[tuple[list[Endpoint], list[Arrival]]]:
-    """Own `count` endpoints of the service ``menus`` that are registered in a store."""
+    """Run `count` endpoints of the service ``menus``, registered in the store at `store`."""
     arrivals: list[Arrival] = []
     endpoints = [Endpoint(f"i-{next(_numbers)}", arrivals, behaviour) for _ in range(count)]
     for endpoint in endpoints:
@@ -170,20 +170,20 @@
 
 
 def register(store: str, endpoint: Endpoint) -> None:
-    """Write an endpoint's registration."""
+    """Write the registration of `endpoint` to the store at `store`."""
     row = {"service": "menus", "address": endpoint.address, "zone": "a", "slots": 4}
     put(f"http://{store}/v1/kv/gateway/upstreams/{endpoint.name}", row)
 
 
 def put(url: str, content: object) -> None:
-    """Write JSON to an address."""
+    """Send `content` as JSON in a PUT request."""
     req = urllib.request.Request(url, json.dumps(content).encode(), method="PUT")
     with urllib.request.urlopen(req, timeout=5) as answer:
         answer.read()
 
 
 class Reply(t.NamedTuple):
-    """What a caller got."""
+    """The answer that a caller received."""
 
     status: int
     headers: dict[str, str]
@@ -191,7 +191,7 @@
 
 
 def ask(gateway: str, path: str, key: str = "17", names: CallerHeaders = OWN_NAMES) -> Reply:
-    """Send one request to a gateway, on a connection of its own."""
+    """Send one GET request to a gateway on a new connection."""
     conn = http.client.HTTPConnection(gateway, timeout=5)
     said = {names.request_id: f"r{next(_numbers)}", names.key: key, names.deadline_ms: "2000"}
     with contextlib.closing(conn):
--- a/standins/src/cardamomloft_standins/experiment/__init__.py
+++ b/standins/src/cardamomloft_standins/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""A model of callers, gateways and endpoints on a simulated clock, for trying placement."""
+"""Simulation of callers, gateways and endpoints, for comparing placement policies."""
--- a/standins/src/cardamomloft_standins/experiment/callers.py
+++ b/standins/src/cardamomloft_standins/experiment/callers.py
@@ -1,4 +1,4 @@
-"""Modelled callers: they ask at random instants, and repeat a refused request once."""
+"""Simulated callers with random arrivals, which retry a refused request once."""
 
 import math
 import random
@@ -13,24 +13,24 @@
     from cardamomloft_standins.experiment.world import World
 
 LATE_PART = 0.2
-"""Credit of an answer that comes after its target: callers still use it."""
+"""Credit of an answer after the target but within the timeout."""
 
 
 class Outcome(t.NamedTuple):
-    """What a caller got.
+    """The result of a caller's request.
 
     Attributes
     ----------
     at
-        When it first asked, in seconds.
+        Time of the first attempt, in seconds.
     credit
-        1 for an answer within the target, `LATE_PART` for a later one, else 0.
+        1 for an answer within the target, `LATE_CREDIT` for a later one, else 0.
     state
         ``served``, ``late``, ``refused`` or ``failed``.
     took
-        Time until its last answer, in seconds.
+        Time until the last answer, in seconds.
     warm
-        Whether the object was at hand where it ran.
+        Whether the key was cached at the endpoint that ran the request.
     """
 
     at: float
@@ -49,12 +49,12 @@
         self._area = world.scenario.zones[zone] if world.scenario.regional else zone
         self._load = load
         self._rng = rng
-        # Apart from the arrivals, so that every policy gets the same ones.
+        # Separate from the arrivals, so that all policies get the same arrivals.
         self._ways = random.Random(rng.random())
         self._weights = [1 / (place + 1) ** load.skew for place in range(load.objects)]
 
     def start(self) -> None:
-        """Ask as often as the load says until the scenario ends."""
+        """Schedule arrivals according to the load until the scenario ends."""
         self._world.reactor.callLater(self._pause(), self._arrive, 0)
 
     def _pause(self) -> float:
@@ -74,7 +74,7 @@
 
 
 class Ask:
-    """One caller with one request, which it repeats once if it is refused."""
+    """One request of a caller, sent again once if it is refused."""
 
     def __init__(
         self, world: "World", rng: random.Random, zone: str, request_id: str, key: str
--- a/standins/src/cardamomloft_standins/experiment/endpoints.py
+++ b/standins/src/cardamomloft_standins/experiment/endpoints.py
@@ -1,4 +1,4 @@
-"""A model of one endpoint: slots, a queue, objects at hand, a load report in each answer."""
+"""Simulated endpoint with slots, a queue, a cache and a load report in each answer."""
 
 import random
 import typing as t
@@ -12,9 +12,18 @@
 
 
 class Ended(t.NamedTuple):
-    """How a request ended at an endpoint; `load` is what the answer reports.
+    """The result of a request at an endpoint.
 
-    `faulty`: it ran, and the answer says that the endpoint failed.
+    Attributes
+    ----------
+    ran
+        Whether the request was run.
+    warm
+        Whether its key was cached.
+    load
+        The load report in the answer.
+    faulty
+        Whether the request ran and ended with a server error.
     """
 
     ran: bool
@@ -29,11 +38,11 @@
     Parameters
     ----------
     key
-        The object that it is about.
+        The affinity key.
     until
-        Instant in seconds at which nobody waits for it any more.
+        Deadline as simulated time, in seconds.
     on_end
-        Told how it ended, unless the endpoint is lost.
+        Called with the result, unless the endpoint crashes before.
     """
 
     def __init__(self, key: str, until: float, on_end: Callable[[Ended], None]) -> None:
@@ -44,27 +53,27 @@
 
 
 class ModelEndpoint:
-    """One endpoint.
+    """A simulated endpoint.
 
     Parameters
     ----------
     clock
-        The simulated time.
+        The simulated clock.
     registration
-        Its registration.
+        The endpoint's registration.
     traits
-        What endpoints of the service are like.
+        Properties of the service's endpoints.
     rng
-        Draws the times of work.
+        Draws service times and errors.
 
     Attributes
     ----------
-    lost
-        Whether it answers nothing.
+    crashed
+        Whether the endpoint is down; requests to a crashed endpoint get no answer.
     slowness
-        How many times as long its work takes.
+        Factor on the service time.
     errors
-        Part of its requests that end with an error.
+        Fraction of the requests that end with an error.
     """
 
     def __init__(
@@ -82,7 +91,7 @@
         self._kept: OrderedDict[str, None] = OrderedDict()
 
     def offer(self, job: Job) -> None:
-        """Run a request, let it wait, or refuse it."""
+        """Run, queue or refuse a request."""
         if self.lost:
             return
         if len(self._running) < self._traits.slots:
@@ -93,14 +102,14 @@
             job.on_end(Ended(False, False, self.load()))
 
     def lose(self) -> None:
-        """Lose all that it has, as in a crash; nothing of it is answered."""
+        """Crash: drop the cache and all requests without an answer."""
         self.lost = True
         self._running.clear()
         self._waiting.clear()
         self._kept.clear()
 
     def load(self) -> str:
-        """Return its load report: running, waiting, slots."""
+        """Return the load report: running, queued, slots."""
         return f"{len(self._running)},{len(self._waiting)},{self._traits.slots}"
 
     def _start(self, job: Job) -> None:
@@ -108,7 +117,7 @@
         warm = self._touch(job.key)
         work = self._traits.work.total_seconds() * (self._traits.warm_part if warm else 1)
         work *= self._rng.lognormvariate(0, self._traits.spread) * self.slowness
-        # It stops at the deadline, as endpoints do that get one with each request.
+        # Endpoints receive the deadline with each request and stop at it.
         work = min(work, max(0.0, job.until - self._clock.seconds()))
         self._clock.callLater(work, self._finish, job, warm)
 
--- a/standins/src/cardamomloft_standins/experiment/loop.py
+++ b/standins/src/cardamomloft_standins/experiment/loop.py
@@ -1,4 +1,4 @@
-"""A simulated loop for many calls: they are kept in a heap, not sorted anew with each."""
+"""Simulated clock that keeps its delayed calls in a heap."""
 
 import heapq
 import itertools
@@ -10,7 +10,10 @@
 
 
 class Loop(Clock):
-    """Time that moves from call to call; thousands of timers of requests wait at any time."""
+    """A Twisted clock for thousands of pending calls.
+
+    :class:`~twisted.internet.task.Clock` sorts all calls again whenever one is added.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -20,18 +23,18 @@
     def callLater(  # noqa: N802
         self, when: float, what: Callable[..., object], *args: t.Any, **kwargs: t.Any
     ) -> DelayedCall:
-        """Call `what` when that many seconds have passed; calls of one instant keep their order."""
+        """Schedule a call after `when` seconds; calls for the same instant keep their order."""
         at = self.seconds() + when
         call = DelayedCall(at, what, args, kwargs, lambda _: None, lambda _: None, self.seconds)
         heapq.heappush(self._heap, (at, next(self._numbers), call))
         return call
 
     def advance(self, amount: float) -> None:
-        """Let that many seconds pass, and make the calls that are due."""
+        """Advance the clock by `amount` seconds and run the calls that become due."""
         self.run_until(self.seconds() + amount)
 
     def run_until(self, end: float) -> None:
-        """Make all calls up to the instant `end`, each at its own."""
+        """Run all calls up to the instant `end`, each with the clock at its own time."""
         while self._heap and self._heap[0][0] <= end:
             at, _, call = heapq.heappop(self._heap)
             if call.active():
--- a/standins/src/cardamomloft_standins/experiment/policies.py
+++ b/standins/src/cardamomloft_standins/experiment/policies.py
@@ -1,4 +1,4 @@
-"""Placement by the product's own code, and plain policies to compare it with."""
+"""Placement policies: the product's selector, variants of it and simple baselines."""
 
 import typing as t
 from collections.abc import Callable, Collection
@@ -17,7 +17,7 @@
 
 
 class _Plain(Selector):
-    """Prefers endpoints in an order of its own, without regard to objects at hand."""
+    """Chooses the available endpoint with the lowest rank, regardless of caches."""
 
     def choose(
         self,
@@ -28,7 +28,7 @@
         until: timedelta,
         now: timedelta,
     ) -> Choice | Refusal:
-        """Return the first endpoint in order that rests no more and had the request not yet."""
+        """Return the lowest ranked endpoint that is not ejected and has not been tried."""
         usable = [
             up
             for up in self._book.of_service(service)
@@ -39,23 +39,23 @@
         return Choice(min(usable, key=lambda up: self.rank(up, key, now)), Reason.PRIMARY)
 
     def rank(self, upstream: Upstream, key: str, now: timedelta) -> t.Any:
-        """Return what the least of is chosen."""
+        """Return the sort key of an endpoint; the endpoint with the smallest one is chosen."""
         raise NotImplementedError
 
 
 class RandomChoice(_Plain):
-    """Any endpoint."""
+    """Chooses a random endpoint."""
 
     def rank(self, upstream: Upstream, key: str, now: timedelta) -> t.Any:
-        """Return a number that differs from request to request."""
+        """Return a pseudo-random number that changes with every request."""
         return hash((upstream.id, now))
 
 
 class Nearest(_Plain):
-    """The nearest endpoint with a free slot, else the least loaded one."""
+    """Chooses the nearest endpoint with a free slot, or else the least loaded one."""
 
     def rank(self, upstream: Upstream, key: str, now: timedelta) -> t.Any:
-        """Return whether it is full, how far it is, and its load."""
+        """Return whether the endpoint is full, its distance (if it has a free slot) and its load."""
         here = self._zone
         far = upstream.registration.zone != here
         farther = upstream.region != self._book.regions.get(here)
@@ -79,8 +79,12 @@
     "nearest": _made_by(Nearest, Preferences()),
     "random": _made_by(RandomChoice, Preferences()),
 }
-"""Selectors by name. All but ``product`` are only for comparison. With ``eager-second`` an object
-goes to its second endpoint as long as that has a free slot; with ``first-only`` it goes there only
-when the first is full, also if it is at hand there; with ``one-choice`` it has no second. With
-``shared-failures`` gateways tell each other of endpoints that fail.
+"""Selector factories by name. All but ``product`` are for comparison only.
+
+- ``eager-second``: a key spills to its secondary endpoint while that has a free slot.
+- ``first-only``: a key goes to its secondary endpoint only when the primary endpoint is full, even
+  if it is cached there.
+- ``one-choice``: a key has no secondary endpoint.
+- ``hash-unbounded``: the primary endpoint is used regardless of its load.
+- ``shared-failures``: gateways notify each other of failing endpoints.
 """
--- a/standins/src/cardamomloft_standins/experiment/report.py
+++ b/standins/src/cardamomloft_standins/experiment/report.py
@@ -1,4 +1,4 @@
-"""What callers got under each policy, as a table and as a plot."""
+"""Summary of callers' results under each policy, as a table and as a plot."""
 
 import statistics
 import typing as t
@@ -9,24 +9,24 @@
 from cardamomloft_standins.experiment.callers import Outcome
 
 WINDOW_S = 2
-"""Length of the windows whose worst is reported, in seconds."""
+"""Length of the time windows over which credit is averaged, in seconds."""
 
 
 class Summary(t.NamedTuple):
-    """Figures of one play.
+    """Statistics of one simulation run.
 
     Attributes
     ----------
     requests
-        Callers' requests.
+        Number of requests.
     credit
         Mean credit of a request.
     worst
-        The least mean credit of a window of `WINDOW_S`.
+        Minimum over all windows of `WINDOW_S` of the mean credit.
     served, late, refused, failed
-        Parts of the requests.
+        Fractions of the requests.
     warm
-        Part of the answered requests whose object was at hand.
+        Fraction of the answered requests whose key was cached.
     p50_ms, p99_ms
         Percentiles of the time to an answer.
     """
@@ -44,7 +44,7 @@
 
 
 def summarize(outcomes: Sequence[Outcome]) -> Summary:
-    """Return the figures of a play, which must have had requests."""
+    """Return the statistics of a run with at least one request."""
     states = Counter(outcome.state for outcome in outcomes)
     answered = [outcome for outcome in outcomes if outcome.credit]
     times = sorted(outcome.took * 1000 for outcome in answered) or [0.0]
@@ -61,14 +61,14 @@
 
 
 class Spread(t.NamedTuple):
-    """Figures of several plays with different seeds.
+    """Statistics of several runs with different seeds.
 
     Attributes
     ----------
     median
-        Each figure's median.
-    least, most
-        The least and the greatest credit of a play.
+        The median of each statistic.
+    min_credit, max_credit
+        Range of the runs' mean credit.
     """
 
     median: Summary
@@ -77,14 +77,14 @@
 
 
 def spread(summaries: Sequence[Summary]) -> Spread:
-    """Return the medians of one or more plays, and between what their credit lies."""
+    """Return the medians and the credit range of one or more runs."""
     medians = (statistics.median_low(column) for column in zip(*summaries, strict=True))
     credits = [summary.credit for summary in summaries]
     return Spread(Summary(*medians), min(credits), max(credits))
 
 
 def by_window(outcomes: Sequence[Outcome]) -> dict[float, float]:
-    """Return the mean credit of the requests of each window, by its begin in seconds."""
+    """Return the mean credit of the requests in each window, by its start in seconds."""
     credits: dict[float, list[float]] = {}
     for outcome in outcomes:
         credits.setdefault(outcome.at // WINDOW_S * WINDOW_S, []).append(outcome.credit)
@@ -92,7 +92,7 @@
 
 
 def table(spreads: Mapping[str, Spread]) -> str:
-    """Return one line for each policy: medians, and the least and greatest credit."""
+    """Return a text table with a row per policy: the medians and the credit range."""
     heads = ["policy", *Summary._fields, "least", "most"]
     rows = [
         [name, *map(_text, found.median), _text(found.least), _text(found.most)]
@@ -113,7 +113,7 @@
 
 
 def plot(plays: Mapping[str, Sequence[Outcome]], title: str, path: Path) -> None:
-    """Draw the credit of each window under each policy to a file."""
+    """Plot the credit over time under each policy to the file `path`."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/standins/src/cardamomloft_standins/experiment/scenarios.py
+++ b/standins/src/cardamomloft_standins/experiment/scenarios.py
@@ -1,4 +1,4 @@
-"""What an experiment plays: places, endpoints, load and what goes wrong."""
+"""Scenarios of the simulation: zones, endpoints, load and faults."""
 
 import typing as t
 from collections.abc import Mapping
@@ -6,20 +6,20 @@
 
 
 class Traits(t.NamedTuple):
-    """What the endpoints of the modelled service are like.
+    """Properties of the endpoints of the simulated service.
 
     Attributes
     ----------
     slots, queue
-        Requests that one runs at a time, and that wait besides; more are refused.
-    keeps
-        Objects that one has at hand; the one used longest ago makes room.
-    work
-        Time of a request whose object is not at hand.
-    warm_part
-        Part of it that is left when the object is at hand.
+        Concurrent requests and queue length; requests beyond both are refused.
+    cache_size
+        Number of keys in the LRU cache.
+    service_time
+        Median service time on a cache miss.
+    warm_fraction
+        Service time on a cache hit, as a fraction of `service_time`.
     spread
-        Standard deviation of the logarithm of the time of work.
+        Standard deviation of the logarithm of the service time.
     """
 
     slots: int
@@ -31,19 +31,20 @@
 
 
 class Load(t.NamedTuple):
-    """What the callers of one zone ask for.
+    """The load of the callers of one zone.
 
     Attributes
     ----------
     per_s
-        Requests a second.
-    objects
-        Different objects that they ask for; no other zone's callers ask for these.
+        Mean requests per second.
+    key_count
+        Number of distinct affinity keys; the zone (or the region, with `Scenario.regional`) does
+        not share them with others.
     skew
-        Exponent of Zipf's law by which some objects are asked for more often.
+        Zipf exponent of the key popularity.
     swing, phase
-        Part of `per_s` by which the load rises and falls in waves of `WAVE`, and where the wave
-        begins, in parts of it.
+        Amplitude of a sine wave of period `WAVE` on the load, as a fraction of `per_s`, and its
+        phase, as a fraction of the period.
     """
 
     per_s: float
@@ -54,7 +55,7 @@
 
 
 class Burst(t.NamedTuple):
-    """A time in which all callers ask `factor` times as often."""
+    """A period in which the load of all zones is multiplied by `factor`."""
 
     begin: timedelta
     end: timedelta
@@ -62,7 +63,7 @@
 
 
 class Crash(t.NamedTuple):
-    """A zone whose endpoints are lost, and come back with nothing at hand."""
+    """A crash of all endpoints of a zone, which restart with empty caches."""
 
     begin: timedelta
     end: timedelta
@@ -70,16 +71,16 @@
 
 
 class Ailment(t.NamedTuple):
-    """A time in which a part of the endpoints, drawn by the seed, are not well.
+    """A period in which randomly chosen endpoints are degraded.
 
     Attributes
     ----------
-    part
-        Part of all endpoints.
+    fraction
+        Fraction of all endpoints.
     slowness
-        How many times as long their work takes.
+        Factor on their service time.
     errors
-        Part of their requests that end with an error, after the usual time.
+        Fraction of their requests that end with an error, after the usual service time.
     """
 
     begin: timedelta
@@ -90,7 +91,7 @@
 
 
 class Drain(t.NamedTuple):
-    """A zone whose endpoints are to get nothing for a time; they keep what they have at hand."""
+    """A drain of a zone for some time; its endpoints keep their caches."""
 
     begin: timedelta
     end: timedelta
@@ -98,35 +99,34 @@
 
 
 class Scenario(t.NamedTuple):
-    """One experiment's world.
+    """The input of one simulation.
 
     Attributes
     ----------
     zones
         The region of each zone.
     endpoints
-        How many endpoints each zone has.
+        Number of endpoints in each zone.
     entries_per_zone
-        Gateways in each zone.
+        Number of gateways in each zone.
     traits
-        What the endpoints are like.
+        Properties of the endpoints.
     load
-        What the callers of each zone ask for.
+        The load of each zone's callers.
     target, timeout
-        The time within which an answer counts whole, and that after which it counts nothing.
+        An answer within `target` has full credit; one after `timeout` has none.
     idempotent
         Whether requests may run more than once.
     length
-        How long load is played.
-    bursts, crashes, drains, ailments
-        What happens meanwhile.
+        Duration of the load.
+    bursts, crashes, drains, degradations
+        Events during the run.
     cross_region
-        Time one way between regions.
+        One-way latency between regions.
     silence
-        After how long a send to a lost endpoint fails, as its connection does; None: at the end of
-        the request's time.
+        Time after which a send to a crashed endpoint fails; None: at the request's deadline.
     regional
-        Whether all callers of a region ask for the same objects, not only those of a zone.
+        Whether the callers of a region share their keys; otherwise those of a zone do.
     """
 
     zones: Mapping[str, str]
@@ -148,11 +148,11 @@
 
 
 WAVE = timedelta(seconds=36)
-"""Length of a wave of load, that of the played days."""
+"""Period of the load wave."""
 
 IN_ZONE = timedelta(microseconds=100)
 CROSS_ZONE = timedelta(microseconds=500)
-"""Times one way between machines, those of the first deployment."""
+"""One-way latencies between machines within a zone and between zones of a region."""
 
 _SECOND = timedelta(seconds=1)
 _ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
@@ -165,17 +165,18 @@
     Parameters
     ----------
     name
-        ``calm``; ``burst``: 1.7 times the load for 3 s; ``loss``: a zone's endpoints are lost for
-        4.5 s; ``hot``: few objects get most requests; ``roomy``: endpoints have room for twice
-        the objects; ``fleet``, ``fleet-drain`` and ``fleet-loss``: short targets, few slots, and
-        waves of load that reach the regions one after the other.
+        ``calm``: steady load; ``burst``: 1.7 times the load for 3 s; ``loss``: the endpoints of a
+        zone are down for 4.5 s; ``hot``: few keys get most requests; ``roomy``: caches of twice
+        the size; ``fleet``, ``fleet-drain`` and ``fleet-loss``: short targets, few slots and a load
+        wave that reaches one region after the other; ``crowd``, ``crowd-slow`` and
+        ``crowd-heavy``: many gateways and endpoints.
     use
-        Load in parts of what all slots can do when every object is at hand.
+        Load as a fraction of the capacity of all slots when every key is cached.
 
     Raises
     ------
     KeyError
-        If there is none of that name.
+        If there is no scenario of that name.
     """
     if name.startswith("fleet"):
         return _fleet(name, use)
@@ -184,7 +185,7 @@
     traits = Traits(4, 12, 36, timedelta(milliseconds=480), 0.25, 0.15)
     slots = sum(_ENDPOINTS.values()) * traits.slots
     capacity = slots / (traits.work.total_seconds() * traits.warm_part)
-    # As many objects as all endpoints have at hand when each is at one of them.
+    # Three quarters of the keys that all caches can hold, if each key is cached once.
     objects = sum(_ENDPOINTS.values()) * traits.keeps * 3 // 4 // len(_ZONES)
     load = Load(use * capacity / len(_ZONES), objects, 0.2)
     calm = Scenario(
@@ -210,7 +211,7 @@
 
 
 def _fleet(name: str, use: float) -> Scenario:
-    """Return a scenario like the look-ups of a fleet of technicians: few objects, all at hand."""
+    """Return a scenario with few keys, all of which fit into every cache."""
     traits = Traits(3, 6, 1000, timedelta(milliseconds=480), 0.3, 0.15)
     slots = sum(_FLEET_ENDPOINTS.values()) * traits.slots
     capacity = slots / (traits.work.total_seconds() * traits.warm_part)
@@ -242,9 +243,9 @@
 
 
 def _crowd(name: str, use: float) -> Scenario:
-    """Return a scenario of many gateways, each of which seldom sends to any one endpoint.
+    """Return a scenario with so many gateways that each rarely sends to a given endpoint.
 
-    A region has a tenth of the endpoints and a third of the demand.
+    Region ``a`` has a tenth of the endpoints and a third of the load.
     """
     traits = Traits(5, 15, 13, timedelta(milliseconds=1632), 0.25, 0.15)
     zones = {f"{region}{number}": region for region in _CROWD_ENDPOINTS for number in (1, 2, 3)}
--- a/standins/src/cardamomloft_standins/experiment/sharing.py
+++ b/standins/src/cardamomloft_standins/experiment/sharing.py
@@ -1,4 +1,4 @@
-"""Gateways that tell each other which endpoints fail, as a policy of the model."""
+"""Simulated policy in which gateways share their observations of failing endpoints."""
 
 import typing as t
 from collections.abc import Sequence
@@ -10,20 +10,18 @@
 from cardamomloft.core.upstreamtable import Upstream
 
 PASSING = timedelta(milliseconds=150)
-"""From a failure at one gateway until all others know of it: a relay on each side, and the links
-between regions. Callers get 0.896 of the credit with 50 ms, 0.895 with this and 0.891 with 500 ms
-(``crowd-heavy``, one play each)."""
+"""Latency of a report from one gateway to all others, through a relay on each side."""
 
 
 class SharingSelector(Selector):
-    """Rests endpoints by what all gateways have seen, where the product goes by its own failures.
+    """Ejects endpoints based on the observations of all gateways, not only its own.
 
-    Only failures are told, and answers of endpoints that are suspected.
+    Reports failures, and answers of suspected endpoints.
 
     Attributes
     ----------
-    told
-        How often it has told all others something.
+    report_count
+        Number of reports sent to all other gateways.
     """
 
     def __init__(self, *args: t.Any) -> None:
@@ -35,21 +33,21 @@
         self._suspicions = Suspicions(self._name)
 
     def connect(self, loop: t.Any, others: Sequence["SharingSelector"]) -> None:
-        """Tell `others` from now on."""
+        """Send all further reports to `others`."""
         self._loop, self._others = loop, others
 
     def record_failure(self, upstream: Upstream, now: timedelta) -> None:
-        """Note a failure here, and tell the others."""
+        """Record a failure and report it."""
         self._tell(upstream.id, now, failed=True)
 
     def record_answer(self, upstream: Upstream, took: timedelta, load: float) -> None:
-        """Note an answer here, and tell the others if the endpoint is suspected."""
+        """Record an answer, and report it if the endpoint is suspected."""
         super().record_answer(upstream, took, load)
         if self._suspicions.is_suspected(_life_of(upstream)):
             self._tell(upstream.id, timedelta(seconds=self._loop.seconds()), failed=False)
 
     def heard(self, upstream_id: str, entry: str, at: timedelta, failed: bool) -> None:
-        """Take what one of the gateways, or this one, has seen."""
+        """Apply a report of this or another gateway."""
         upstream = self._book.get(upstream_id)
         if upstream is None:
             return
@@ -70,7 +68,7 @@
 
 
 def connect(loop: t.Any, selectors: Sequence[Selector]) -> None:
-    """Let those that tell each other know of each other."""
+    """Connect all selectors that share their observations."""
     telling = [one for one in selectors if isinstance(one, SharingSelector)]
     for one in telling:
         one.connect(loop, [other for other in telling if other is not one])
--- a/standins/src/cardamomloft_standins/experiment/world.py
+++ b/standins/src/cardamomloft_standins/experiment/world.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: callers, the product's own forwarding and placement, modelled endpoints."""
+"""Simulates a scenario: product forwarding and placement, simulated callers and endpoints."""
 
 import random
 import typing as t
@@ -35,33 +35,33 @@
 _DRAIN = timedelta(seconds=5)
 
 LAPSE = timedelta(milliseconds=4500)
-"""How long the registration of an endpoint that is lost stays: three heartbeats of 1.5 s."""
+"""Time until the registration of a crashed endpoint expires: three heartbeats of 1.5 s."""
 
 
 class SimulatedClock:
-    """The decisions' clock over the loop's."""
+    """The product's clock interface on top of a simulated reactor."""
 
     def __init__(self, reactor: Clock) -> None:
         self._reactor = reactor
 
     def monotonic(self) -> timedelta:
-        """Return the simulated time."""
+        """Return the time since the start of the simulation."""
         return timedelta(seconds=self._reactor.seconds())
 
     def utcnow(self) -> datetime:
-        """Return the simulated time as a time of day."""
+        """Return the simulated time of day."""
         return datetime(2026, 1, 1, tzinfo=UTC) + self.monotonic()
 
 
 class _NoLog(RequestLog):
-    """Writes nothing."""
+    """A request log that writes nothing."""
 
     def _has_room(self, now: timedelta) -> bool:
         return False
 
 
 class _Flow:
-    """The connection of a body that is empty."""
+    """Flow control of an empty request body."""
 
     def pause_body(self) -> None:
         """Do nothing."""
@@ -71,16 +71,16 @@
 
 
 class World:
-    """One play of a scenario under one policy.
+    """One run of a scenario under one policy.
 
     Parameters
     ----------
     scenario
-        What is played.
+        The scenario.
     policy
-        Makes the selector of each gateway.
+        Creates the selector of each gateway.
     seed
-        Of all that is drawn; the same load comes for every policy.
+        Seed of all random draws; the arrivals are the same for every policy.
     """
 
     def __init__(self, scenario: Scenario, policy: MakeSelector, seed: int) -> None:
@@ -99,7 +99,7 @@
         self._plan_ailments()
 
     def run(self) -> list[Outcome]:
-        """Play the load and return what the callers got, in the order in which they asked."""
+        """Run the scenario and return the callers' results, ordered by the time of the request."""
         arrivals = random.Random(self._seed)
         for zone, load in self.scenario.load.items():
             Callers(self, zone, load, random.Random(arrivals.random())).start()
@@ -141,7 +141,7 @@
             book.withdraw(endpoint.registration.id, self.clock.monotonic())
 
     def _bring_back(self, endpoint: ModelEndpoint) -> None:
-        """Let an endpoint start again: cold, and with nothing at hand."""
+        """Restart a crashed endpoint with a cold registration."""
         endpoint.lost = False
         now = self.clock.monotonic()
         started_ms = now // timedelta(milliseconds=1)
@@ -171,7 +171,7 @@
             book.restore_zone(zone, self.clock.monotonic(), {SERVICE: _POLICY.cold_time})
 
     def delay(self, zone: str, other: str) -> float:
-        """Return the time one way between two zones, in seconds."""
+        """Return the one-way latency between two zones, in seconds."""
         if zone == other:
             return IN_ZONE.total_seconds()
         same = self.scenario.zones[zone] == self.scenario.zones[other]
@@ -179,7 +179,7 @@
 
 
 class _Entry:
-    """A gateway's forwarding and placement, without its network."""
+    """The forwarding and placement of one gateway, with a simulated upstream client."""
 
     def __init__(self, world: World, name: str, zone: str, policy: MakeSelector) -> None:
         self._world = world
@@ -205,7 +205,7 @@
         )
 
     def ask(self, request_id: str, key: str, patience: timedelta) -> "Deferred[Answer]":
-        """Carry one request."""
+        """Forward one request; its caller waits for at most `wait_limit`."""
         now = self._world.clock.monotonic()
         rule = self._world.rule
         until = now + min(rule.timeout, patience)
@@ -217,7 +217,7 @@
 
 
 class _Client:
-    """Stands in for the upstream client of one gateway: links and modelled endpoints."""
+    """Simulated upstream client of one gateway: link latencies and simulated endpoints."""
 
     dialect = kit.DIALECT
 
@@ -227,7 +227,7 @@
         self.warm: dict[str, bool] = {}
 
     def send(self, req: UpstreamRequest) -> "Deferred[Result[UpstreamAnswer, SendFailure]]":
-        """Send a request to a modelled endpoint."""
+        """Send a request to a simulated endpoint."""
         reactor = self._world.reactor
         delay = self._world.delay(self._zone, req.endpoint.zone)
         result: Deferred[Result[UpstreamAnswer, SendFailure]] = Deferred(
--- a/standins/src/cardamomloft_standins/faults.py
+++ b/standins/src/cardamomloft_standins/faults.py
@@ -1,4 +1,4 @@
-"""Settings that tests change while a stand-in runs, and the reading of such changes."""
+"""Faults and behaviour of stand-ins, which tests change at run time."""
 
 import json
 import typing as t
@@ -11,10 +11,10 @@
 class StoreFaults(t.NamedTuple):
     """Faults of the key-value store; durations in milliseconds.
 
-    `delay_ms` delays answers after the effect, `late_effect_ms` delays the effect of writes, even
-    when the caller has gone meanwhile. The next `lose_answers` writes take effect and the next
-    `lose_requests` writes do not; in both cases the connection is cut without an answer.
-    `lag_ms` is how late watches learn of a change.
+    `delay_ms` delays answers after the operation is applied. `late_effect_ms` delays the writes
+    themselves, which are applied even if the caller disconnects before. The next `lose_answers`
+    writes are applied and the next `lose_requests` writes are not; both end with an aborted
+    connection instead of an answer. `lag_ms` delays the notification of watches.
     """
 
     delay_ms: float = 0
@@ -26,7 +26,7 @@
 
 
 class VmFaults(t.NamedTuple):
-    """Faults of the VM list; `lag_ms` is the age of the rows that it shows."""
+    """Faults of the VM list; `lag_ms` is the age of the rows that it returns."""
 
     down: Down = False
     lag_ms: float = 0
@@ -35,10 +35,11 @@
 class Behaviour(t.NamedTuple):
     """Behaviour of one upstream endpoint; durations in milliseconds.
 
-    Requests beyond `slots` run up to `excess` more, so that an overshoot is visible in the books;
-    with `shed` none does. `hang` runs requests and never answers them. `cut_short` and `twice`
-    count the next answers to spoil. `cold_requests` and `cold_ms` say how long a cold start lasts
-    (the longer of both), during which work takes `cold_factor` times as long.
+    Up to `excess` requests beyond the slots are run, so that a gateway that exceeds the limit shows
+    in the statistics; with `shed` they are rejected. `hang` runs requests and never answers them.
+    The next `cut_short` answers are truncated and the next `twice` answers are duplicated. A cold
+    start lasts for `cold_requests` requests and at least `cold_ms`; until then the service time is
+    multiplied by `cold_factor`.
     """
 
     mean_ms: float = 10
@@ -58,7 +59,7 @@
 
 
 def changed(current: T, changes: object) -> T | str:
-    """Return `current` with `changes` applied, or a text that says why they are refused."""
+    """Return `current` with `changes` applied, or an error text if they are invalid."""
     if not isinstance(changes, dict):
         return "expected a JSON object"
     unknown = sorted(set(changes) - set(current._fields))
--- a/standins/src/cardamomloft_standins/gateway.py
+++ b/standins/src/cardamomloft_standins/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway's surroundings in memory: rules, registrations, control store, upstream client."""
+"""Test doubles for a gateway: rules, registrations, control store, upstream client, clocks."""
 
 import random
 from collections import deque
@@ -48,12 +48,12 @@
 
 
 def plan(number: int = 1, rules=(RULE, ORDERS)) -> RoutePlan:
-    """Return a small plan."""
+    """Return a route plan with the revision `number`."""
     return RoutePlan(number, tuple(rules), {"menus": POLICY}, LIMITS)
 
 
 def at(revision: int, era: int = 0) -> Position:
-    """Return a position of the store."""
+    """Return a position in the store's history."""
     return Position(era, revision)
 
 
@@ -65,13 +65,13 @@
 
 
 def listing(*registrations: Registration, number: int = 1, index: int = 10) -> Listing:
-    """Return a whole listing with a plan and the registrations."""
+    """Return a complete listing with a plan and the registrations."""
     facts = [PlanRead(plan(number)), *map(UpstreamRegistered, registrations)]
     return Listing(tuple(facts), at(index))
 
 
 def entry_records(count: int, region: str = "east", zones: str = "abc") -> list[EntryRecord]:
-    """Return the records of `count` entries of a region, its zones in turn."""
+    """Return the records of `count` entries of a region, spread evenly over its zones."""
     return [
         EntryRecord(
             name=f"{region}-{number}",
@@ -85,30 +85,30 @@
 
 
 class FakeBody:
-    """An answer's body: bytes that are whole, or a text that says why they are not."""
+    """An answer's body: all of its bytes, or the text of the error that truncated it."""
 
     def __init__(self, content: bytes | str) -> None:
         self.content = content
         self.aborted = False
 
     def collect(self, limit: int):
-        """Return the body or its fault."""
+        """Return the body or its error."""
         whole = isinstance(self.content, bytes)
         return succeed(Ok(self.content) if whole else Error(self.content))
 
     def abort(self, detail: str = "") -> None:
-        """Note that it was aborted."""
+        """Record the abort."""
         self.aborted = True
 
 
 def answer(status: int = 200, content: bytes | str = b"whole", not_run=False, **headers):
-    """Return an upstream's answer; `headers` with underscores for dashes."""
+    """Return an upstream's answer; underscores in the names of `headers` become dashes."""
     pairs = tuple((name.replace("_", "-"), value) for name, value in headers.items())
     return Ok(UpstreamAnswer(status, pairs, len(content), not_run, FakeBody(content)))
 
 
 class FakeClient:
-    """Answers with what was put in, in turn; the last one for ever."""
+    """Returns the given outcomes in order and repeats the last one; None stays pending."""
 
     dialect = DIALECT
 
@@ -119,11 +119,11 @@
         self.cancelled = 0
 
     def forget(self, address):
-        """Note that the idle connections to an address are to be closed."""
+        """Record that the idle connections to an address are to be closed."""
         self.forgotten.append(address)
 
     def send(self, req):
-        """Note the request and return the next outcome; None never comes."""
+        """Record the request and return the next outcome."""
         self.sent.append(req)
         outcome = self.outcomes.popleft() if len(self.outcomes) > 1 else self.outcomes[0]
         if outcome is None:
@@ -132,12 +132,12 @@
 
     def _cancel(self, result) -> None:
         self.cancelled += 1
-        # As the real client does: the result is a failure, not a CancelledError.
+        # Like the real client, a cancelled send ends with a SendFailure, not a CancelledError.
         result.callback(Error(SendFailure(False, "cancelled")))
 
 
 class FakeControl:
-    """A control store whose answers the test sets."""
+    """A control store whose answers are set by the test."""
 
     def __init__(self, first=AWAY) -> None:
         self.listing = first
@@ -149,41 +149,41 @@
         self.pending = None
 
     def read(self):
-        """Return the listing that was set."""
+        """Record the call and return the configured listing."""
         self.calls.append("read")
         return succeed(self.listing)
 
     def changes(self, after, wait):
-        """Return the changes that were set, at once unless the store is set to wait."""
+        """Return the configured changes, or `pending` if that is set."""
         self.calls.append(f"changes {after.revision}")
         self.waits.append(wait)
         return succeed(self.next) if self.pending is None else self.pending
 
     def record(self, record, ttl):
-        """Note that an entry is recorded."""
+        """Record that an entry registers itself."""
         self.calls.append(f"record {record.name}")
         return succeed(self.lease)
 
     def renew(self, lease):
-        """Note that a lease is renewed."""
+        """Record that a lease is renewed."""
         self.calls.append(f"renew {lease}")
         return succeed(self.renewed)
 
     def withdraw(self, lease):
-        """Note that a lease is ended."""
+        """Record that a lease is revoked."""
         self.calls.append(f"withdraw {lease}")
         return succeed(Ok(None))
 
 
 class Time:
-    """The loop's clock and the decisions' clock, moved together."""
+    """The reactor's clock and the :class:`ManualClock`, advanced together."""
 
     def __init__(self, reactor) -> None:
         self.reactor = reactor
         self.clock = ManualClock()
 
     def advance(self, duration: timedelta, step: timedelta = 10 * MS) -> None:
-        """Advance both clocks in small steps."""
+        """Advance both clocks by `duration` in increments of `step`."""
         while duration > timedelta(0):
             now = min(step, duration)
             self.clock.advance(now)
@@ -192,10 +192,10 @@
 
 
 def rng() -> random.Random:
-    """Return a seeded source of chance."""
+    """Return a random generator with a fixed seed."""
     return random.Random(1)
 
 
 def no_changes(index: int = 10):
-    """Return an answer without changes."""
+    """Return an empty set of changes up to the revision `index`."""
     return Ok(Changes((), at(index)))
--- a/standins/src/cardamomloft_standins/keyvalue.py
+++ b/standins/src/cardamomloft_standins/keyvalue.py
@@ -1,6 +1,6 @@
-"""The state of the key-value store: versions, sessions and watches, without any I/O.
+"""The state of the key-value store: versions, sessions and watches, without I/O.
 
-The semantics are those of the published Consul HTTP API, as far as its subset here goes.
+Implements the semantics of a subset of the Consul HTTP API.
 """
 
 import enum
@@ -17,7 +17,7 @@
 
 
 class Record(t.NamedTuple):
-    """One key's value with its indexes and the session that holds its lock."""
+    """The value of a key, its indexes and the session that holds its lock."""
 
     value: bytes
     create_index: int
@@ -27,7 +27,7 @@
 
 
 class PutOutcome(enum.Enum):
-    """What became of a write."""
+    """The result of a write."""
 
     WRITTEN = enum.auto()
     CONFLICT = enum.auto()
@@ -89,7 +89,7 @@
     def put(
         self, key: str, value: bytes, *, cas: int | None = None, acquire: str | None = None
     ) -> PutOutcome:
-        """Write `value` if the conditions hold.
+        """Write `value` if the version and the lock permit it.
 
         Parameters
         ----------
@@ -109,14 +109,14 @@
         return PutOutcome.WRITTEN
 
     def create_session(self, ttl: timedelta) -> str:
-        """Create a session that lapses `ttl` after its last renewal; return its id."""
+        """Create a session that expires `ttl` after its last renewal; return its id."""
         session = self._new_id()
         expiry = self._clock.callLater(ttl.total_seconds(), self.destroy_session, session)
         self._sessions[session] = _Session(ttl, expiry)
         return session
 
     def renew_session(self, session: str) -> bool:
-        """Start the TTL of `session` anew; return whether it still exists."""
+        """Restart the TTL of `session`; return whether the session still exists."""
         held = self._sessions.get(session)
         if held is None:
             return False
@@ -124,7 +124,7 @@
         return True
 
     def destroy_session(self, session: str) -> bool:
-        """End `session` and delete the keys that it holds; return whether it existed."""
+        """End `session` and delete the keys that it has locked; return whether it existed."""
         held = self._sessions.pop(session, None)
         if held is None:
             return False
@@ -137,7 +137,7 @@
         return True
 
     def lapse(self, name: str) -> bool:
-        """End the session called `name`, or the one that holds the key `name`."""
+        """End the session that has locked the key `name`, or else the session with the id `name`."""
         record = self._records.get(name)
         if record is not None and record.session is not None:
             return self.destroy_session(record.session)
@@ -146,7 +146,7 @@
     def watch(self, key: str, after: int, wait: timedelta) -> defer.Deferred[None]:
         """Return a Deferred that fires once `key` has changed after index `after`.
 
-        It fires at the latest when `wait` is over, and at once if the change was before, but
+        It fires at the latest after `wait`, immediately if the change has already happened, but
         never earlier than :attr:`lag` after the change.
         """
         changed: defer.Deferred[None] = defer.Deferred()
--- a/standins/src/cardamomloft_standins/listener.py
+++ b/standins/src/cardamomloft_standins/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that can be closed and opened again on the same address."""
+"""A listening socket that can be closed and reopened on the same address."""
 
 import typing as t
 from collections.abc import Callable
@@ -12,33 +12,33 @@
 
 
 def ignore_refusing(refusing: bool, transport: t.Any) -> None:
-    """Do nothing: the socket has another owner."""
+    """Do nothing, for servers whose socket is managed elsewhere."""
 
 
 class Connections(WrappingFactory):
-    """Counts the connections of the factory that it wraps."""
+    """Counts the connections of the wrapped factory."""
 
     opened = 0
     most = 0
 
     def registerProtocol(self, p: ProtocolWrapper) -> None:  # noqa: N802
-        """Count a connection that has just been made."""
+        """Count a new connection."""
         super().registerProtocol(p)
         self.opened += 1
         self.most = max(self.most, len(self.protocols))
 
 
 class Listener:
-    """Owns one listening socket and the connections accepted by it.
+    """Manages a listening socket and the connections accepted on it.
 
     Parameters
     ----------
     reactor
         Opens the socket.
     address
-        ``ip:port``; with port 0 the first :meth:`open` chooses the port and later ones keep it.
+        ``ip:port``; with port 0 the first :meth:`open` picks a port, which later calls reuse.
     factory
-        Speaks the protocol.
+        Builds the protocol of each connection.
     """
 
     def __init__(self, reactor: t.Any, address: str, factory: ServerFactory) -> None:
@@ -51,7 +51,7 @@
 
     @property
     def address(self) -> str:
-        """The address as ``ip:port``, with the real port once the socket has been open."""
+        """The address as ``ip:port``, with the actual port once the socket has been opened."""
         return f"{self._host}:{self._port}"
 
     def open(self) -> None:
@@ -65,7 +65,7 @@
         self._port = listening.getHost().port
 
     def close(self, spare: t.Any = None) -> defer.Deferred[None]:
-        """Stop listening and cut every connection but the one whose transport is `spare`."""
+        """Stop listening and abort every connection except the one on transport `keep`."""
         listening, self._listening = self._listening, None
         for conn in list(self.connections.protocols):
             if conn is not spare:
--- a/standins/src/cardamomloft_standins/load.py
+++ b/standins/src/cardamomloft_standins/load.py
@@ -1,9 +1,9 @@
-"""A load of callers: asks which entry to use, sends a seeded mix, repeats orders, keeps the books.
+"""Load generator: looks up entries, sends a seeded mix of requests and reports the outcomes.
 
-One process is many callers. Arrivals are open-loop (a slow system does not slow its callers), drawn
-from a seeded generator. The report holds, for each kind of request, counts by outcome and exact
-latencies, and for orders the operation keys, so that a script can compare them with the books of
-the upstreams.
+One process simulates many callers. Arrivals are open-loop: they are drawn from a seeded generator,
+independently of the answers. For each kind of request, the report holds counts by outcome and exact
+latencies. For orders it also holds the operation ids, which scripts compare with the statistics of
+the upstream stand-ins.
 """
 
 import json
@@ -22,7 +22,10 @@
 
 
 class MixRow(t.TypedDict, total=False):
-    """One kind of request; `rate` a second, `repeat` the share of orders sent twice on purpose."""
+    """One kind of request, at `rate` per second.
+
+    The fraction `repeat` of the completed orders is sent a second time under the same id.
+    """
 
     name: str
     method: str
@@ -39,10 +42,10 @@
 
 
 class LoadSettings(t.TypedDict, total=False):
-    """What one load process does; `entries` are the callers' addresses to begin with.
+    """Settings of a load process; `entries` are the initial addresses of the entries.
 
-    With `direct` there are no look-ups: each request goes to one of the addresses at random. With
-    `plain` the addresses are upstreams, whose answers name no outcome.
+    With `direct`, callers skip the look-up and send each request to a random address. With `plain`
+    the addresses are those of upstreams, whose answers carry no outcome header.
     """
 
     direct: bool
@@ -56,7 +59,7 @@
 
 
 class Report:
-    """Counts by kind and outcome, latencies in seconds, and what became of each order."""
+    """Counts by kind and outcome, latencies in seconds, and the outcomes of each order."""
 
     def __init__(self) -> None:
         self.outcomes: dict[str, Counter[str]] = defaultdict(Counter)
@@ -76,7 +79,7 @@
         self.last_errors: list[str] = []
 
     def to_json(self) -> dict[str, t.Any]:
-        """Return the report as plain data."""
+        """Return the report as a JSON-serializable document."""
         return {
             "outcomes": {name: dict(rows) for name, rows in self.outcomes.items()},
             "reasons": dict(self.reasons),
@@ -96,7 +99,7 @@
 
 
 class Load:
-    """Runs one load and fills a :class:`Report`."""
+    """Generates the load and fills a :class:`Report`."""
 
     def __init__(self, cfg: LoadSettings) -> None:
         self._cfg = cfg
@@ -112,7 +115,7 @@
         self._start = 0.0
 
     async def run(self) -> None:
-        """Send for the whole duration, then wait for what is in flight."""
+        """Send requests for the configured duration, then wait for those in flight."""
         self._start = time.monotonic()
         self.report.started_at = time.time()
         streams = [defer.ensureDeferred(self._stream(row)) for row in self._cfg["mix"]]
@@ -154,7 +157,7 @@
         entry = ""
         outcome = "error"
         for _ in range(_MAX_TRIES):
-            # Nothing was sent to an entry that was not reached, so a new id is as good.
+            # An unreached entry has not seen the operation id, so a new id is safe.
             if outcome in ("error", "unreached") or not row.get("operation"):
                 found = await self._lookup(row)
                 entry = found["entries"][0]["address"]
@@ -182,7 +185,7 @@
         return outcome
 
     async def _repeat(self, row: MixRow, entry: str, key: str) -> str:
-        """Send an order again under its id, at other entries until one is reached."""
+        """Send an order again under its id, to other entries until one is reached."""
         outcome = "unreached"
         for _ in range(_MAX_TRIES):
             if outcome == "unreached":
@@ -288,7 +291,7 @@
         return named
 
     def _own_answer(self, row: MixRow, body: bytes, key: str | None) -> bool:
-        """Tell whether the answer is whole and belongs to this request."""
+        """Return whether the answer is complete and belongs to this request."""
         if "answer_bytes" in row:
             return len(body) == row["answer_bytes"]
         answer = json.loads(body)
@@ -300,14 +303,14 @@
 
 
 def _uuid7(rng: random.Random) -> uuid.UUID:
-    """Make a version 7 UUID: 48 bits of Unix milliseconds, the rest drawn."""
+    """Return a version 7 UUID: 48 bits of Unix milliseconds, the rest random."""
     bits = (int(time.time() * 1000) << 80) | rng.getrandbits(80)
     bits = (bits & ~(0xF << 76)) | (0x7 << 76)
     return uuid.UUID(int=(bits & ~(0x3 << 62)) | (0x2 << 62))
 
 
 def run_load(cfg: LoadSettings) -> dict[str, t.Any]:
-    """Run one load in this process's reactor and return its report."""
+    """Run a load in this process's reactor and return its report."""
     load = Load(cfg)
 
     def main(_: t.Any) -> defer.Deferred[None]:
@@ -322,7 +325,7 @@
 
 
 def main() -> None:
-    """Read settings as JSON from the file named on the command line; print the report."""
+    """Read the settings from the JSON file named on the command line; print the report."""
     import sys
 
     with open(sys.argv[1], encoding="utf-8") as file:
--- a/standins/src/cardamomloft_standins/main.py
+++ b/standins/src/cardamomloft_standins/main.py
@@ -1,7 +1,7 @@
 """Run stand-ins: ``python -m cardamomloft_standins.main store|vms|upstreams ...``.
 
-Each command prints one JSON line ``{"listening": [...], "control": ...}`` when it is ready. The
-control address answers even when the others refuse connections. SIGTERM ends it at once.
+Each command prints the JSON line ``{"listening": [...], "control": ...}`` when it is ready. The
+control address stays open while the others refuse connections. SIGTERM ends the process.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 
 class UpstreamsSettings(t.TypedDict):
-    """Settings of a process that holds several endpoints; `seed` is for service times."""
+    """Settings of a process with several endpoints; `seed` determines the service times."""
 
     control: t.NotRequired[str]
     seed: t.NotRequired[int]
@@ -45,11 +45,11 @@
     Parameters
     ----------
     listen
-        Address as ip:port; port 0 chooses one.
+        Address as ip:port; port 0 picks a free port.
     control
-        Address that answers also while the store refuses connections.
+        Address that stays open while the store refuses connections.
     shortest_ttl_ms
-        Shortest session TTL to accept; the published service takes 10 s.
+        Minimum session TTL to accept; Consul's minimum is 10 s.
     """
     shortest = timedelta(milliseconds=shortest_ttl_ms)
     _serve_app(lambda refuse: Store(reactor, refuse, shortest_ttl=shortest), listen, control)
@@ -61,9 +61,9 @@
     Parameters
     ----------
     listen
-        Address as ip:port; port 0 chooses one.
+        Address as ip:port; port 0 picks a free port.
     control
-        Address that answers also while the list refuses connections.
+        Address that stays open while the list refuses connections.
     """
     _serve_app(lambda refuse: Vms(reactor, refuse), listen, control)
 
@@ -74,7 +74,7 @@
     Parameters
     ----------
     settings
-        JSON file with the endpoints.
+        JSON file with the settings of the endpoints.
     """
     cfg: UpstreamsSettings = json.loads(settings.read_text())
     rng = random.Random(cfg.get("seed", 1))
@@ -102,7 +102,7 @@
 
 
 def _no_log(request: http.Request) -> None:
-    """Keep no access log."""
+    """Write no access log."""
 
 
 def _run(listeners: list[Listener], control: Listener) -> None:
--- a/standins/src/cardamomloft_standins/operating.py
+++ b/standins/src/cardamomloft_standins/operating.py
@@ -1,4 +1,4 @@
-"""One deployment and the terminal of its operators: store, VM list and entries in memory."""
+"""A deployment in memory for tests of the operators' command: store, VM list and entries."""
 
 import contextlib
 import io
@@ -20,10 +20,12 @@
 
 
 class FakeStore:
-    """Keys in memory; `faults` are (operation, key prefix, effect), each used once in order.
+    """A key-value store in memory with injectable faults.
 
-    Effects: "down" (a definite failure), "lost" (no answer and no write), "late" (no answer, but
-    written). A callable runs before the operation, as another operator would, and may return one.
+    `faults` holds tuples (operation, key prefix, effect); the first match is used once. Effects
+    are "down" (definite failure), "lost" (no answer, not written) and "late" (no answer, but
+    written). A callable effect runs before the operation, for example to write as another
+    operator, and returns one of these effects or None.
     """
 
     def __init__(self):
@@ -33,14 +35,14 @@
         self.writes = []
 
     def get(self, key):
-        """Return a record, or None."""
+        """Return the record of `key`, or None."""
         effect = self._effect("get", key)
         if effect is not None:
             return succeed(Error(StoreFailure(False, "store is down")))
         return succeed(Ok(self.values.get(key)))
 
     def compare_and_swap(self, key, value, version):
-        """Write a key that still has this version."""
+        """Write `key` if its version is still `version`."""
         effect = self._effect("swap", key)
         if effect == "down":
             return succeed(Error(StoreFailure(False, "store is down")))
@@ -53,7 +55,7 @@
         return succeed(Ok(swapped))
 
     def put(self, key, value):
-        """Write a key, as another operator would."""
+        """Write `key` unconditionally, as a concurrent operator."""
         self.version += 1
         self.writes.append(key)
         self.values[key] = Record(value, self.version)
@@ -67,7 +69,7 @@
 
 
 class World:
-    """One deployment and the terminal of its operators."""
+    """A deployment in memory and a terminal that runs operators' commands on it."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -83,16 +85,16 @@
 
     @property
     def current(self):
-        """The revision in the store, or None."""
+        """The revision record in the store, or None."""
         held = self.store.values.get(CURRENT)
         return decode_record(held.value).default_value(None) if held else None
 
     def file(self, name, document):
-        """Write a file for the command to read."""
+        """Write `document` as a JSON file into the working folder of the command."""
         (self.folder / name).write_text(json.dumps(document))
 
     def status(self, address):
-        """Return the status of the entry at an address, unless it is silent."""
+        """Return the status of the entry at `address`, or an error if it is unreachable."""
         seat = f"e{int(address.rpartition(':')[2]) % 100}"
         self.asked.append(seat)
         self.on_asked.pop((seat, self.asked.count(seat)), lambda: None)()
@@ -106,17 +108,17 @@
         return succeed(Ok({**status, "incarnation": f"{seat}/{self.lives.get(seat, 1)}"}))
 
     def fetch(self):
-        """List the VMs."""
+        """Return the rows of the VM list."""
         rows = [VmRow(name, state, self.clock.utcnow()) for name, state in self.vms.items()]
         return succeed(Ok(rows))
 
     def sleep(self, span):
-        """Let time go by at once."""
+        """Advance the clock by `span` without waiting."""
         self.clock.advance(span)
         return succeed(None)
 
     def run(self, line, monkeypatch):
-        """Run one command line; return its exit code and what it printed, problems included."""
+        """Run one command line; return its exit code and its combined output."""
         ended = []
 
         def execute(options, command):
@@ -136,7 +138,7 @@
 
 
 def make_status(seat, revision, drains):
-    """Return the status of an entry that is ready."""
+    """Return the status document of a ready entry."""
     slots = {"slots_free": 2, "slots_total": 4, "in_flight": 2, "queued": 0}
     return {
         "seat": seat,
@@ -156,7 +158,7 @@
 
 
 def make_document(**changes):
-    """Return a configuration of three entries in two regions."""
+    """Return a configuration document with three entries in two regions."""
 
     def entry(number, zone):
         ports = {"callers": 71, "peers": 72, "operators": 73}
@@ -196,7 +198,10 @@
 
 
 def drain_rows(*steps):
-    """Return the drains that an entry shows, one list for each time it is asked."""
+    """Return the drain rows of successive status requests to an entry, one list each.
+
+    Each step gives the requests in flight and the expected end in milliseconds.
+    """
     row = {"name": "north-a", "kind": "zone"}
     return [
         [{**row, "in_flight": running, "expected_end_ms": end, "done": running == 0}]
@@ -205,7 +210,7 @@
 
 
 def transcript(ctl, *lines):
-    """Run command lines, and return what a terminal shows."""
+    """Run command lines; return the terminal transcript, at most 100 columns wide."""
     parts = []
     for line in lines:
         code, printed = ctl(line)
@@ -216,13 +221,13 @@
 
 
 def as_json(ctl, line):
-    """Run a command line with ``--json``; return its exit code and what it printed."""
+    """Run a command line with ``--json``; return its exit code and decoded output."""
     code, printed = ctl(f"{line} --json")
     return code, json.loads(printed[printed.index("{") :])
 
 
 def trail(world):
-    """Return the entries of the audit trail as they are stored."""
+    """Return the stored entries of the audit trail."""
     entries = []
     while held := world.store.values.get(f"audit/{len(entries) + 1}"):
         entries.append(held.value)
--- a/standins/src/cardamomloft_standins/processes.py
+++ b/standins/src/cardamomloft_standins/processes.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback for tests: a store, gateways, and what operators ask of them."""
+"""Store and gateway processes on loopback for tests, and access to their operator pages."""
 
 import contextlib
 import json
@@ -12,17 +12,17 @@
 from collections.abc import Callable, Iterator
 
 ROUTES = pathlib.Path(__file__).resolve().parents[3] / "examples" / "gateway-routes.json"
-"""A whole configuration document."""
+"""A complete configuration document."""
 
 POLL_S = 0.05
-"""Pause between two looks at a condition, in seconds."""
+"""Interval between two evaluations of a condition, in seconds."""
 
 _ADDRESSES = ("callers", "readiness", "lookups", "operators", "peers")
 
 
 @contextlib.contextmanager
 def process(*arguments: str, out: t.Any) -> Iterator["subprocess.Popen[bytes]"]:
-    """Own a Python process for the length of a with-block."""
+    """Run a Python process; it is killed at the end of the with-block."""
     proc = subprocess.Popen([sys.executable, *arguments], stdout=out, stderr=subprocess.STDOUT)
     try:
         yield proc
@@ -33,7 +33,7 @@
 
 @contextlib.contextmanager
 def store() -> Iterator[str]:
-    """Own a store; yields its address."""
+    """Run a store process; yield its address."""
     arguments = ["-m", "cardamomloft_standins.main", "store", "--listen", "127.0.0.1:0"]
     with process(*arguments, "--shortest-ttl-ms", "1000", out=subprocess.PIPE) as proc:
         yield json.loads(proc.stdout.readline())["listening"][0]
@@ -43,7 +43,7 @@
 def gateway(
     folder: pathlib.Path, cfg: dict[str, t.Any], launch: tuple[str, ...]
 ) -> Iterator["subprocess.Popen[bytes]"]:
-    """Own a gateway with its settings and log in `folder`, started by the words of `launch`."""
+    """Run a gateway with its settings and log in `folder`; `launch` is its command line."""
     path = folder / f"{cfg['name']}.json"
     path.write_text(json.dumps(cfg))
     with open(log_of(folder, cfg), "wb") as log:
@@ -52,17 +52,16 @@
 
 
 def log_of(folder: pathlib.Path, cfg: dict[str, t.Any]) -> pathlib.Path:
-    """Return where a gateway's log is."""
+    """Return the path of a gateway's log."""
     return folder / f"{cfg['name']}.log"
 
 
 @contextlib.contextmanager
 def held_ports(count: int) -> Iterator[list[int]]:
-    """Own free ports that nobody else is given, but on which a process may listen.
+    """Reserve free ports on which a process may listen until the end of the with-block.
 
-    A socket that is bound and does not listen keeps the system from giving its port to another
-    connection, and with SO_REUSEADDR on both a listener may bind it all the same. Without it one of
-    45 ports was taken on a busy machine before its gateway had started.
+    A bound socket that does not listen keeps the kernel from assigning its port to another socket.
+    With SO_REUSEADDR on both sockets, another process may still bind and listen on it.
     """
     with contextlib.ExitStack() as stack:
         ports = []
@@ -76,7 +75,7 @@
 
 @contextlib.contextmanager
 def settings(store_address: str, name: str = "e-1", zone: str = "a") -> Iterator[dict[str, t.Any]]:
-    """Own the settings of a gateway: its ports are held as long as they are in use."""
+    """Yield the settings of a gateway, with ports reserved until the end of the with-block."""
     with held_ports(len(_ADDRESSES)) as ports:
         yield {
             "name": name,
@@ -94,7 +93,7 @@
 
 
 def configure(store_address: str, **limits: t.Any) -> None:
-    """Write a configuration with changed limits of callers."""
+    """Write the configuration of `ROUTES` with changed caller limits."""
     document = json.loads(ROUTES.read_text())
     document["limits"] |= limits
     url = f"http://{store_address}/v1/kv/gateway/routes/current"
@@ -104,13 +103,13 @@
 
 
 def status(cfg: dict[str, t.Any]) -> dict[str, t.Any]:
-    """Return a gateway's status page."""
+    """Return a gateway's status document."""
     with urllib.request.urlopen(f"http://{cfg['operators']}/status", timeout=5) as answer:
         return json.load(answer)
 
 
 def metric(cfg: dict[str, t.Any], name: str) -> int:
-    """Return a gateway's counter, 0 if it has not counted yet."""
+    """Return the value of a gateway's counter, 0 if it is not exported yet."""
     with urllib.request.urlopen(f"http://{cfg['operators']}/metrics", timeout=5) as answer:
         lines = answer.read().decode().splitlines()
     values = [line.split()[1] for line in lines if line.startswith(f"cardamomloft_{name}_total ")]
@@ -118,7 +117,10 @@
 
 
 def eventually(condition: Callable[[], t.Any], patience_s: float) -> bool:
-    """Wait for `condition`, which may fail while a process starts."""
+    """Poll `condition` until it holds; return False after `timeout_s` seconds.
+
+    An OSError counts as False, as a process that is still starting refuses connections.
+    """
     end = time.monotonic() + patience_s
     while time.monotonic() < end:
         with contextlib.suppress(OSError):
--- a/standins/src/cardamomloft_standins/relayed.py
+++ b/standins/src/cardamomloft_standins/relayed.py
@@ -1,4 +1,4 @@
-"""Gateways of a region that pass changes on; store and network are in memory, on one clock."""
+"""Gateways of a region that relay changes, with store and network simulated on one clock."""
 
 import random
 import typing as t
@@ -27,26 +27,26 @@
 MS = kit.MS
 
 DRAIN = 2500 * MS
-"""How soon a change must be in force."""
+"""Time within which a change must be in force at every gateway."""
 
 ENTRIES = 10
-"""Gateways of the region: enough for relays."""
+"""Number of gateways in the region; large enough that relays are used."""
 
 CALL = 4 * MS
-"""How long the store takes for a call."""
+"""Round-trip time of a call to the store."""
 
 LINK = 2 * MS
-"""How long a message between gateways takes."""
+"""Latency of a message between gateways."""
 
 TICK = 200 * MS
-"""How often a gateway looks what did not come back."""
+"""Interval of the ticks that expire unconfirmed facts."""
 
 LOST_AFTER = 700 * MS
-"""When a call to a store that says nothing counts as failed; its wait comes on top."""
+"""Timeout of a call to the store, in addition to the wait of a blocking query."""
 
 
 class Copy(t.NamedTuple):
-    """What a store held at an instant."""
+    """The content of the store at one instant."""
 
     at: timedelta
     revision: int
@@ -54,7 +54,7 @@
 
 
 class Store:
-    """A store with revisions. Gateways in `cut` hear nothing from it, those in `refused` a no."""
+    """A store with revisions; `cut` gateways get no answers, `refused` ones get errors."""
 
     def __init__(self, time: kit.Time) -> None:
         self.time = time
@@ -71,11 +71,11 @@
 
     @property
     def position(self) -> Position:
-        """Where it is in its history."""
+        """The current position in the store's history."""
         return Position(self.era, self.revision)
 
     def write(self, key: object, fact: object, *, removes: bool = False) -> None:
-        """Write or remove a key, and answer who waits for a change."""
+        """Write or remove a key, and answer all blocking queries."""
         self.revision += 1
         self.events.append((self.revision, fact))
         self.held.pop(key, None)
@@ -87,11 +87,11 @@
             answer()
 
     def forget(self) -> None:
-        """Drop the history of changes."""
+        """Discard the history of changes, as a compaction does."""
         self.first_known = self.revision
 
     def restore(self, age: timedelta) -> None:
-        """Come back from a copy of that age: what was written since is gone."""
+        """Restore a snapshot of age `age` in a new era; later writes are lost."""
         instant = self.time.clock.monotonic() - age
         copy = [copy for copy in self.copies if copy.at <= instant or copy.revision == 1][-1]
         self.era += 1
@@ -99,27 +99,27 @@
         self.events = [(at, fact) for at, fact in self.events if at <= copy.revision]
         self.copies = [each for each in self.copies if each.revision <= copy.revision]
         self.first_known = min(self.first_known, copy.revision)
-        # Whoever waits for a change is cut off, and hears of that.
+        # A restore also ends all blocking queries.
         waiting, self.waiting = self.waiting, []
         for answer in waiting:
             answer()
 
 
 class Client:
-    """One gateway's connection to the store."""
+    """The store client of one gateway."""
 
     def __init__(self, store: Store, name: str) -> None:
         self.store, self.name = store, name
 
     def read(self):
-        """List all that the store holds."""
+        """Return a listing of the whole store."""
         store = self.store
         return self._call(
             lambda: Ok(Listing(tuple(store.held.values()), store.position)), timedelta(0)
         )
 
     def changes(self, after, wait):
-        """Return what has changed, at the latest when `wait` is over."""
+        """Return the changes since `after`; wait for one for at most `wait`."""
         return self._call(lambda: self._news(after), wait, lambda: self.store.position > after)
 
     def _news(self, after):
@@ -159,7 +159,10 @@
 
 
 class Network:
-    """Messages between gateways: late, lost, or kept from those in `silenced`."""
+    """Delivers messages between gateways with latency and loss.
+
+    Messages from and to the gateways in `silenced` are dropped.
+    """
 
     def __init__(self, time: kit.Time, rng: random.Random) -> None:
         self.time, self.rng = time, rng
@@ -168,7 +171,7 @@
         self.gateways: dict[str, Gateway] = {}
 
     def send(self, sender: "Gateway", address: str, message, to) -> bool:
-        """Bring a message to the gateway at `address`, if nothing is in the way."""
+        """Deliver a message to the gateway at `address`, unless it is lost or dropped."""
         receiver = self.gateways[address]
         lost = self.rng.random() < self.loss
         if lost or {sender.name, receiver.name} & self.silenced:
@@ -180,7 +183,7 @@
 
 
 class Gateway:
-    """What a gateway does with the store and its peers, and what it knows by it."""
+    """The change feed of one gateway, with the tables and the view that it maintains."""
 
     def __init__(self, record, store: Store, network: Network, time: kit.Time, seed: int) -> None:
         self.record, self.name, self.network = record, record.name, network
@@ -229,12 +232,12 @@
         self._ticks.clock = time.reactor
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start to follow the store."""
         self._ticks.start(TICK.total_seconds(), now=False)
         self.follower.start(self.faults.append)
 
     def stop(self) -> None:
-        """End, as a gateway does."""
+        """Stop the change feed."""
         self.stopped = True
         if self._ticks.running:
             self._ticks.stop()
@@ -242,20 +245,20 @@
         self.follower.stop()
 
     def send(self, address, message, to=None) -> bool:
-        """Send a message to another gateway."""
+        """Send a message to the gateway at `address`."""
         return self.network.send(self, address, message, to)
 
     def close(self) -> None:
         """Do nothing: there is no socket."""
 
     def receive(self, sender, message) -> None:
-        """Take a message of another gateway."""
+        """Pass a message from another gateway to the change feed."""
         if not self.stopped:
             self.feed.receive(sender, message)
 
     @property
     def drained(self) -> set[str]:
-        """The zones that get nothing."""
+        """The drained zones."""
         return set(self.book.drained_zones)
 
     def _on_changes(self, facts) -> None:
@@ -273,11 +276,11 @@
 
 
 def _ignore(address) -> None:
-    """Keep no connections."""
+    """Do nothing: there are no pooled connections."""
 
 
 class Deployment:
-    """Ten gateways of one region that know each other, and a store with a configuration."""
+    """`ENTRIES` gateways of one region that know each other, and a store with a configuration."""
 
     def __init__(self, seed: int = 1) -> None:
         self.time = kit.Time(Clock())
@@ -298,12 +301,12 @@
         self.run(3000 * MS)
 
     def configure(self) -> None:
-        """Write a newer configuration."""
+        """Write a configuration with the next number."""
         self.number += 1
         self.store.write("plan", PlanRead(kit.plan(self.number)))
 
     def run(self, duration: timedelta) -> None:
-        """Let time go by."""
+        """Advance the clocks by `duration`."""
         self.time.advance(duration, 5 * MS)
 
     def by_name(self, name: str) -> Gateway:
@@ -311,11 +314,11 @@
         return next(gateway for gateway in self.gateways if gateway.name == name)
 
     def listeners(self) -> list[Gateway]:
-        """Return the gateways that were no relays at the start."""
+        """Return the gateways that were not relays at the start."""
         return [gateway for gateway in self.gateways if gateway.name not in self.relays]
 
     def late(self) -> list[str]:
-        """Return the names of those that have not the newest configuration."""
+        """Return the names of the gateways that lack the newest configuration."""
         return [row.name for row in self.gateways if row.plans[-1] != self.number]
 
 
--- a/standins/src/cardamomloft_standins/store.py
+++ b/standins/src/cardamomloft_standins/store.py
@@ -1,8 +1,8 @@
-"""The key-value store over HTTP, with faults and counts that tests control.
+"""HTTP server of the key-value store stand-in, with fault injection and call counters.
 
-``PUT /control`` changes :class:`~cardamomloft_standins.faults.StoreFaults` and, with
-``{"lapse": <key or session>}``, ends a lease behind its holder's back. ``GET /control/counts``
-returns the calls by kind, in total and by second since the start.
+``PUT /control`` changes :class:`~cardamomloft_standins.faults.StoreFaults`; with
+``{"lapse": <key or session>}`` it also ends a session without notice to its holder.
+``GET /control/counts`` returns the calls by kind, in total and by second since the start.
 """
 
 import base64
@@ -30,7 +30,7 @@
 
 
 class Answer(t.NamedTuple):
-    """An HTTP answer before any fault is applied to it."""
+    """An HTTP answer before faults are applied."""
 
     status: int
     body: bytes
@@ -38,19 +38,19 @@
 
 
 class Store:
-    """The HTTP front of :class:`~cardamomloft_standins.keyvalue.KeyValues`.
+    """HTTP interface of :class:`~cardamomloft_standins.keyvalue.KeyValues`.
 
     Parameters
     ----------
     reactor
         Measures time.
     set_refusing
-        Called with True to close the listening socket, with False to open it again, and with the
-        transport that the command came on, which is to stay open.
+        Called with True to close the listening socket or False to reopen it, and with the
+        transport of the control request, which must stay open.
     values
-        The state, if not an empty one.
-    shortest_ttl
-        Session TTLs below this are answered with 400, as the published service does.
+        The initial state; empty by default.
+    min_ttl
+        Session TTLs below this are answered with 400, as Consul does.
     """
 
     app = Klein()
@@ -74,7 +74,7 @@
 
     @app.route("/v1/kv/<path:key>", methods=["GET"])
     async def read(self, request: IRequest, key: str) -> bytes:
-        """Answer a read, or a blocking query if an index is given."""
+        """Answer a read of a key or prefix, or a blocking query if an index is given."""
         if _argument(request, "recurse") is not None:
             self._count("list")
             await self._until_served()
@@ -89,7 +89,7 @@
 
     @app.route("/v1/kv/<path:key>", methods=["PUT"])
     async def write(self, request: IRequest, key: str) -> bytes:
-        """Answer a write, conditional or not."""
+        """Answer a write, optionally conditional on a version (cas) or a lock (acquire)."""
         cas, session = _argument(request, "cas"), _argument(request, "acquire")
         kind = "acquire" if session else "put" if cas is None else "cas"
         value = request.content.read()
@@ -104,7 +104,7 @@
 
     @app.route("/v1/session/create", methods=["PUT"])
     async def create_session(self, request: IRequest) -> bytes:
-        """Create a session that deletes its keys when it lapses."""
+        """Create a session that deletes its keys when it expires."""
         fields = parse_json(request.content.read())
 
         def effect() -> Answer:
@@ -119,7 +119,7 @@
 
     @app.route("/v1/session/renew/<session>", methods=["PUT"])
     async def renew_session(self, request: IRequest, session: str) -> bytes:
-        """Renew a session, or answer 404 if it has lapsed."""
+        """Renew a session, or answer 404 if it has expired."""
 
         def effect() -> Answer:
             if not self.values.renew_session(session):
@@ -130,7 +130,7 @@
 
     @app.route("/v1/session/destroy/<session>", methods=["PUT"])
     async def destroy_session(self, request: IRequest, session: str) -> bytes:
-        """End a session; the answer is true whether it existed or not."""
+        """End a session; the answer is true even if it did not exist."""
 
         def effect() -> Answer:
             self.values.destroy_session(session)
@@ -140,7 +140,7 @@
 
     @app.route("/control", methods=["PUT"])
     def control(self, request: IRequest) -> bytes:
-        """Change the faults; nothing changes if one of the names is unknown."""
+        """Change the faults; an unknown name is answered with 400 and changes nothing."""
         changes = parse_json(request.content.read())
         lapse = changes.pop("lapse", None) if isinstance(changes, dict) else None
         faults = changed(self.faults, changes)
@@ -160,7 +160,7 @@
         return json.dumps({"calls": dict(self._calls), "by_second": by_second}).encode()
 
     def close(self) -> None:
-        """End all timers."""
+        """Cancel all watches and session timers."""
         self.values.close()
 
     def _count(self, kind: str) -> None:
@@ -188,7 +188,7 @@
         delay = self.faults.late_effect_ms / 1000
         if delay <= 0:
             return defer.succeed(effect())
-        # The timer is not tied to the Deferred: a caller that leaves does not stop the write.
+        # The timer is independent of the Deferred: a disconnect does not cancel the write.
         taken: defer.Deferred[Answer] = defer.Deferred()
         self._reactor.callLater(delay, lambda: taken.callback(effect()))
         return taken
--- a/standins/src/cardamomloft_standins/upstream.py
+++ b/standins/src/cardamomloft_standins/upstream.py
@@ -1,7 +1,7 @@
-"""An upstream endpoint: slots, cold starts, shedding, cancellation, deadlines and bad manners.
+"""Upstream endpoint stand-in: slots, cold starts, shedding, cancellation, deadlines and faults.
 
-Any path is work but those below ``/-/``: ``GET /-/load``, ``GET /-/books``, ``PUT /-/control``
-and ``DELETE /-/requests/<id>``.
+Administrative paths are ``GET /-/load``, ``GET /-/books``, ``PUT /-/control`` and
+``DELETE /-/requests/<id>``; a request for any other path takes a slot.
 """
 
 import hashlib
@@ -24,7 +24,7 @@
 
 
 class EndpointSettings(t.TypedDict):
-    """One endpoint; `behaviour` holds fields of `cardamomloft_standins.faults.Behaviour`."""
+    """Settings of an endpoint; `behaviour` holds fields of :class:`~.faults.Behaviour`."""
 
     name: str
     address: str
@@ -35,7 +35,7 @@
 
 
 class UpstreamRequest(http.Request):
-    """A request whose body is counted and hashed, and not kept beyond its first bytes."""
+    """A request whose body is counted and hashed; only its beginning is kept in memory."""
 
     def __init__(self, upstream: "Upstream", *args: t.Any, **kwargs: t.Any) -> None:
         super().__init__(*args, **kwargs)
@@ -46,33 +46,33 @@
         self.whole = False
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Note when the head was whole; the deadline counts from here."""
+        """Record the arrival of the head, from which the deadline counts."""
         self.content = BytesIO()
         self.arrived = self.upstream.now()
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Count and hash the bytes."""
+        """Count and hash a chunk of the body."""
         self.received += len(data)
         self.digest.update(data)
         if self.content.tell() < KEPT_BODY_BYTES:
             self.content.write(data)
 
     def process(self) -> None:
-        """Handle the whole request."""
+        """Pass the complete request to the endpoint."""
         self.whole = True
         self.upstream.handle(self)
 
     def connectionLost(self, reason: t.Any) -> None:  # noqa: N802
-        """Tell the endpoint that the caller has gone."""
+        """Notify the endpoint that the caller has disconnected."""
         super().connectionLost(reason)
         self.upstream.lost(self)
 
     def header(self, name: str) -> str | None:
-        """Return the value of a header, if it is there."""
+        """Return the value of a header, or None."""
         return self.getHeader(name)
 
     def number(self, name: str) -> float | None:
-        """Return the value of a numeric header, or None without one."""
+        """Return the value of a numeric header, or None if it is missing or invalid."""
         try:
             return float(self.getHeader(name) or "")
         except ValueError:
@@ -80,7 +80,7 @@
 
 
 class Run:
-    """One request that holds a slot, until :meth:`Upstream.release`."""
+    """An accepted request; it holds a slot until :meth:`Upstream.release`."""
 
     def __init__(self, request: UpstreamRequest) -> None:
         self.request = request
@@ -90,7 +90,7 @@
 
 
 class Upstream:
-    """One endpoint with its listening socket.
+    """An upstream endpoint with its listening socket.
 
     Parameters
     ----------
@@ -123,7 +123,7 @@
         return self._reactor.seconds()
 
     def handle(self, request: UpstreamRequest) -> None:
-        """Answer an administrative request or begin work."""
+        """Answer an administrative request, or run any other request."""
         path = request.path.decode("latin-1")
         if path.startswith("/-/"):
             self.administer(request, request.method.decode(), path.removeprefix("/-/"))
@@ -131,7 +131,7 @@
             self._work(request)
 
     def administer(self, request: UpstreamRequest, method: str, path: str) -> None:
-        """Answer a request below ``/-/``."""
+        """Answer a request for a path below ``/-/``."""
         if (method, path) == ("GET", "load"):
             send(request, 200, self.load())
         elif (method, path) == ("GET", "books"):
@@ -145,17 +145,17 @@
             send(request, 404, {"error": "no such path"})
 
     def load(self) -> dict[str, t.Any]:
-        """Return the load report, with its lag and its lies."""
+        """Return the load report, with the configured lag and false values applied."""
         running = self.books.running_at(self.behaviour.load_lag_ms / 1000)
         report = {"running": running, "slots": self.slots, "state": self.state()}
         return {**report, **(self.behaviour.load_lie or {})}
 
     def state(self) -> str:
-        """Return the forced state, or else cold until warm."""
+        """Return the configured state; by default ``cold`` until warmed up, then ``ready``."""
         return self.behaviour.state or ("cold" if self._is_cold() else "ready")
 
     def lost(self, request: UpstreamRequest) -> None:
-        """Stop the work of a caller that has gone."""
+        """Stop the request of a caller that has disconnected."""
         if not request.whole:
             self.books.counts["cut_uploads"] += 1
         run = self._runs.pop(request, None)
@@ -164,7 +164,7 @@
             self.release(run)
 
     def release(self, run: Run) -> None:
-        """Free the slot of `run`, once."""
+        """Release the slot of `run`; has no effect if it is already released."""
         if run.timer is not None and run.timer.active():
             run.timer.cancel()
         if run.holds_slot:
@@ -172,7 +172,7 @@
             self.books.end()
 
     def close(self) -> t.Any:
-        """Stop all work, close the socket and cut its connections."""
+        """Stop all requests, close the socket and abort its connections."""
         for run in list(self._runs.values()):
             self.release(run)
         self._runs.clear()
@@ -227,7 +227,7 @@
             cut = self._take("cut_short")
             AnswerStream(run.request, int(size), cut, partial(self._done, run)).start()
             return
-        # The slot is free before the answer leaves, so a caller that waits never sees an overshoot.
+        # Release the slot first: a caller may send its next request once it has the answer.
         self.release(run)
         late = self.behaviour.late_ms / 1000
         run.timer = self._reactor.callLater(late, self._echo, run) if late else None
@@ -302,4 +302,4 @@
         return channel
 
     def log(self, request: t.Any) -> None:
-        """Keep no access log."""
+        """Write no access log."""
--- a/standins/src/cardamomloft_standins/vms.py
+++ b/standins/src/cardamomloft_standins/vms.py
@@ -1,4 +1,4 @@
-"""The platform's list of VMs over HTTP, which lags on request.
+"""HTTP stand-in for the platform's VM list, with a configurable lag.
 
 ``PUT /v1/vms`` replaces the rows, ``PUT /control`` changes
 :class:`~cardamomloft_standins.faults.VmFaults`.
@@ -17,15 +17,15 @@
 
 
 class Vms:
-    """The HTTP front of the list.
+    """HTTP interface of the VM list.
 
     Parameters
     ----------
     reactor
         Measures the lag.
     set_refusing
-        Called with True to close the listening socket, with False to open it again, and with the
-        transport that the command came on, which is to stay open.
+        Called with True to close the listening socket or False to reopen it, and with the
+        transport of the control request, which must stay open.
     """
 
     app = Klein()
@@ -48,7 +48,7 @@
 
     @app.route("/v1/vms", methods=["PUT"])
     def replace(self, request: IRequest) -> bytes:
-        """Replace all rows; a row without `at` gets the present time."""
+        """Replace all rows; a row without `at` gets the current time."""
         rows = parse_json(request.content.read())
         if not isinstance(rows, list):
             request.setResponseCode(400)
@@ -59,7 +59,7 @@
 
     @app.route("/control", methods=["PUT"])
     def control(self, request: IRequest) -> bytes:
-        """Change the faults."""
+        """Change the faults; an unknown name is answered with 400."""
         faults = changed(self.faults, parse_json(request.content.read()))
         if isinstance(faults, str):
             request.setResponseCode(400)
@@ -70,11 +70,11 @@
 
     @app.route("/control/counts", methods=["GET"])
     def counts(self, request: IRequest) -> bytes:
-        """Return how often the list was fetched."""
+        """Return the number of fetches."""
         return json.dumps({"calls": {"fetch": self._calls}}).encode()
 
     def close(self) -> None:
-        """Do nothing: the list has no timers."""
+        """Do nothing: there are no timers."""
 
     def _rows(self) -> list[dict[str, str]]:
         shown = self._reactor.seconds() - self.faults.lag_ms / 1000
--- a/standins/tests/test_experiment.py
+++ b/standins/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""The model of callers, gateways and endpoints, and what it says of placement."""
+"""The simulation of callers, gateways and endpoints, and the placement results it gives."""
 
 import random
 from datetime import timedelta
@@ -27,7 +27,7 @@
 
 
 class Endpoint:
-    """A modelled endpoint and what it says of each request."""
+    """A simulated endpoint and the results of its requests."""
 
     def __init__(self):
         self.clock = Clock()
@@ -116,7 +116,7 @@
 
 
 def test_a_half_idle_second_endpoint_serves_more_than_one_with_a_free_slot():
-    """At 0.7 of the capacity, where objects that push each other out cost most."""
+    """Guards against cache evictions by keys that spill to a secondary endpoint too early."""
     product, eager = _played("calm", "product", 0.7), _played("calm", "eager-second", 0.7)
     assert product.credit > eager.credit + 0.03
     assert product.warm > eager.warm
@@ -128,7 +128,7 @@
 
 
 def test_an_object_at_hand_at_two_endpoints_is_served_better_by_the_sooner_one():
-    """Where demand swings through the regions: credit 0.867 instead of 0.830."""
+    """Guards against waiting for a full primary endpoint when the secondary has the key cached."""
     product, first_only = (
         _played("fleet", policy, 0.6, seconds=24) for policy in ("product", "first-only")
     )
@@ -161,7 +161,7 @@
     ("scenario", "before", "least"), [("calm", 0.548, 0.58), ("burst", 0.480, 0.51)]
 )
 def test_an_overloaded_service_keeps_its_objects_where_they_are(scenario, before, least):
-    """Where an endpoint without a fresh report counted as idle, callers got `before`."""
+    """An endpoint without a fresh load report must not count as idle, which gave `before`."""
     assert _played(scenario, "product", 0.7).credit > least > before
 
 
@@ -198,7 +198,7 @@
 
 
 def _small_crowd(policy: str) -> World:
-    """Return a fifth of the crowd: each gateway still sends to an endpoint once in some seconds."""
+    """Return ``crowd-heavy`` with a fifth of the endpoints, load and keys."""
     played = scenario("crowd-heavy", 0.13)
     endpoints = {zone: count // 5 for zone, count in played.endpoints.items()}
     load = {
@@ -209,7 +209,7 @@
 
 
 def test_gateways_that_tell_each_other_of_failures_leave_lost_endpoints_sooner():
-    """The whole crowd: credit 0.895 instead of 0.883, 0.021 of all requests fail, not 0.032."""
+    """Guards against shared failure reports that do not speed up the ejection of endpoints."""
     alone, shared = (summarize(_small_crowd(name).run()) for name in ("product", "shared-failures"))
     assert shared.failed < 0.75 * alone.failed
     assert shared.credit > alone.credit + 0.005
--- a/standins/tests/test_processes.py
+++ b/standins/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Ports for processes that start later: nobody else gets them, and the process does."""
+"""Reserved ports for processes that start later."""
 
 import contextlib
 import socket
--- a/standins/tests/test_standin_processes.py
+++ b/standins/tests/test_standin_processes.py
@@ -10,7 +10,7 @@
 
 @contextmanager
 def running(*arguments):
-    """Yield the ready line of a stand-in's process; it must end with status 0."""
+    """Run a stand-in process and yield its ready line; the process must exit with status 0."""
     command = [sys.executable, "-m", "cardamomloft_standins.main", *arguments]
     proc = subprocess.Popen(command, stdout=subprocess.PIPE)
     try:
--- a/standins/tests/test_upstream_standin.py
+++ b/standins/tests/test_upstream_standin.py
@@ -18,13 +18,13 @@
 
 
 async def until(condition):
-    """Give the reactor turns until the condition holds; the test's timeout bounds it."""
+    """Let the reactor run until `condition` holds; the test's timeout bounds the wait."""
     while not condition():
         await task.deferLater(reactor, 0)
 
 
 class Collector(Protocol):
-    """Keeps all bytes of a connection."""
+    """Collects all bytes received on a connection."""
 
     def __init__(self):
         self.got = b""
@@ -38,7 +38,7 @@
 
 
 class AnswerStreamTest(TestCase):
-    """The order of events, which no client can observe reliably."""
+    """The order of events inside the endpoint, which a client cannot observe reliably."""
 
     def test_the_slot_is_free_before_the_last_bytes_leave(self):
         events = []
@@ -56,7 +56,7 @@
 
 
 class UpstreamTest(TestCase):
-    """Real sockets; time moves only by `self.clock`."""
+    """An endpoint on real sockets, with the timers on a manual clock."""
 
     timeout = 20
 
@@ -93,7 +93,7 @@
         return answer.code
 
     async def start(self, running, **headers):
-        """Send a request that works for a second, and wait until it runs."""
+        """Send a request that takes `WORK_S` and wait until `running` requests run."""
         sent = self.send(headers={**WORK, **headers})
         await until(lambda: self.books["running"] == running)
         return sent
