--- a/standins/src/cardamomloft_standins/answers.py
+++ b/standins/src/cardamomloft_standins/answers.py
@@ -9,14 +9,14 @@
 from zope.interface import implementer
 
 CHUNK_BYTES = 64 * 1024
-_CYCLE = bytes(range(251))
-_PATTERN = _CYCLE * (CHUNK_BYTES // len(_CYCLE) + 2)
+_PATTERN_CYCLE = bytes(range(251))
+_REPEATED_PATTERN = _PATTERN_CYCLE * (CHUNK_BYTES // len(_PATTERN_CYCLE) + 2)
 
 
 def pattern(offset: int, size: int) -> bytes:
     """Return the `size` bytes (at most `CHUNK_BYTES`) at `offset` of a streamed answer."""
-    start = offset % len(_CYCLE)
-    return _PATTERN[start : start + size]
+    start = offset % len(_PATTERN_CYCLE)
+    return _REPEATED_PATTERN[start : start + size]
 
 
 def send(
@@ -32,7 +32,7 @@
     request.finish()
 
 
-def send_echo(request: t.Any, endpoint: str, *, cut: bool, again: bool) -> None:
+def send_echo(request: t.Any, endpoint: str, *, truncate: bool, duplicate: bool) -> None:
     """Answer with a JSON description of the received request.
 
     Parameters
@@ -53,15 +53,15 @@
         }
     ).encode()
     _set_headers(request, len(body))
-    if cut:
+    if truncate:
         request.write(body[: len(body) // 2])
         request.loseConnection()
         return
     transport = request.transport
     request.write(body)
     request.finish()
-    if again:
-        transport.write(_raw_answer(request, body))
+    if duplicate:
+        transport.write(_serialize_answer(request, body))
 
 
 @implementer(IPullProducer)
@@ -77,14 +77,14 @@
     """
 
     def __init__(
-        self, request: http.Request, size: int, cut: bool, done: Callable[[], None]
+        self, request: http.Request, size: int, truncate: bool, on_last_chunk: Callable[[], None]
     ) -> None:
         self._request = request
         self._size = size
-        self._end = size // 2 if cut else size
-        self._cut = cut
-        self._done = done
-        self._sent = 0
+        self._end_offset = size // 2 if truncate else size
+        self._truncate = truncate
+        self._on_last_chunk = on_last_chunk
+        self._offset = 0
 
     def start(self) -> None:
         """Set the headers and begin to stream the body."""
@@ -93,13 +93,13 @@
 
     def resumeProducing(self) -> None:  # noqa: N802
         """Send the next chunk."""
-        chunk = pattern(self._sent, min(CHUNK_BYTES, self._end - self._sent))
-        self._sent += len(chunk)
-        last = self._sent == self._end
-        if last:
-            self._done()
+        chunk = pattern(self._offset, min(CHUNK_BYTES, self._end_offset - self._offset))
+        self._offset += len(chunk)
+        is_last = self._offset == self._end_offset
+        if is_last:
+            self._on_last_chunk()
         self._request.write(chunk)
-        if last:
+        if is_last:
             self._finish()
 
     def stopProducing(self) -> None:  # noqa: N802
@@ -107,7 +107,7 @@
 
     def _finish(self) -> None:
         self._request.unregisterProducer()
-        if self._cut:
+        if self._truncate:
             self._request.loseConnection()
         else:
             self._request.finish()
@@ -121,7 +121,7 @@
         request.setHeader("X-Request-Id", request_id)
 
 
-def _raw_answer(request: t.Any, body: bytes) -> bytes:
+def _serialize_answer(request: t.Any, body: bytes) -> bytes:
     head = [b"HTTP/1.1 200 OK"]
     for name, values in request.responseHeaders.getAllRawHeaders():
         head.extend(name + b": " + value for value in values)
--- a/standins/src/cardamomloft_standins/assembled.py
+++ b/standins/src/cardamomloft_standins/assembled.py
@@ -71,8 +71,8 @@
 
     def ask(self, path="/menus/7", host="a.example"):
         """Send a GET request; return the answer, or None if it is still pending."""
-        pairs = (("host", host), ("x-request-id", "id-1"), ("x-object", "17"))
-        head = RequestHead("GET", path, "", pairs, "10.0.0.9", 0, False)
+        headers = (("host", host), ("x-request-id", "id-1"), ("x-object", "17"))
+        head = RequestHead("GET", path, "", headers, "10.0.0.9", 0, False)
         results = []
         self.gateway.handle(head, RequestBody(0, self), Deferred()).addBoth(results.append)
         return results[0] if results else None
--- a/standins/src/cardamomloft_standins/carrying.py
+++ b/standins/src/cardamomloft_standins/carrying.py
@@ -63,29 +63,29 @@
 
     def start(self, path="/menus/7", body=b"", whole=True, caller="app/1", address="10.0.0.9"):
         """Forward a request; return a Deferred of its answer."""
-        pairs = (
+        headers = (
             ("host", "a.example"),
             ("x-request-id", "id-1"),
             ("x-object", "17"),
             ("user-agent", caller),
         )
-        head = RequestHead("GET", path, "", pairs, address, len(body), False)
+        head = RequestHead("GET", path, "", headers, address, len(body), False)
         call = RequestReader(kit.plan(), kit.HEADERS, kit.rng()).read(
             head, self.time.clock.monotonic()
         )
-        carried = RequestBody(len(body), self)
+        request_body = RequestBody(len(body), self)
         if body:
-            carried.data_received(body if whole else body[:1])
+            request_body.data_received(body if whole else body[:1])
             if whole:
-                carried.end()
+                request_body.end()
         self.gone = Deferred()
-        return ensureDeferred(self.forwarder.forward(call, head, carried, self.gone))
+        return ensureDeferred(self.forwarder.forward(call, head, request_body, self.gone))
 
     def answer(self, *args, **kwargs):
         """Forward a request and return its answer, which must be available at once."""
-        done = self.start(*args, **kwargs)
+        deferred = self.start(*args, **kwargs)
         result = []
-        done.addBoth(result.append)
+        deferred.addBoth(result.append)
         assert result
         return result[0]
 
--- a/standins/src/cardamomloft_standins/control.py
+++ b/standins/src/cardamomloft_standins/control.py
@@ -19,9 +19,9 @@
     """A control request, whose path names the endpoint."""
 
     def __init__(
-        self, endpoints: dict[str, Upstream], first: Upstream, *args: t.Any, **kwargs: t.Any
+        self, endpoints: dict[str, Upstream], placeholder: Upstream, *args: t.Any, **kwargs: t.Any
     ) -> None:
-        super().__init__(first, *args, **kwargs)
+        super().__init__(placeholder, *args, **kwargs)
         self._endpoints = endpoints
 
     def process(self) -> None:
@@ -48,8 +48,8 @@
     def buildProtocol(self, addr: IPv4Address) -> t.Any:  # noqa: N802
         """Return a channel whose requests can address every endpoint."""
         channel = super().buildProtocol(addr)
-        first = next(iter(self._endpoints.values()))
-        channel.requestFactory = partial(ControlRequest, self._endpoints, first)
+        placeholder = next(iter(self._endpoints.values()))
+        channel.requestFactory = partial(ControlRequest, self._endpoints, placeholder)
         return channel
 
     def log(self, request: t.Any) -> None:
--- a/standins/src/cardamomloft_standins/endpoints.py
+++ b/standins/src/cardamomloft_standins/endpoints.py
@@ -16,16 +16,16 @@
 HOST = "kiosks.example"
 """The host that the rules in `examples/gateway-routes.json` match."""
 
-OWN_NAMES = CallerHeaders("X-Request-Id", "X-Deadline-Ms", "X-Placement-Key")
+DEFAULT_HEADER_NAMES = CallerHeaders("X-Request-Id", "X-Deadline-Ms", "X-Placement-Key")
 """Header names of callers without a platform adapter."""
 
-BACK_S = 1.0
+RESTART_DELAY_S = 1.0
 """Time from a crash until the endpoint listens again, in seconds."""
 
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 """Interval at which a server thread checks for shutdown, in seconds."""
 
-_numbers = itertools.count(1)
+_sequence = itertools.count(1)
 
 Behaviour = Callable[["Endpoint", "_Handler"], None]
 
@@ -64,7 +64,7 @@
     def crash(self) -> None:
         """Close all connections like a crashed process; restart on the same address later."""
         self._end()
-        threading.Timer(BACK_S, self._open, (self.server.server_address[1],)).start()
+        threading.Timer(RESTART_DELAY_S, self._open, (self.server.server_address[1],)).start()
 
     def close(self) -> None:
         """Stop the endpoint without a restart."""
@@ -76,7 +76,9 @@
             return
         self.server = _Server(("127.0.0.1", port), _Handler)
         self.server.endpoint = self
-        threading.Thread(target=self.server.serve_forever, args=(POLL_S,), daemon=True).start()
+        threading.Thread(
+            target=self.server.serve_forever, args=(POLL_INTERVAL_S,), daemon=True
+        ).start()
 
     def _end(self) -> None:
         self.server.shutdown()
@@ -120,8 +122,8 @@
         """Send the endpoint's name as the body of an answer."""
         body = self.server.endpoint.name.encode()
         self.send_response(status)
-        own = {"Content-Length": str(len(body))}
-        for name, value in {**own, **self.server.endpoint.headers, **headers}.items():
+        defaults = {"Content-Length": str(len(body))}
+        for name, value in {**defaults, **self.server.endpoint.headers, **headers}.items():
             self.send_header(name, value)
         self.end_headers()
         self.wfile.write(body)
@@ -159,7 +161,7 @@
 ) -> Iterator[tuple[list[Endpoint], list[Arrival]]]:
     """Run `count` endpoints of the service ``menus``, registered in the store at `store`."""
     arrivals: list[Arrival] = []
-    endpoints = [Endpoint(f"i-{next(_numbers)}", arrivals, behaviour) for _ in range(count)]
+    endpoints = [Endpoint(f"i-{next(_sequence)}", arrivals, behaviour) for _ in range(count)]
     for endpoint in endpoints:
         register(store, endpoint)
     try:
@@ -190,11 +192,13 @@
     body: bytes
 
 
-def ask(gateway: str, path: str, key: str = "17", names: CallerHeaders = OWN_NAMES) -> Reply:
+def ask(
+    gateway: str, path: str, key: str = "17", names: CallerHeaders = DEFAULT_HEADER_NAMES
+) -> Reply:
     """Send one GET request to a gateway on a new connection."""
     conn = http.client.HTTPConnection(gateway, timeout=5)
-    said = {names.request_id: f"r{next(_numbers)}", names.key: key, names.deadline_ms: "2000"}
+    headers = {names.request_id: f"r{next(_sequence)}", names.key: key, names.deadline_ms: "2000"}
     with contextlib.closing(conn):
-        conn.request("GET", path, headers={"Host": HOST, **said})
+        conn.request("GET", path, headers={"Host": HOST, **headers})
         answer = conn.getresponse()
         return Reply(answer.status, dict(answer.getheaders()), answer.read())
--- a/standins/src/cardamomloft_standins/experiment/endpoints.py
+++ b/standins/src/cardamomloft_standins/experiment/endpoints.py
@@ -11,7 +11,7 @@
 from cardamomloft_standins.experiment.scenarios import Traits
 
 
-class Ended(t.NamedTuple):
+class JobResult(t.NamedTuple):
     """The result of a request at an endpoint.
 
     Attributes
@@ -39,15 +39,15 @@
     ----------
     key
         The affinity key.
-    until
+    deadline
         Deadline as simulated time, in seconds.
     on_end
         Called with the result, unless the endpoint crashes before.
     """
 
-    def __init__(self, key: str, until: float, on_end: Callable[[Ended], None]) -> None:
+    def __init__(self, key: str, deadline: float, on_end: Callable[[JobResult], None]) -> None:
         self.key = key
-        self.until = until
+        self.deadline = deadline
         self.on_end = on_end
         self.abandoned = False
 
@@ -80,53 +80,55 @@
         self, clock: Clock, registration: Registration, traits: Traits, rng: random.Random
     ) -> None:
         self.registration = registration
-        self.lost = False
+        self.crashed = False
         self.slowness = 1.0
         self.errors = 0.0
         self._clock = clock
         self._traits = traits
         self._rng = rng
         self._running: set[Job] = set()
-        self._waiting: deque[Job] = deque()
-        self._kept: OrderedDict[str, None] = OrderedDict()
+        self._queue: deque[Job] = deque()
+        self._cache: OrderedDict[str, None] = OrderedDict()
 
     def offer(self, job: Job) -> None:
         """Run, queue or refuse a request."""
-        if self.lost:
+        if self.crashed:
             return
         if len(self._running) < self._traits.slots:
             self._start(job)
-        elif len(self._waiting) < self._traits.queue:
-            self._waiting.append(job)
+        elif len(self._queue) < self._traits.queue:
+            self._queue.append(job)
         else:
-            job.on_end(Ended(False, False, self.load()))
+            job.on_end(JobResult(False, False, self.load()))
 
-    def lose(self) -> None:
+    def crash(self) -> None:
         """Crash: drop the cache and all requests without an answer."""
-        self.lost = True
+        self.crashed = True
         self._running.clear()
-        self._waiting.clear()
-        self._kept.clear()
+        self._queue.clear()
+        self._cache.clear()
 
     def load(self) -> str:
         """Return the load report: running, queued, slots."""
-        return f"{len(self._running)},{len(self._waiting)},{self._traits.slots}"
+        return f"{len(self._running)},{len(self._queue)},{self._traits.slots}"
 
     def _start(self, job: Job) -> None:
         self._running.add(job)
-        warm = self._touch(job.key)
-        work = self._traits.work.total_seconds() * (self._traits.warm_part if warm else 1)
-        work *= self._rng.lognormvariate(0, self._traits.spread) * self.slowness
+        warm = self._access_cache(job.key)
+        service_time = self._traits.service_time.total_seconds() * (
+            self._traits.warm_fraction if warm else 1
+        )
+        service_time *= self._rng.lognormvariate(0, self._traits.spread) * self.slowness
         # Endpoints receive the deadline with each request and stop at it.
-        work = min(work, max(0.0, job.until - self._clock.seconds()))
-        self._clock.callLater(work, self._finish, job, warm)
-
-    def _touch(self, key: str) -> bool:
-        warm = key in self._kept
-        self._kept[key] = None
-        self._kept.move_to_end(key)
-        if len(self._kept) > self._traits.keeps:
-            self._kept.popitem(last=False)
+        service_time = min(service_time, max(0.0, job.deadline - self._clock.seconds()))
+        self._clock.callLater(service_time, self._finish, job, warm)
+
+    def _access_cache(self, key: str) -> bool:
+        warm = key in self._cache
+        self._cache[key] = None
+        self._cache.move_to_end(key)
+        if len(self._cache) > self._traits.cache_size:
+            self._cache.popitem(last=False)
         return warm
 
     def _finish(self, job: Job, warm: bool) -> None:
@@ -135,12 +137,12 @@
         self._running.remove(job)
         self._start_next()
         faulty = self.errors > 0 and self._rng.random() < self.errors
-        job.on_end(Ended(True, warm, self.load(), faulty))
+        job.on_end(JobResult(True, warm, self.load(), faulty))
 
     def _start_next(self) -> None:
-        while self._waiting and len(self._running) < self._traits.slots:
-            job = self._waiting.popleft()
-            if job.abandoned or job.until <= self._clock.seconds():
-                job.on_end(Ended(False, False, self.load()))
+        while self._queue and len(self._running) < self._traits.slots:
+            job = self._queue.popleft()
+            if job.abandoned or job.deadline <= self._clock.seconds():
+                job.on_end(JobResult(False, False, self.load()))
             else:
                 self._start(job)
--- a/standins/src/cardamomloft_standins/experiment/policies.py
+++ b/standins/src/cardamomloft_standins/experiment/policies.py
@@ -13,10 +13,10 @@
 
 from cardamomloft_standins.experiment.sharing import SharingSelector
 
-MakeSelector = Callable[[UpstreamTable, str, str, ColdLimit], Selector]
+SelectorFactory = Callable[[UpstreamTable, str, str, ColdLimit], Selector]
 
 
-class _Plain(Selector):
+class _RankedSelector(Selector):
     """Chooses the available endpoint with the lowest rank, regardless of caches."""
 
     def choose(
@@ -29,21 +29,21 @@
         now: timedelta,
     ) -> Choice | Refusal:
         """Return the lowest ranked endpoint that is not ejected and has not been tried."""
-        usable = [
+        candidates = [
             up
             for up in self._book.of_service(service)
             if up.id not in tried and up.ejected_until <= now
         ]
-        if not usable:
+        if not candidates:
             return Refusal(RefusalReason.OVERLOAD, "no endpoint is left")
-        return Choice(min(usable, key=lambda up: self.rank(up, key, now)), Reason.PRIMARY)
+        return Choice(min(candidates, key=lambda up: self.rank(up, key, now)), Reason.PRIMARY)
 
     def rank(self, upstream: Upstream, key: str, now: timedelta) -> t.Any:
         """Return the sort key of an endpoint; the endpoint with the smallest one is chosen."""
         raise NotImplementedError
 
 
-class RandomChoice(_Plain):
+class RandomChoice(_RankedSelector):
     """Chooses a random endpoint."""
 
     def rank(self, upstream: Upstream, key: str, now: timedelta) -> t.Any:
@@ -51,33 +51,33 @@
         return hash((upstream.id, now))
 
 
-class Nearest(_Plain):
+class Nearest(_RankedSelector):
     """Chooses the nearest endpoint with a free slot, or else the least loaded one."""
 
     def rank(self, upstream: Upstream, key: str, now: timedelta) -> t.Any:
-        """Return whether the endpoint is full, its distance (if it has a free slot) and its load."""
-        here = self._zone
-        far = upstream.registration.zone != here
-        farther = upstream.region != self._book.regions.get(here)
+        """Return whether the endpoint is full, its distance unless it is full, and its load."""
+        zone = self._zone
+        other_zone = upstream.registration.zone != zone
+        other_region = upstream.region != self._book.regions.get(zone)
         load = expected_load(upstream, now) / upstream.registration.slots
-        return load >= 1, load if load >= 1 else far + farther, load
+        return load >= 1, load if load >= 1 else other_zone + other_region, load
 
 
-def _made_by(kind: type[Selector], preferences: Preferences) -> MakeSelector:
+def _selector_factory(kind: type[Selector], preferences: Preferences) -> SelectorFactory:
     return lambda book, name, zone, cold: kind(book, name, zone, cold, preferences)
 
 
 _UNBOUNDED = Preferences(default_load=99, min_load=99, max_load=99)
 
-POLICIES: dict[str, MakeSelector] = {
-    "product": _made_by(Selector, Preferences()),
-    "eager-second": _made_by(Selector, Preferences(secondary_load=1.0)),
-    "first-only": _made_by(Selector, Preferences(cached_load=0.0)),
-    "one-choice": _made_by(Selector, Preferences(endpoints_per_key=1)),
-    "hash-unbounded": _made_by(Selector, _UNBOUNDED),
-    "shared-failures": _made_by(SharingSelector, Preferences()),
-    "nearest": _made_by(Nearest, Preferences()),
-    "random": _made_by(RandomChoice, Preferences()),
+POLICIES: dict[str, SelectorFactory] = {
+    "product": _selector_factory(Selector, Preferences()),
+    "eager-second": _selector_factory(Selector, Preferences(secondary_load=1.0)),
+    "first-only": _selector_factory(Selector, Preferences(cached_load=0.0)),
+    "one-choice": _selector_factory(Selector, Preferences(endpoints_per_key=1)),
+    "hash-unbounded": _selector_factory(Selector, _UNBOUNDED),
+    "shared-failures": _selector_factory(SharingSelector, Preferences()),
+    "nearest": _selector_factory(Nearest, Preferences()),
+    "random": _selector_factory(RandomChoice, Preferences()),
 }
 """Selector factories by name. All but ``product`` are for comparison only.
 
--- a/standins/src/cardamomloft_standins/experiment/report.py
+++ b/standins/src/cardamomloft_standins/experiment/report.py
@@ -72,8 +72,8 @@
     """
 
     median: Summary
-    least: float
-    most: float
+    min_credit: float
+    max_credit: float
 
 
 def spread(summaries: Sequence[Summary]) -> Spread:
@@ -88,14 +88,19 @@
     credits: dict[float, list[float]] = {}
     for outcome in outcomes:
         credits.setdefault(outcome.at // WINDOW_S * WINDOW_S, []).append(outcome.credit)
-    return {begin: sum(found) / len(found) for begin, found in sorted(credits.items())}
+    return {start: sum(found) / len(found) for start, found in sorted(credits.items())}
 
 
 def table(spreads: Mapping[str, Spread]) -> str:
     """Return a text table with a row per policy: the medians and the credit range."""
     heads = ["policy", *Summary._fields, "least", "most"]
     rows = [
-        [name, *map(_text, found.median), _text(found.least), _text(found.most)]
+        [
+            name,
+            *map(_format_value, found.median),
+            _format_value(found.min_credit),
+            _format_value(found.max_credit),
+        ]
         for name, found in spreads.items()
     ]
     widths = [max(map(len, column)) for column in zip(heads, *rows, strict=True)]
@@ -106,13 +111,13 @@
     return "\n".join(lines)
 
 
-def _text(value: float) -> str:
+def _format_value(value: float) -> str:
     if isinstance(value, int):
         return str(value)
     return f"{value:.3f}" if value <= 1 else f"{value:.0f}"
 
 
-def plot(plays: Mapping[str, Sequence[Outcome]], title: str, path: Path) -> None:
+def plot(runs: Mapping[str, Sequence[Outcome]], title: str, path: Path) -> None:
     """Plot the credit over time under each policy to the file `path`."""
     import matplotlib
 
@@ -120,7 +125,7 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(8, 4))
-    for name, outcomes in plays.items():
+    for name, outcomes in runs.items():
         windows = by_window(outcomes)
         axes.plot(list(windows), list(windows.values()), marker=".", label=name)
     axes.set(title=title, xlabel="time of asking (s)", ylabel="mean credit", ylim=(0, 1.02))
--- a/standins/src/cardamomloft_standins/experiment/scenarios.py
+++ b/standins/src/cardamomloft_standins/experiment/scenarios.py
@@ -24,9 +24,9 @@
 
     slots: int
     queue: int
-    keeps: int
-    work: timedelta
-    warm_part: float
+    cache_size: int
+    service_time: timedelta
+    warm_fraction: float
     spread: float
 
 
@@ -43,12 +43,12 @@
     skew
         Zipf exponent of the key popularity.
     swing, phase
-        Amplitude of a sine wave of period `WAVE` on the load, as a fraction of `per_s`, and its
-        phase, as a fraction of the period.
+        Amplitude of a sine wave of period `WAVE_PERIOD` on the load, as a fraction of `per_s`, and
+        its phase, as a fraction of the period.
     """
 
     per_s: float
-    objects: int
+    key_count: int
     skew: float
     swing: float = 0.0
     phase: float = 0.0
@@ -70,7 +70,7 @@
     zone: str
 
 
-class Ailment(t.NamedTuple):
+class Degradation(t.NamedTuple):
     """A period in which randomly chosen endpoints are degraded.
 
     Attributes
@@ -85,7 +85,7 @@
 
     begin: timedelta
     end: timedelta
-    part: float
+    fraction: float
     slowness: float = 1.0
     errors: float = 0.0
 
@@ -141,17 +141,17 @@
     bursts: tuple[Burst, ...] = ()
     crashes: tuple[Crash, ...] = ()
     drains: tuple[Drain, ...] = ()
-    ailments: tuple[Ailment, ...] = ()
+    degradations: tuple[Degradation, ...] = ()
     cross_region: timedelta = timedelta(milliseconds=35)
     silence: timedelta | None = None
     regional: bool = False
 
 
-WAVE = timedelta(seconds=36)
+WAVE_PERIOD = timedelta(seconds=36)
 """Period of the load wave."""
 
-IN_ZONE = timedelta(microseconds=100)
-CROSS_ZONE = timedelta(microseconds=500)
+IN_ZONE_LATENCY = timedelta(microseconds=100)
+CROSS_ZONE_LATENCY = timedelta(microseconds=500)
 """One-way latencies between machines within a zone and between zones of a region."""
 
 _SECOND = timedelta(seconds=1)
@@ -181,13 +181,13 @@
     if name.startswith("fleet"):
         return _fleet(name, use)
     if name.startswith("crowd"):
-        return _crowd(name, use)
+        return _many_gateways(name, use)
     traits = Traits(4, 12, 36, timedelta(milliseconds=480), 0.25, 0.15)
     slots = sum(_ENDPOINTS.values()) * traits.slots
-    capacity = slots / (traits.work.total_seconds() * traits.warm_part)
+    capacity = slots / (traits.service_time.total_seconds() * traits.warm_fraction)
     # Three quarters of the keys that all caches can hold, if each key is cached once.
-    objects = sum(_ENDPOINTS.values()) * traits.keeps * 3 // 4 // len(_ZONES)
-    load = Load(use * capacity / len(_ZONES), objects, 0.2)
+    key_count = sum(_ENDPOINTS.values()) * traits.cache_size * 3 // 4 // len(_ZONES)
+    load = Load(use * capacity / len(_ZONES), key_count, 0.2)
     calm = Scenario(
         zones=_ZONES,
         endpoints=_ENDPOINTS,
@@ -201,7 +201,7 @@
         "calm": calm,
         "burst": calm._replace(bursts=(Burst(6 * _SECOND, 9 * _SECOND, 1.7),)),
         "loss": calm._replace(crashes=(Crash(6 * _SECOND, 10.5 * _SECOND, "b1"),)),
-        "roomy": calm._replace(traits=traits._replace(keeps=2 * traits.keeps)),
+        "roomy": calm._replace(traits=traits._replace(cache_size=2 * traits.cache_size)),
         "hot": calm._replace(load=dict.fromkeys(_ZONES, load._replace(skew=1.5))),
     }
     return found[name]
@@ -214,7 +214,7 @@
     """Return a scenario with few keys, all of which fit into every cache."""
     traits = Traits(3, 6, 1000, timedelta(milliseconds=480), 0.3, 0.15)
     slots = sum(_FLEET_ENDPOINTS.values()) * traits.slots
-    capacity = slots / (traits.work.total_seconds() * traits.warm_part)
+    capacity = slots / (traits.service_time.total_seconds() * traits.warm_fraction)
     load = Load(use * capacity / len(_ZONES), 12, 0.0, swing=0.55)
     phases = {"a": 0.0, "b": 1 / 3, "c": 2 / 3}
     calm = Scenario(
@@ -239,19 +239,21 @@
     return found[name]
 
 
-_CROWD_ENDPOINTS = {"a": 15, "b": 63, "c": 75}
+_MANY_GATEWAYS_ENDPOINTS = {"a": 15, "b": 63, "c": 75}
 
 
-def _crowd(name: str, use: float) -> Scenario:
+def _many_gateways(name: str, use: float) -> Scenario:
     """Return a scenario with so many gateways that each rarely sends to a given endpoint.
 
     Region ``a`` has a tenth of the endpoints and a third of the load.
     """
     traits = Traits(5, 15, 13, timedelta(milliseconds=1632), 0.25, 0.15)
-    zones = {f"{region}{number}": region for region in _CROWD_ENDPOINTS for number in (1, 2, 3)}
-    endpoints = {zone: _CROWD_ENDPOINTS[region] for zone, region in zones.items()}
+    zones = {
+        f"{region}{number}": region for region in _MANY_GATEWAYS_ENDPOINTS for number in (1, 2, 3)
+    }
+    endpoints = {zone: _MANY_GATEWAYS_ENDPOINTS[region] for zone, region in zones.items()}
     slots = sum(endpoints.values()) * traits.slots
-    capacity = slots / (traits.work.total_seconds() * traits.warm_part)
+    capacity = slots / (traits.service_time.total_seconds() * traits.warm_fraction)
     load = Load(use * capacity / len(zones), 336, 0.2, swing=0.55)
     phases = {"a": 0.1, "b": 0.43, "c": 0.77}
     calm = Scenario(
@@ -267,14 +269,14 @@
         silence=timedelta(milliseconds=700),
         regional=True,
     )
-    slow = Ailment(8 * _SECOND, 14.5 * _SECOND, 0.16, slowness=5.0)
-    failing = Ailment(14 * _SECOND, 20.5 * _SECOND, 0.14, errors=0.45)
+    slow = Degradation(8 * _SECOND, 14.5 * _SECOND, 0.16, slowness=5.0)
+    failing = Degradation(14 * _SECOND, 20.5 * _SECOND, 0.14, errors=0.45)
     burst = Burst(10 * _SECOND, 13 * _SECOND, 1.7)
     found = {
         "crowd": calm,
-        "crowd-slow": calm._replace(ailments=(slow,)),
+        "crowd-slow": calm._replace(degradations=(slow,)),
         "crowd-heavy": calm._replace(
-            ailments=(slow, failing),
+            degradations=(slow, failing),
             bursts=(burst,),
             crashes=(Crash(18 * _SECOND, 22.5 * _SECOND, "c3"),),
         ),
--- a/standins/src/cardamomloft_standins/experiment/sharing.py
+++ b/standins/src/cardamomloft_standins/experiment/sharing.py
@@ -9,7 +9,7 @@
 from cardamomloft.core.suspicion import Suspicions
 from cardamomloft.core.upstreamtable import Upstream
 
-PASSING = timedelta(milliseconds=150)
+REPORT_LATENCY = timedelta(milliseconds=150)
 """Latency of a report from one gateway to all others, through a relay on each side."""
 
 
@@ -26,7 +26,7 @@
 
     def __init__(self, *args: t.Any) -> None:
         super().__init__(*args)
-        self.told = 0
+        self.report_count = 0
         self._loop: t.Any = None
         self._others: Sequence[SharingSelector] = ()
         self._name = str(id(self))
@@ -38,41 +38,41 @@
 
     def record_failure(self, upstream: Upstream, now: timedelta) -> None:
         """Record a failure and report it."""
-        self._tell(upstream.id, now, failed=True)
+        self._report(upstream.id, now, failed=True)
 
     def record_answer(self, upstream: Upstream, took: timedelta, load: float) -> None:
         """Record an answer, and report it if the endpoint is suspected."""
         super().record_answer(upstream, took, load)
-        if self._suspicions.is_suspected(_life_of(upstream)):
-            self._tell(upstream.id, timedelta(seconds=self._loop.seconds()), failed=False)
+        if self._suspicions.is_suspected(_incarnation_of(upstream)):
+            self._report(upstream.id, timedelta(seconds=self._loop.seconds()), failed=False)
 
-    def heard(self, upstream_id: str, entry: str, at: timedelta, failed: bool) -> None:
+    def receive_report(self, upstream_id: str, entry: str, at: timedelta, failed: bool) -> None:
         """Apply a report of this or another gateway."""
         upstream = self._book.get(upstream_id)
         if upstream is None:
             return
-        life = _life_of(upstream)
+        incarnation = _incarnation_of(upstream)
         if failed:
             now = timedelta(seconds=self._loop.seconds())
-            self._suspicions.record_failure(life, entry, at, now)
+            self._suspicions.record_failure(incarnation, entry, at, now)
         else:
-            self._suspicions.record_answer(life, at)
-        upstream.ejected_until = self._suspicions.ejected_until(life)
+            self._suspicions.record_answer(incarnation, at)
+        upstream.ejected_until = self._suspicions.ejected_until(incarnation)
 
-    def _tell(self, upstream_id: str, at: timedelta, *, failed: bool) -> None:
-        self.told += 1
-        seen = (upstream_id, self._name, at, failed)
-        self.heard(*seen)
+    def _report(self, upstream_id: str, at: timedelta, *, failed: bool) -> None:
+        self.report_count += 1
+        report = (upstream_id, self._name, at, failed)
+        self.receive_report(*report)
         for other in self._others:
-            self._loop.callLater(PASSING.total_seconds(), other.heard, *seen)
+            self._loop.callLater(REPORT_LATENCY.total_seconds(), other.receive_report, *report)
 
 
 def connect(loop: t.Any, selectors: Sequence[Selector]) -> None:
     """Connect all selectors that share their observations."""
-    telling = [one for one in selectors if isinstance(one, SharingSelector)]
-    for one in telling:
-        one.connect(loop, [other for other in telling if other is not one])
+    sharing = [one for one in selectors if isinstance(one, SharingSelector)]
+    for one in sharing:
+        one.connect(loop, [other for other in sharing if other is not one])
 
 
-def _life_of(upstream: Upstream) -> UpstreamIncarnation:
+def _incarnation_of(upstream: Upstream) -> UpstreamIncarnation:
     return UpstreamIncarnation(upstream.id, upstream.registration.started_ms)
--- a/standins/src/cardamomloft_standins/experiment/world.py
+++ b/standins/src/cardamomloft_standins/experiment/world.py
@@ -22,19 +22,24 @@
 
 from cardamomloft_standins import gateway as kit
 from cardamomloft_standins.experiment.callers import Callers, Outcome
-from cardamomloft_standins.experiment.endpoints import Ended, Job, ModelEndpoint
+from cardamomloft_standins.experiment.endpoints import Job, JobResult, ModelEndpoint
 from cardamomloft_standins.experiment.loop import Loop
-from cardamomloft_standins.experiment.policies import MakeSelector
-from cardamomloft_standins.experiment.scenarios import CROSS_ZONE, IN_ZONE, Ailment, Scenario
+from cardamomloft_standins.experiment.policies import SelectorFactory
+from cardamomloft_standins.experiment.scenarios import (
+    CROSS_ZONE_LATENCY,
+    IN_ZONE_LATENCY,
+    Degradation,
+    Scenario,
+)
 from cardamomloft_standins.experiment.sharing import connect
 
 SERVICE = "modelled"
-_COLD = ColdLimit(1.5, 8.0)
+_COLD_LIMIT = ColdLimit(1.5, 8.0)
 _POLICY = ServicePolicy(SERVICE, 1000, timedelta(seconds=3), 7.0)
-_BUDGET = (0.2, 60.0, timedelta(seconds=10))
-_DRAIN = timedelta(seconds=5)
+_RETRY_BUDGET = (0.2, 60.0, timedelta(seconds=10))
+_DRAIN_TIME = timedelta(seconds=5)
 
-LAPSE = timedelta(milliseconds=4500)
+REGISTRATION_TTL = timedelta(milliseconds=4500)
 """Time until the registration of a crashed endpoint expires: three heartbeats of 1.5 s."""
 
 
@@ -53,14 +58,14 @@
         return datetime(2026, 1, 1, tzinfo=UTC) + self.monotonic()
 
 
-class _NoLog(RequestLog):
+class _NullLog(RequestLog):
     """A request log that writes nothing."""
 
     def _has_room(self, now: timedelta) -> bool:
         return False
 
 
-class _Flow:
+class _EmptyBodyFlow:
     """Flow control of an empty request body."""
 
     def pause_body(self) -> None:
@@ -83,7 +88,7 @@
         Seed of all random draws; the arrivals are the same for every policy.
     """
 
-    def __init__(self, scenario: Scenario, policy: MakeSelector, seed: int) -> None:
+    def __init__(self, scenario: Scenario, policy: SelectorFactory, seed: int) -> None:
         self.scenario = scenario
         self.reactor = Loop()
         self.clock = SimulatedClock(self.reactor)
@@ -94,16 +99,16 @@
         self.endpoints = dict(self._make_endpoints())
         self.entries = {zone: self._make_entries(zone, policy) for zone in scenario.zones}
         connect(self.reactor, [entry.selector for row in self.entries.values() for entry in row])
-        self._plan_crashes()
-        self._plan_drains()
-        self._plan_ailments()
+        self._schedule_crashes()
+        self._schedule_drains()
+        self._schedule_degradations()
 
     def run(self) -> list[Outcome]:
         """Run the scenario and return the callers' results, ordered by the time of the request."""
         arrivals = random.Random(self._seed)
         for zone, load in self.scenario.load.items():
             Callers(self, zone, load, random.Random(arrivals.random())).start()
-        self.reactor.run_until((self.scenario.length + _DRAIN).total_seconds())
+        self.reactor.run_until((self.scenario.length + _DRAIN_TIME).total_seconds())
         return sorted(self.outcomes)
 
     def _make_endpoints(self) -> t.Iterator[tuple[str, ModelEndpoint]]:
@@ -115,105 +120,109 @@
                 rng = random.Random(self.rng.random())
                 yield name, ModelEndpoint(self.reactor, row, self.scenario.traits, rng)
 
-    def _make_entries(self, zone: str, policy: MakeSelector) -> list["_Entry"]:
+    def _make_entries(self, zone: str, policy: SelectorFactory) -> list["_Entry"]:
         count = self.scenario.entries_per_zone
         return [_Entry(self, f"e-{zone}-{number}", zone, policy) for number in range(count)]
 
-    def _plan_crashes(self) -> None:
+    def _schedule_crashes(self) -> None:
         for crash in self.scenario.crashes:
             for endpoint in self._endpoints_in(crash.zone):
-                self.reactor.callLater(crash.begin.total_seconds(), endpoint.lose)
-                self.reactor.callLater(crash.end.total_seconds(), self._bring_back, endpoint)
-                if crash.end - crash.begin > LAPSE:
-                    lapse = (crash.begin + LAPSE).total_seconds()
-                    self.reactor.callLater(lapse, self._withdraw, endpoint)
+                self.reactor.callLater(crash.begin.total_seconds(), endpoint.crash)
+                self.reactor.callLater(crash.end.total_seconds(), self._restart, endpoint)
+                if crash.end - crash.begin > REGISTRATION_TTL:
+                    expires_at = (crash.begin + REGISTRATION_TTL).total_seconds()
+                    self.reactor.callLater(expires_at, self._withdraw, endpoint)
 
     def _endpoints_in(self, zone: str) -> list[ModelEndpoint]:
         return [up for up in self.endpoints.values() if up.registration.zone == zone]
 
-    def _books(self) -> t.Iterator[UpstreamTable]:
+    def _upstream_tables(self) -> t.Iterator[UpstreamTable]:
         for entries in self.entries.values():
             for entry in entries:
-                yield entry.book
+                yield entry.table
 
     def _withdraw(self, endpoint: ModelEndpoint) -> None:
-        for book in self._books():
-            book.withdraw(endpoint.registration.id, self.clock.monotonic())
+        for table in self._upstream_tables():
+            table.withdraw(endpoint.registration.id, self.clock.monotonic())
 
-    def _bring_back(self, endpoint: ModelEndpoint) -> None:
+    def _restart(self, endpoint: ModelEndpoint) -> None:
         """Restart a crashed endpoint with a cold registration."""
-        endpoint.lost = False
+        endpoint.crashed = False
         now = self.clock.monotonic()
         started_ms = now // timedelta(milliseconds=1)
         row = endpoint.registration._replace(cold_left=_POLICY.cold_time, started_ms=started_ms)
-        for book in self._books():
-            book.register(row, now)
+        for table in self._upstream_tables():
+            table.register(row, now)
 
-    def _plan_ailments(self) -> None:
+    def _schedule_degradations(self) -> None:
         rng = random.Random(self._seed)
-        for ailment in self.scenario.ailments:
-            count = round(ailment.part * len(self.endpoints))
+        for degradation in self.scenario.degradations:
+            count = round(degradation.fraction * len(self.endpoints))
             for endpoint in rng.sample(list(self.endpoints.values()), count):
-                self.reactor.callLater(ailment.begin.total_seconds(), _ail, endpoint, ailment)
-                self.reactor.callLater(ailment.end.total_seconds(), _recover, endpoint, ailment)
-
-    def _plan_drains(self) -> None:
+                self.reactor.callLater(
+                    degradation.begin.total_seconds(), _degrade, endpoint, degradation
+                )
+                self.reactor.callLater(
+                    degradation.end.total_seconds(), _recover, endpoint, degradation
+                )
+
+    def _schedule_drains(self) -> None:
         for drain in self.scenario.drains:
             self.reactor.callLater(drain.begin.total_seconds(), self._drain, drain.zone)
             self.reactor.callLater(drain.end.total_seconds(), self._restore, drain.zone)
 
     def _drain(self, zone: str) -> None:
-        for book in self._books():
-            book.drain_zone(zone)
+        for table in self._upstream_tables():
+            table.drain_zone(zone)
 
     def _restore(self, zone: str) -> None:
-        for book in self._books():
-            book.restore_zone(zone, self.clock.monotonic(), {SERVICE: _POLICY.cold_time})
+        for table in self._upstream_tables():
+            table.restore_zone(zone, self.clock.monotonic(), {SERVICE: _POLICY.cold_time})
 
     def delay(self, zone: str, other: str) -> float:
         """Return the one-way latency between two zones, in seconds."""
         if zone == other:
-            return IN_ZONE.total_seconds()
+            return IN_ZONE_LATENCY.total_seconds()
         same = self.scenario.zones[zone] == self.scenario.zones[other]
-        return (CROSS_ZONE if same else self.scenario.cross_region).total_seconds()
+        return (CROSS_ZONE_LATENCY if same else self.scenario.cross_region).total_seconds()
 
 
 class _Entry:
     """The forwarding and placement of one gateway, with a simulated upstream client."""
 
-    def __init__(self, world: World, name: str, zone: str, policy: MakeSelector) -> None:
+    def __init__(self, world: World, name: str, zone: str, policy: SelectorFactory) -> None:
         self._world = world
-        self.book = book = UpstreamTable(world.scenario.zones)
+        self.table = table = UpstreamTable(world.scenario.zones)
         for endpoint in world.endpoints.values():
-            book.register(endpoint.registration, timedelta(0))
-        self.selector = selector = policy(book, name, zone, _COLD)
+            table.register(endpoint.registration, timedelta(0))
+        self.selector = selector = policy(table, name, zone, _COLD_LIMIT)
         selector.policies = {SERVICE: _POLICY}
         selector.entries = len(world.scenario.zones) * world.scenario.entries_per_zone
-        budget = RetryBudget(*_BUDGET)
+        budget = RetryBudget(*_RETRY_BUDGET)
         self.client = _Client(world, zone)
         self._forwarder = Forwarder(
             world.reactor,
             world.clock,
             random.Random(world.rng.random()),
             selector,
-            book,
+            table,
             t.cast(t.Any, self.client),
             lambda service: budget,
             Metrics(),
-            _NoLog(lambda: 1),
-            NoticeHandler(world.clock, book, Metrics()),
+            _NullLog(lambda: 1),
+            NoticeHandler(world.clock, table, Metrics()),
         )
 
-    def ask(self, request_id: str, key: str, patience: timedelta) -> "Deferred[Answer]":
+    def ask(self, request_id: str, key: str, wait_limit: timedelta) -> "Deferred[Answer]":
         """Forward one request; its caller waits for at most `wait_limit`."""
         now = self._world.clock.monotonic()
         rule = self._world.rule
-        until = now + min(rule.timeout, patience)
-        call = Call(request_id, rule, SERVICE, key, now, until, "/", now + patience)
+        until = now + min(rule.timeout, wait_limit)
+        call = Call(request_id, rule, SERVICE, key, now, until, "/", now + wait_limit)
         head = RequestHead("GET", "/", "", (), "10.0.0.1", 0, False)
         gone: Deferred[None] = Deferred()
-        carried = self._forwarder.forward(call, head, RequestBody(0, _Flow()), gone)
-        return Deferred.fromCoroutine(carried)
+        answer = self._forwarder.forward(call, head, RequestBody(0, _EmptyBodyFlow()), gone)
+        return Deferred.fromCoroutine(answer)
 
 
 class _Client:
@@ -239,33 +248,35 @@
                 job.abandoned = outcome.is_error()
                 result.callback(outcome)
 
-        def ended(how: Ended) -> None:
-            self.warm[req.request_id] = how.warm
-            status = (500 if how.faulty else 200) if how.ran else 503
-            answer = kit.answer(status, b"", not_run=not how.ran, x_load=how.load)
+        def on_end(job_result: JobResult) -> None:
+            self.warm[req.request_id] = job_result.warm
+            status = (500 if job_result.faulty else 200) if job_result.ran else 503
+            answer = kit.answer(status, b"", not_run=not job_result.ran, x_load=job_result.load)
             reactor.callLater(delay, settle, answer)
 
         until = reactor.seconds() + req.timeout.total_seconds()
-        job = Job(_key_of(req), until, ended)
+        job = Job(_key_of(req), until, on_end)
         endpoint = self._world.endpoints[req.endpoint.name]
         reactor.callLater(delay, endpoint.offer, job)
         silence = self._world.scenario.silence
         if silence is not None:
-            silent = Error(SendFailure(False, "silent"))
-            reactor.callLater(silence.total_seconds(), lambda: endpoint.lost and settle(silent))
-        late = Error(SendFailure(False, "deadline passed"))
-        reactor.callLater(req.timeout.total_seconds(), settle, late)
+            connection_lost = Error(SendFailure(False, "silent"))
+            reactor.callLater(
+                silence.total_seconds(), lambda: endpoint.crashed and settle(connection_lost)
+            )
+        deadline_passed = Error(SendFailure(False, "deadline passed"))
+        reactor.callLater(req.timeout.total_seconds(), settle, deadline_passed)
         return result
 
 
-def _ail(endpoint: ModelEndpoint, ailment: Ailment) -> None:
-    endpoint.slowness *= ailment.slowness
-    endpoint.errors += ailment.errors
+def _degrade(endpoint: ModelEndpoint, degradation: Degradation) -> None:
+    endpoint.slowness *= degradation.slowness
+    endpoint.errors += degradation.errors
 
 
-def _recover(endpoint: ModelEndpoint, ailment: Ailment) -> None:
-    endpoint.slowness /= ailment.slowness
-    endpoint.errors -= ailment.errors
+def _recover(endpoint: ModelEndpoint, degradation: Degradation) -> None:
+    endpoint.slowness /= degradation.slowness
+    endpoint.errors -= degradation.errors
 
 
 def _key_of(req: UpstreamRequest) -> str:
--- a/standins/src/cardamomloft_standins/faults.py
+++ b/standins/src/cardamomloft_standins/faults.py
@@ -58,7 +58,7 @@
     cold_factor: float = 1
 
 
-def changed(current: T, changes: object) -> T | str:
+def apply_changes(current: T, changes: object) -> T | str:
     """Return `current` with `changes` applied, or an error text if they are invalid."""
     if not isinstance(changes, dict):
         return "expected a JSON object"
--- a/standins/src/cardamomloft_standins/gateway.py
+++ b/standins/src/cardamomloft_standins/gateway.py
@@ -93,8 +93,8 @@
 
     def collect(self, limit: int):
         """Return the body or its error."""
-        whole = isinstance(self.content, bytes)
-        return succeed(Ok(self.content) if whole else Error(self.content))
+        is_complete = isinstance(self.content, bytes)
+        return succeed(Ok(self.content) if is_complete else Error(self.content))
 
     def abort(self, detail: str = "") -> None:
         """Record the abort."""
--- a/standins/src/cardamomloft_standins/keyvalue.py
+++ b/standins/src/cardamomloft_standins/keyvalue.py
@@ -63,7 +63,7 @@
         self._new_id = new_id
         self._index = FIRST_INDEX
         self._records: dict[str, Record] = {}
-        self._indexes: dict[str, int] = {}
+        self._index_by_key: dict[str, int] = {}
         self._changed_at: dict[str, float] = {}
         self._sessions: dict[str, _Session] = {}
         self._watches: set[_Watch] = set()
@@ -73,7 +73,7 @@
         """Return the record of `key`, if there is one."""
         return self._records.get(key)
 
-    def below(self, prefix: str) -> list[tuple[str, Record]]:
+    def list_prefix(self, prefix: str) -> list[tuple[str, Record]]:
         """Return the keys that begin with `prefix`, sorted, with their records."""
         return sorted(item for item in self._records.items() if item[0].startswith(prefix))
 
@@ -84,7 +84,7 @@
 
     def index(self, key: str) -> int:
         """Return the index of the last change of `key`, its deletion included."""
-        return self._indexes.get(key, FIRST_INDEX)
+        return self._index_by_key.get(key, FIRST_INDEX)
 
     def put(
         self, key: str, value: bytes, *, cas: int | None = None, acquire: str | None = None
@@ -117,27 +117,27 @@
 
     def renew_session(self, session: str) -> bool:
         """Restart the TTL of `session`; return whether the session still exists."""
-        held = self._sessions.get(session)
-        if held is None:
+        existing = self._sessions.get(session)
+        if existing is None:
             return False
-        held.expiry.reset(held.ttl.total_seconds())
+        existing.expiry.reset(existing.ttl.total_seconds())
         return True
 
     def destroy_session(self, session: str) -> bool:
         """End `session` and delete the keys that it has locked; return whether it existed."""
-        held = self._sessions.pop(session, None)
-        if held is None:
+        existing = self._sessions.pop(session, None)
+        if existing is None:
             return False
-        if held.expiry.active():
-            held.expiry.cancel()
+        if existing.expiry.active():
+            existing.expiry.cancel()
         for key in [key for key, record in self._records.items() if record.session == session]:
             del self._records[key]
             self._next_index(key)
-            self._wake(key)
+            self._notify_watches(key)
         return True
 
-    def lapse(self, name: str) -> bool:
-        """End the session that has locked the key `name`, or else the session with the id `name`."""
+    def expire(self, name: str) -> bool:
+        """End the session that has locked the key `name`, or else the session with that id."""
         record = self._records.get(name)
         if record is not None and record.session is not None:
             return self.destroy_session(record.session)
@@ -153,9 +153,9 @@
         timer = self._clock.callLater(wait.total_seconds(), changed.callback, None)
         watch = _Watch(key, changed, timer)
         self._watches.add(watch)
-        changed.addBoth(self._forget, watch)
+        changed.addBoth(self._remove_watch, watch)
         if self.index(key) > after:
-            self._fire_after(self._lag_left(key), watch)
+            self._fire_watch(self._remaining_lag(key), watch)
         return changed
 
     def close(self) -> None:
@@ -174,29 +174,29 @@
         if acquire is not None and session != acquire:
             lock, session = lock + 1, acquire
         self._records[key] = Record(value, create, index, lock, session)
-        self._wake(key)
+        self._notify_watches(key)
 
     def _next_index(self, key: str) -> int:
         self._index += 1
-        self._indexes[key] = self._index
+        self._index_by_key[key] = self._index
         self._changed_at[key] = self._clock.seconds()
         return self._index
 
-    def _lag_left(self, key: str) -> float:
+    def _remaining_lag(self, key: str) -> float:
         age = self._clock.seconds() - self._changed_at.get(key, 0.0)
         return max(0.0, self.lag.total_seconds() - age)
 
-    def _wake(self, key: str) -> None:
+    def _notify_watches(self, key: str) -> None:
         for watch in [watch for watch in self._watches if watch.key == key]:
-            self._fire_after(self._lag_left(key), watch)
+            self._fire_watch(self._remaining_lag(key), watch)
 
-    def _fire_after(self, delay: float, watch: _Watch) -> None:
+    def _fire_watch(self, delay: float, watch: _Watch) -> None:
         if delay <= 0:
             watch.changed.callback(None)
         elif self._clock.seconds() + delay < watch.timer.getTime():
             watch.timer.reset(delay)
 
-    def _forget(self, result: t.Any, watch: _Watch) -> t.Any:
+    def _remove_watch(self, result: t.Any, watch: _Watch) -> t.Any:
         self._watches.discard(watch)
         if watch.timer.active():
             watch.timer.cancel()
--- a/standins/src/cardamomloft_standins/listener.py
+++ b/standins/src/cardamomloft_standins/listener.py
@@ -19,13 +19,13 @@
     """Counts the connections of the wrapped factory."""
 
     opened = 0
-    most = 0
+    max_open = 0
 
     def registerProtocol(self, p: ProtocolWrapper) -> None:  # noqa: N802
         """Count a new connection."""
         super().registerProtocol(p)
         self.opened += 1
-        self.most = max(self.most, len(self.protocols))
+        self.max_open = max(self.max_open, len(self.protocols))
 
 
 class Listener:
@@ -64,11 +64,11 @@
         self._listening = listening
         self._port = listening.getHost().port
 
-    def close(self, spare: t.Any = None) -> defer.Deferred[None]:
+    def close(self, keep: t.Any = None) -> defer.Deferred[None]:
         """Stop listening and abort every connection except the one on transport `keep`."""
         listening, self._listening = self._listening, None
         for conn in list(self.connections.protocols):
-            if conn is not spare:
+            if conn is not keep:
                 conn.transport.abortConnection()
         if listening is None:
             return defer.succeed(None)
--- a/standins/src/cardamomloft_standins/load.py
+++ b/standins/src/cardamomloft_standins/load.py
@@ -17,8 +17,8 @@
 from twisted.internet import defer, reactor, task
 from twisted.web.client import Agent, HTTPConnectionPool
 
-_LOOKUP_LIFE_S = 1.0
-_MAX_TRIES = 4
+_LOOKUP_TTL_S = 1.0
+_MAX_ATTEMPTS = 4
 
 
 class MixRow(t.TypedDict, total=False):
@@ -109,8 +109,8 @@
         self._pool.retryAutomatically = False
         self._agent = Agent(reactor, connectTimeout=1.0, pool=self._pool)
         self._lookups: dict[str, tuple[float, dict[str, t.Any]]] = {}
-        self._bad_until: dict[str, float] = {}
-        self._running: set[defer.Deferred[None]] = set()
+        self._unavailable_until: dict[str, float] = {}
+        self._in_flight: set[defer.Deferred[None]] = set()
         self.report = Report()
         self._start = 0.0
 
@@ -118,27 +118,27 @@
         """Send requests for the configured duration, then wait for those in flight."""
         self._start = time.monotonic()
         self.report.started_at = time.time()
-        streams = [defer.ensureDeferred(self._stream(row)) for row in self._cfg["mix"]]
-        await defer.gatherResults(streams)
-        if self._running:
-            waiting = defer.gatherResults(list(self._running), consumeErrors=True)
-            waiting.addTimeout(self._cfg.get("grace_s", 15.0), reactor)
-            await waiting.addErrback(lambda _: None)
-
-    async def _stream(self, row: MixRow) -> None:
+        senders = [defer.ensureDeferred(self._send_stream(row)) for row in self._cfg["mix"]]
+        await defer.gatherResults(senders)
+        if self._in_flight:
+            in_flight = defer.gatherResults(list(self._in_flight), consumeErrors=True)
+            in_flight.addTimeout(self._cfg.get("grace_s", 15.0), reactor)
+            await in_flight.addErrback(lambda _: None)
+
+    async def _send_stream(self, row: MixRow) -> None:
         due = time.monotonic()
         end = due + self._cfg["duration_s"]
         while (due := due + self._rng.expovariate(row["rate"])) < end:
             await task.deferLater(reactor, max(0.0, due - time.monotonic()), lambda: None)
-            sent = defer.ensureDeferred(self._one(row))
-            self._running.add(sent)
-            sent.addBoth(lambda _, sent=sent: self._running.discard(sent))
+            sent = defer.ensureDeferred(self._run_request(row))
+            self._in_flight.add(sent)
+            sent.addBoth(lambda _, sent=sent: self._in_flight.discard(sent))
 
-    async def _one(self, row: MixRow) -> None:
+    async def _run_request(self, row: MixRow) -> None:
         start = time.monotonic()
         outcome = "error"
         try:
-            outcome = await self._attempts(row)
+            outcome = await self._send_with_retries(row)
         except Exception as exc:
             self.report.last_errors.append(f"{row['name']}: {type(exc).__name__}: {exc}"[:300])
         elapsed = time.monotonic() - start
@@ -152,22 +152,26 @@
                 self.report.in_time[row["name"]] += 1
                 self.report.in_time_by_second[row["name"]][second] += 1
 
-    async def _attempts(self, row: MixRow) -> str:
+    async def _send_with_retries(self, row: MixRow) -> str:
         key: str | None = None
         entry = ""
         outcome = "error"
-        for _ in range(_MAX_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             # An unreached entry has not seen the operation id, so a new id is safe.
             if outcome in ("error", "unreached") or not row.get("operation"):
-                found = await self._lookup(row)
-                entry = found["entries"][0]["address"]
+                lookup = await self._lookup(row)
+                entry = lookup["entries"][0]["address"]
                 if row.get("operation") == "system":
                     entry = next(
-                        (e["address"] for e in found["entries"] if e["name"] == found["executor"]),
+                        (
+                            e["address"]
+                            for e in lookup["entries"]
+                            if e["name"] == lookup["executor"]
+                        ),
                         entry,
                     )
                     unique = f"{self._rng.getrandbits(128):032x}"
-                    key = f"{found['operation_prefix']}.{unique}"
+                    key = f"{lookup['operation_prefix']}.{unique}"
                 elif row.get("operation") == "own":
                     key = str(_uuid7(self._rng))
             else:
@@ -178,16 +182,16 @@
             if outcome != "unreached" and not (outcome in ("unknown", "cut") and key):
                 break
         if key is not None and outcome == "complete" and self._rng.random() < row.get("repeat", 0):
-            again = await self._repeat(row, entry, key)
-            self.report.outcomes[f"{row['name']}-repeat"][again] += 1
+            repeat_outcome = await self._repeat_order(row, entry, key)
+            self.report.outcomes[f"{row['name']}-repeat"][repeat_outcome] += 1
         if key is not None:
             self.report.orders[key].append(outcome)
         return outcome
 
-    async def _repeat(self, row: MixRow, entry: str, key: str) -> str:
+    async def _repeat_order(self, row: MixRow, entry: str, key: str) -> str:
         """Send an order again under its id, to other entries until one is reached."""
         outcome = "unreached"
-        for _ in range(_MAX_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             if outcome == "unreached":
                 outcome = await self._send(row, self._other_entry(entry), key)
                 self.report.tries[key].append(f"repeat-{outcome}")
@@ -195,9 +199,11 @@
 
     def _other_entry(self, entry: str) -> str:
         now = time.monotonic()
-        others = [e for e in self._cfg["entries"] if e != entry] or [entry]
-        others = [e for e in others if self._bad_until.get(e, 0) < now] or others
-        return self._rng.choice(others)
+        candidates = [e for e in self._cfg["entries"] if e != entry] or [entry]
+        candidates = [
+            e for e in candidates if self._unavailable_until.get(e, 0) < now
+        ] or candidates
+        return self._rng.choice(candidates)
 
     async def _lookup(self, row: MixRow) -> dict[str, t.Any]:
         now = time.monotonic()
@@ -207,24 +213,24 @@
         cached = self._lookups.get(client)
         if cached is not None and cached[0] > now:
             return cached[1]
-        for _ in range(_MAX_TRIES * 2):
-            good = [e for e in self._cfg["entries"] if self._bad_until.get(e, 0) < now]
-            address = self._rng.choice(good or self._cfg["entries"])
+        for _ in range(_MAX_ATTEMPTS * 2):
+            available = [e for e in self._cfg["entries"] if self._unavailable_until.get(e, 0) < now]
+            address = self._rng.choice(available or self._cfg["entries"])
             if self._cfg.get("fixed_entry"):
                 address = self._cfg["entries"][0]
             try:
-                answer = await self._get(address, client)
+                answer = await self._fetch_lookup(address, client)
             except Exception as exc:
-                self._bad_until[address] = now + 2.0
+                self._unavailable_until[address] = now + 2.0
                 self.report.last_errors.append(f"lookup {address}: {exc}"[:200])
                 continue
             if answer is not None:
-                self._lookups[client] = (now + _LOOKUP_LIFE_S, answer)
+                self._lookups[client] = (now + _LOOKUP_TTL_S, answer)
                 return answer
-            self._bad_until[address] = now + 0.5
+            self._unavailable_until[address] = now + 0.5
         raise RuntimeError("no entry answers look-ups")
 
-    async def _get(self, address: str, client: str) -> dict[str, t.Any] | None:
+    async def _fetch_lookup(self, address: str, client: str) -> dict[str, t.Any] | None:
         resp = await treq.get(
             f"http://{address}/lookup?client={client}", agent=self._agent, timeout=1.0
         )
@@ -251,7 +257,7 @@
         if key is not None:
             headers["Idempotency-Key"] = key
         body = b"x" * row.get("body_bytes", 0) or None
-        wait = row.get("deadline_ms", 10_000) / 1000 + 2.0
+        timeout_s = row.get("deadline_ms", 10_000) / 1000 + 2.0
         path = row["path"]
         sent = time.monotonic()
         self.report.sent_by_second[row["name"]][int(sent - self._start)] += 1
@@ -262,35 +268,35 @@
                 headers=headers,
                 data=body,
                 agent=self._agent,
-                timeout=wait,
+                timeout=timeout_s,
             )
         except Exception as exc:
-            self._bad_until[entry] = time.monotonic() + 1.0
+            self._unavailable_until[entry] = time.monotonic() + 1.0
             self._lookups.clear()
             self.report.last_errors.append(f"{row['name']} {entry}: {exc!r}"[:300])
             return "unreached" if "Connect" in type(exc).__name__ else "cut"
         return await self._read(row, resp, key, sent)
 
     async def _read(self, row: MixRow, resp: t.Any, key: str | None, sent: float) -> str:
-        named = resp.headers.getRawHeaders("cardamomloft-outcome", ["error"])[0]
+        outcome = resp.headers.getRawHeaders("cardamomloft-outcome", ["error"])[0]
         if self._cfg.get("plain") and resp.code == 200:
-            named = "complete"
+            outcome = "complete"
         try:
             body = await resp.content()
         except Exception as exc:
             self.report.last_errors.append(f"{row['name']} body: {exc!r}"[:300])
             return "cut"
-        if named != "complete":
+        if outcome != "complete":
             reason = resp.headers.getRawHeaders("cardamomloft-reason", ["?"])[0]
             self.report.reasons[f"{row['name']}:{reason}"] += 1
-        elif not self._own_answer(row, body, key):
+        elif not self._is_matching_answer(row, body, key):
             self.report.wrong_answers += 1
-        if named == "complete" and "answer_bytes" not in row:
+        if outcome == "complete" and "answer_bytes" not in row:
             endpoint = json.loads(body)["endpoint"]
             self.report.endpoints_by_second[endpoint][int(sent - self._start)] += 1
-        return named
+        return outcome
 
-    def _own_answer(self, row: MixRow, body: bytes, key: str | None) -> bool:
+    def _is_matching_answer(self, row: MixRow, body: bytes, key: str | None) -> bool:
         """Return whether the answer is complete and belongs to this request."""
         if "answer_bytes" in row:
             return len(body) == row["answer_bytes"]
--- a/standins/src/cardamomloft_standins/main.py
+++ b/standins/src/cardamomloft_standins/main.py
@@ -19,7 +19,7 @@
 
 from cardamomloft_standins.control import ControlFactory
 from cardamomloft_standins.listener import Listener
-from cardamomloft_standins.store import SHORTEST_TTL, Store
+from cardamomloft_standins.store import MIN_TTL, Store
 from cardamomloft_standins.upstream import EndpointSettings, Upstream
 from cardamomloft_standins.vms import Vms
 
@@ -38,7 +38,7 @@
     *,
     listen: str,
     control: str = ANY_PORT,
-    shortest_ttl_ms: float = SHORTEST_TTL.total_seconds() * 1000,
+    shortest_ttl_ms: float = MIN_TTL.total_seconds() * 1000,
 ) -> None:
     """Run the key-value store.
 
@@ -51,8 +51,8 @@
     shortest_ttl_ms
         Minimum session TTL to accept; Consul's minimum is 10 s.
     """
-    shortest = timedelta(milliseconds=shortest_ttl_ms)
-    _serve_app(lambda refuse: Store(reactor, refuse, shortest_ttl=shortest), listen, control)
+    min_ttl = timedelta(milliseconds=shortest_ttl_ms)
+    _serve_app(lambda refuse: Store(reactor, refuse, min_ttl=min_ttl), listen, control)
 
 
 def vms(*, listen: str, control: str = ANY_PORT) -> None:
@@ -86,7 +86,7 @@
 def _serve_app(build: t.Callable[..., Store | Vms], listen: str, control: str) -> None:
     def set_refusing(refusing: bool, transport: t.Any) -> None:
         if refusing:
-            main_listener.close(spare=transport)
+            main_listener.close(keep=transport)
         else:
             main_listener.open()
 
--- a/standins/src/cardamomloft_standins/operating.py
+++ b/standins/src/cardamomloft_standins/operating.py
@@ -46,8 +46,8 @@
         effect = self._effect("swap", key)
         if effect == "down":
             return succeed(Error(StoreFailure(False, "store is down")))
-        held = self.values.get(key)
-        swapped = effect != "lost" and version == (held.version if held else 0)
+        record = self.values.get(key)
+        swapped = effect != "lost" and version == (record.version if record else 0)
         if swapped:
             self.put(key, value)
         if effect is not None:
@@ -86,8 +86,8 @@
     @property
     def current(self):
         """The revision record in the store, or None."""
-        held = self.store.values.get(CURRENT)
-        return decode_record(held.value).default_value(None) if held else None
+        record = self.store.values.get(CURRENT)
+        return decode_record(record.value).default_value(None) if record else None
 
     def file(self, name, document):
         """Write `document` as a JSON file into the working folder of the command."""
@@ -101,10 +101,10 @@
         if seat in self.silent:
             return succeed(Error("unreachable (TimeoutError)"))
         number = self.current["number"] if self.current else 0
-        announced = self.current is not None and "drains" in self.current["document"]
-        rows = self.drains.get(seat, []) if announced else []
-        shown = rows.pop(0) if len(rows) > 1 else (rows or [[]])[0]
-        status = make_status(seat, self.stuck.get(seat, number), shown)
+        has_drains = self.current is not None and "drains" in self.current["document"]
+        rows = self.drains.get(seat, []) if has_drains else []
+        drains = rows.pop(0) if len(rows) > 1 else (rows or [[]])[0]
+        status = make_status(seat, self.stuck.get(seat, number), drains)
         return succeed(Ok({**status, "incarnation": f"{seat}/{self.lives.get(seat, 1)}"}))
 
     def fetch(self):
@@ -119,7 +119,7 @@
 
     def run(self, line, monkeypatch):
         """Run one command line; return its exit code and its combined output."""
-        ended = []
+        exit_codes = []
 
         def execute(options, command):
             streams = Streams(options.json)
@@ -127,14 +127,14 @@
             session = Session(self.store, self, self, self.clock, self.sleep, streams, "ann", known)
             finished = []
             Deferred.fromCoroutine(command(session)).addCallback(finished.append)
-            ended.append(streams.finish(finished[0]))
+            exit_codes.append(streams.finish(finished[0]))
 
         monkeypatch.setattr(main, "execute", execute)
         monkeypatch.chdir(self.folder)
         printed = io.StringIO()
         with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(printed):
             main.bind(shlex.split(line))()
-        return ended[0], printed.getvalue()
+        return exit_codes[0], printed.getvalue()
 
 
 def make_status(seat, revision, drains):
@@ -176,10 +176,10 @@
         "shift_cap_percent_per_s": 2,
         "upstreams": {"m-1": upstream(1, "north-a"), "m-2": upstream(2, "south-a")},
     }
-    near = {"places": [{"region": "north", "weight": 3}, {"region": "south", "weight": 1}]}
+    north_first = {"places": [{"region": "north", "weight": 3}, {"region": "south", "weight": 1}]}
     rules = [
         {"name": "no-bulk", "when": {"priority": "bulk"}, "then": {"refuse": "not at lunch"}},
-        {"name": "menus", "when": {"service": "menus"}, "then": near},
+        {"name": "menus", "when": {"service": "menus"}, "then": north_first},
     ]
     return {
         "format": 1,
@@ -197,7 +197,7 @@
     }
 
 
-def drain_rows(*steps):
+def drain_rows(*statuses):
     """Return the drain rows of successive status requests to an entry, one list each.
 
     Each step gives the requests in flight and the expected end in milliseconds.
@@ -205,17 +205,17 @@
     row = {"name": "north-a", "kind": "zone"}
     return [
         [{**row, "in_flight": running, "expected_end_ms": end, "done": running == 0}]
-        for running, end in steps
+        for running, end in statuses
     ]
 
 
 def transcript(ctl, *lines):
     """Run command lines; return the terminal transcript, at most 100 columns wide."""
-    parts = []
+    sections = []
     for line in lines:
         code, printed = ctl(line)
-        parts.append(f"$ cardamomctl {line}\n{printed}[exit {int(code)}]\n")
-    text = "\n".join(parts)
+        sections.append(f"$ cardamomctl {line}\n{printed}[exit {int(code)}]\n")
+    text = "\n".join(sections)
     assert all(len(row) <= 100 or row.startswith("$") for row in text.split("\n"))
     return text
 
@@ -229,6 +229,6 @@
 def trail(world):
     """Return the stored entries of the audit trail."""
     entries = []
-    while held := world.store.values.get(f"audit/{len(entries) + 1}"):
-        entries.append(held.value)
+    while record := world.store.values.get(f"audit/{len(entries) + 1}"):
+        entries.append(record.value)
     return entries
--- a/standins/src/cardamomloft_standins/processes.py
+++ b/standins/src/cardamomloft_standins/processes.py
@@ -14,10 +14,10 @@
 ROUTES = pathlib.Path(__file__).resolve().parents[3] / "examples" / "gateway-routes.json"
 """A complete configuration document."""
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 """Interval between two evaluations of a condition, in seconds."""
 
-_ADDRESSES = ("callers", "readiness", "lookups", "operators", "peers")
+_ADDRESS_KEYS = ("callers", "readiness", "lookups", "operators", "peers")
 
 
 @contextlib.contextmanager
@@ -57,7 +57,7 @@
 
 
 @contextlib.contextmanager
-def held_ports(count: int) -> Iterator[list[int]]:
+def reserved_ports(count: int) -> Iterator[list[int]]:
     """Reserve free ports on which a process may listen until the end of the with-block.
 
     A bound socket that does not listen keeps the kernel from assigning its port to another socket.
@@ -66,23 +66,23 @@
     with contextlib.ExitStack() as stack:
         ports = []
         for _ in range(count):
-            held = stack.enter_context(contextlib.closing(socket.socket()))
-            held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            held.bind(("127.0.0.1", 0))
-            ports.append(held.getsockname()[1])
+            sock = stack.enter_context(contextlib.closing(socket.socket()))
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            sock.bind(("127.0.0.1", 0))
+            ports.append(sock.getsockname()[1])
         yield ports
 
 
 @contextlib.contextmanager
 def settings(store_address: str, name: str = "e-1", zone: str = "a") -> Iterator[dict[str, t.Any]]:
     """Yield the settings of a gateway, with ports reserved until the end of the with-block."""
-    with held_ports(len(_ADDRESSES)) as ports:
+    with reserved_ports(len(_ADDRESS_KEYS)) as ports:
         yield {
             "name": name,
             "zone": zone,
             "region": "east",
             "zones": {"a": "east", "b": "east"},
-            **{key: f"127.0.0.1:{port}" for key, port in zip(_ADDRESSES, ports, strict=True)},
+            **{key: f"127.0.0.1:{port}" for key, port in zip(_ADDRESS_KEYS, ports, strict=True)},
             "store": store_address,
             "stop_time": "6s",
             "drain_time": "2500ms",
@@ -116,15 +116,15 @@
     return int(values[0]) if values else 0
 
 
-def eventually(condition: Callable[[], t.Any], patience_s: float) -> bool:
+def eventually(condition: Callable[[], t.Any], timeout_s: float) -> bool:
     """Poll `condition` until it holds; return False after `timeout_s` seconds.
 
     An OSError counts as False, as a process that is still starting refuses connections.
     """
-    end = time.monotonic() + patience_s
+    end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         with contextlib.suppress(OSError):
             if condition():
                 return True
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
     return False
--- a/standins/src/cardamomloft_standins/relayed.py
+++ b/standins/src/cardamomloft_standins/relayed.py
@@ -32,20 +32,20 @@
 ENTRIES = 10
 """Number of gateways in the region; large enough that relays are used."""
 
-CALL = 4 * MS
+STORE_ROUND_TRIP = 4 * MS
 """Round-trip time of a call to the store."""
 
-LINK = 2 * MS
+PEER_LATENCY = 2 * MS
 """Latency of a message between gateways."""
 
-TICK = 200 * MS
+TICK_INTERVAL = 200 * MS
 """Interval of the ticks that expire unconfirmed facts."""
 
-LOST_AFTER = 700 * MS
+CALL_TIMEOUT = 700 * MS
 """Timeout of a call to the store, in addition to the wait of a blocking query."""
 
 
-class Copy(t.NamedTuple):
+class Snapshot(t.NamedTuple):
     """The content of the store at one instant."""
 
     at: timedelta
@@ -62,11 +62,11 @@
         self.revision = 1
         self.held: dict[object, object] = {}
         self.events: list[tuple[int, object]] = []
-        self.copies: list[Copy] = [Copy(timedelta(0), 1, {})]
-        self.first_known = 0
+        self.snapshots: list[Snapshot] = [Snapshot(timedelta(0), 1, {})]
+        self.compacted_revision = 0
         self.cut: set[str] = set()
         self.refused: set[str] = set()
-        self.waiting: list[t.Callable[[], None]] = []
+        self.pending_queries: list[t.Callable[[], None]] = []
         self.calls = 0
 
     @property
@@ -81,27 +81,31 @@
         self.held.pop(key, None)
         if not removes:
             self.held[key] = fact
-        self.copies.append(Copy(self.time.clock.monotonic(), self.revision, dict(self.held)))
-        waiting, self.waiting = self.waiting, []
-        for answer in waiting:
+        self.snapshots.append(Snapshot(self.time.clock.monotonic(), self.revision, dict(self.held)))
+        pending_queries, self.pending_queries = self.pending_queries, []
+        for answer in pending_queries:
             answer()
 
     def forget(self) -> None:
         """Discard the history of changes, as a compaction does."""
-        self.first_known = self.revision
+        self.compacted_revision = self.revision
 
     def restore(self, age: timedelta) -> None:
         """Restore a snapshot of age `age` in a new era; later writes are lost."""
-        instant = self.time.clock.monotonic() - age
-        copy = [copy for copy in self.copies if copy.at <= instant or copy.revision == 1][-1]
+        restored_at = self.time.clock.monotonic() - age
+        snapshot = [
+            snapshot
+            for snapshot in self.snapshots
+            if snapshot.at <= restored_at or snapshot.revision == 1
+        ][-1]
         self.era += 1
-        self.revision, self.held = copy.revision, dict(copy.held)
-        self.events = [(at, fact) for at, fact in self.events if at <= copy.revision]
-        self.copies = [each for each in self.copies if each.revision <= copy.revision]
-        self.first_known = min(self.first_known, copy.revision)
+        self.revision, self.held = snapshot.revision, dict(snapshot.held)
+        self.events = [(at, fact) for at, fact in self.events if at <= snapshot.revision]
+        self.snapshots = [each for each in self.snapshots if each.revision <= snapshot.revision]
+        self.compacted_revision = min(self.compacted_revision, snapshot.revision)
         # A restore also ends all blocking queries.
-        waiting, self.waiting = self.waiting, []
-        for answer in waiting:
+        pending_queries, self.pending_queries = self.pending_queries, []
+        for answer in pending_queries:
             answer()
 
 
@@ -120,16 +124,18 @@
 
     def changes(self, after, wait):
         """Return the changes since `after`; wait for one for at most `wait`."""
-        return self._call(lambda: self._news(after), wait, lambda: self.store.position > after)
+        return self._call(
+            lambda: self._changes_since(after), wait, lambda: self.store.position > after
+        )
 
-    def _news(self, after):
+    def _changes_since(self, after):
         store = self.store
-        if after.era != store.era or after.revision < store.first_known:
+        if after.era != store.era or after.revision < store.compacted_revision:
             return Ok(Changes((), after, lost=True))
-        news = tuple(fact for at, fact in store.events if at > after.revision)
-        return Ok(Changes(news, store.position))
+        facts = tuple(fact for at, fact in store.events if at > after.revision)
+        return Ok(Changes(facts, store.position))
 
-    def _call(self, answer, wait, is_due=lambda: True):
+    def _call(self, answer, wait, is_ready=lambda: True):
         store, reactor = self.store, self.store.time.reactor
         store.calls += 1
         done = Deferred(lambda _: finish(Error(StoreFailure(False, "cancelled"))))
@@ -140,21 +146,21 @@
 
         def reply():
             if self.name not in store.cut:
-                reactor.callLater((CALL / 2).total_seconds(), finish, answer())
+                reactor.callLater((STORE_ROUND_TRIP / 2).total_seconds(), finish, answer())
 
         def arrive():
             if self.name in store.refused:
                 finish(Error(StoreFailure(False, "refused")))
             elif self.name not in store.cut:
-                if is_due() or not wait:
+                if is_ready() or not wait:
                     reply()
                 else:
-                    store.waiting.append(reply)
+                    store.pending_queries.append(reply)
                     reactor.callLater(wait.total_seconds(), reply)
 
         lost = Error(StoreFailure(False, "no answer"))
-        reactor.callLater((CALL / 2).total_seconds(), arrive)
-        reactor.callLater((wait + LOST_AFTER).total_seconds(), finish, lost)
+        reactor.callLater((STORE_ROUND_TRIP / 2).total_seconds(), arrive)
+        reactor.callLater((wait + CALL_TIMEOUT).total_seconds(), finish, lost)
         return done
 
 
@@ -178,7 +184,9 @@
             return True
         if to not in (None, receiver.me):
             return True
-        self.time.reactor.callLater(LINK.total_seconds(), receiver.receive, sender.me, message)
+        self.time.reactor.callLater(
+            PEER_LATENCY.total_seconds(), receiver.receive, sender.me, message
+        )
         return True
 
 
@@ -213,10 +221,10 @@
             metrics,
         )
         self.feed.port.peers = self
-        self.book = UpstreamTable(dict.fromkeys("abc", record.region))
-        selector = Selector(self.book, self.name, record.zone, None, Preferences())
+        self.upstream_table = UpstreamTable(dict.fromkeys("abc", record.region))
+        selector = Selector(self.upstream_table, self.name, record.zone, None, Preferences())
         self.view = StoreView(
-            time.clock, self.book, self.entries, selector, _ignore, self._on_plan, metrics
+            time.clock, self.upstream_table, self.entries, selector, _ignore, self._on_plan, metrics
         )
         self.follower = Follower(
             time.reactor,
@@ -233,7 +241,7 @@
 
     def start(self) -> None:
         """Start to follow the store."""
-        self._ticks.start(TICK.total_seconds(), now=False)
+        self._ticks.start(TICK_INTERVAL.total_seconds(), now=False)
         self.follower.start(self.faults.append)
 
     def stop(self) -> None:
@@ -259,11 +267,11 @@
     @property
     def drained(self) -> set[str]:
         """The drained zones."""
-        return set(self.book.drained_zones)
+        return set(self.upstream_table.drained_zones)
 
     def _on_changes(self, facts) -> None:
-        gone = [fact for fact in facts if isinstance(fact, EntryWithdrawn)]
-        self.entries_gone += [self.time.clock.monotonic()] * len(gone)
+        withdrawn = [fact for fact in facts if isinstance(fact, EntryWithdrawn)]
+        self.entries_gone += [self.time.clock.monotonic()] * len(withdrawn)
         self.view.apply_changes(facts)
 
     def _on_plan(self, plan) -> None:
--- a/standins/src/cardamomloft_standins/store.py
+++ b/standins/src/cardamomloft_standins/store.py
@@ -17,19 +17,19 @@
 from twisted.internet import defer, task
 from twisted.web.iweb import IRequest
 
-from cardamomloft_standins.faults import StoreFaults, changed, parse_json
+from cardamomloft_standins.faults import StoreFaults, apply_changes, parse_json
 from cardamomloft_standins.keyvalue import MAX_VALUE_BYTES, KeyValues, PutOutcome, Record
 from cardamomloft_standins.listener import SetRefusing, ignore_refusing
 
 DEFAULT_WAIT = timedelta(minutes=5)
-LONGEST_WAIT = timedelta(minutes=10)
-SHORTEST_TTL = timedelta(seconds=10)
-LONGEST_TTL = timedelta(days=1)
+MAX_WAIT = timedelta(minutes=10)
+MIN_TTL = timedelta(seconds=10)
+MAX_TTL = timedelta(days=1)
 
 _UNITS = {"ms": "milliseconds", "s": "seconds", "m": "minutes", "h": "hours"}
 
 
-class Answer(t.NamedTuple):
+class StoreAnswer(t.NamedTuple):
     """An HTTP answer before faults are applied."""
 
     status: int
@@ -61,11 +61,11 @@
         set_refusing: SetRefusing = ignore_refusing,
         *,
         values: KeyValues | None = None,
-        shortest_ttl: timedelta = SHORTEST_TTL,
+        min_ttl: timedelta = MIN_TTL,
     ) -> None:
         self._reactor = reactor
         self._set_refusing = set_refusing
-        self._shortest_ttl = shortest_ttl
+        self._min_ttl = min_ttl
         self._started = reactor.seconds()
         self._calls: Counter[str] = Counter()
         self._by_second: dict[int, Counter[str]] = {}
@@ -77,15 +77,15 @@
         """Answer a read of a key or prefix, or a blocking query if an index is given."""
         if _argument(request, "recurse") is not None:
             self._count("list")
-            await self._until_served()
-            return await self._answer(request, _list(self.values, key))
+            await self._wait_while_down()
+            return await self._answer(request, _list_answer(self.values, key))
         index = int(_argument(request, "index") or 0)
         self._count("watch" if index else "get")
-        await self._until_served()
+        await self._wait_while_down()
         if index:
             wait = _duration(_argument(request, "wait")) or DEFAULT_WAIT
-            await self.values.watch(key, index, min(wait, LONGEST_WAIT))
-        return await self._answer(request, _read(self.values, key))
+            await self.values.watch(key, index, min(wait, MAX_WAIT))
+        return await self._answer(request, _read_answer(self.values, key))
 
     @app.route("/v1/kv/<path:key>", methods=["PUT"])
     async def write(self, request: IRequest, key: str) -> bytes:
@@ -94,64 +94,64 @@
         kind = "acquire" if session else "put" if cas is None else "cas"
         value = request.content.read()
 
-        def effect() -> Answer:
+        def operation() -> StoreAnswer:
             if len(value) > MAX_VALUE_BYTES:
-                return Answer(413, b"Request body too large")
+                return StoreAnswer(413, b"Request body too large")
             expected = None if cas is None else int(cas)
             return _put_answer(self.values.put(key, value, cas=expected, acquire=session))
 
-        return await self._change(request, kind, effect)
+        return await self._handle_write(request, kind, operation)
 
     @app.route("/v1/session/create", methods=["PUT"])
     async def create_session(self, request: IRequest) -> bytes:
         """Create a session that deletes its keys when it expires."""
         fields = parse_json(request.content.read())
 
-        def effect() -> Answer:
+        def operation() -> StoreAnswer:
             ttl = _duration(fields.get("TTL")) if isinstance(fields, dict) else None
-            if ttl is None or not self._shortest_ttl <= ttl <= LONGEST_TTL:
-                return Answer(400, b"Invalid Session TTL")
+            if ttl is None or not self._min_ttl <= ttl <= MAX_TTL:
+                return StoreAnswer(400, b"Invalid Session TTL")
             if fields.get("Behavior") != "delete":
-                return Answer(400, b"Only Behavior=delete is supported here")
+                return StoreAnswer(400, b"Only Behavior=delete is supported here")
             return _json_answer({"ID": self.values.create_session(ttl)})
 
-        return await self._change(request, "session_create", effect)
+        return await self._handle_write(request, "session_create", operation)
 
     @app.route("/v1/session/renew/<session>", methods=["PUT"])
     async def renew_session(self, request: IRequest, session: str) -> bytes:
         """Renew a session, or answer 404 if it has expired."""
 
-        def effect() -> Answer:
+        def operation() -> StoreAnswer:
             if not self.values.renew_session(session):
-                return Answer(404, b"Session id '%s' not found" % session.encode())
+                return StoreAnswer(404, b"Session id '%s' not found" % session.encode())
             return _json_answer([{"ID": session}])
 
-        return await self._change(request, "session_renew", effect)
+        return await self._handle_write(request, "session_renew", operation)
 
     @app.route("/v1/session/destroy/<session>", methods=["PUT"])
     async def destroy_session(self, request: IRequest, session: str) -> bytes:
         """End a session; the answer is true even if it did not exist."""
 
-        def effect() -> Answer:
+        def operation() -> StoreAnswer:
             self.values.destroy_session(session)
-            return Answer(200, b"true")
+            return StoreAnswer(200, b"true")
 
-        return await self._change(request, "session_destroy", effect)
+        return await self._handle_write(request, "session_destroy", operation)
 
     @app.route("/control", methods=["PUT"])
     def control(self, request: IRequest) -> bytes:
         """Change the faults; an unknown name is answered with 400 and changes nothing."""
         changes = parse_json(request.content.read())
         lapse = changes.pop("lapse", None) if isinstance(changes, dict) else None
-        faults = changed(self.faults, changes)
+        faults = apply_changes(self.faults, changes)
         if isinstance(faults, str):
             request.setResponseCode(400)
             return faults.encode()
         self.faults = faults
         self.values.lag = timedelta(milliseconds=faults.lag_ms)
         self._set_refusing(faults.down == "refuse", request.transport)
-        lapsed = self.values.lapse(lapse) if lapse is not None else None
-        return json.dumps({**faults._asdict(), "lapsed": lapsed}).encode()
+        expired = self.values.expire(lapse) if lapse is not None else None
+        return json.dumps({**faults._asdict(), "lapsed": expired}).encode()
 
     @app.route("/control/counts", methods=["GET"])
     def counts(self, request: IRequest) -> bytes:
@@ -168,35 +168,37 @@
         self._calls[kind] += 1
         self._by_second.setdefault(second, Counter())[kind] += 1
 
-    async def _until_served(self) -> None:
+    async def _wait_while_down(self) -> None:
         if self.faults.down:
             await defer.Deferred()
 
-    async def _change(self, request: IRequest, kind: str, effect: Callable[[], Answer]) -> bytes:
+    async def _handle_write(
+        self, request: IRequest, kind: str, operation: Callable[[], StoreAnswer]
+    ) -> bytes:
         self._count(kind)
-        await self._until_served()
+        await self._wait_while_down()
         if self.faults.lose_requests > 0:
             self.faults = self.faults._replace(lose_requests=self.faults.lose_requests - 1)
-            return await _cut(request)
-        answer = await self._take_effect(effect)
+            return await _abort_connection(request)
+        answer = await self._apply(operation)
         if self.faults.lose_answers > 0:
             self.faults = self.faults._replace(lose_answers=self.faults.lose_answers - 1)
-            return await _cut(request)
+            return await _abort_connection(request)
         return await self._answer(request, answer)
 
-    def _take_effect(self, effect: Callable[[], Answer]) -> defer.Deferred[Answer]:
-        delay = self.faults.late_effect_ms / 1000
-        if delay <= 0:
-            return defer.succeed(effect())
+    def _apply(self, operation: Callable[[], StoreAnswer]) -> defer.Deferred[StoreAnswer]:
+        delay_s = self.faults.late_effect_ms / 1000
+        if delay_s <= 0:
+            return defer.succeed(operation())
         # The timer is independent of the Deferred: a disconnect does not cancel the write.
-        taken: defer.Deferred[Answer] = defer.Deferred()
-        self._reactor.callLater(delay, lambda: taken.callback(effect()))
-        return taken
+        applied: defer.Deferred[StoreAnswer] = defer.Deferred()
+        self._reactor.callLater(delay_s, lambda: applied.callback(operation()))
+        return applied
 
-    async def _answer(self, request: IRequest, answer: Answer) -> bytes:
+    async def _answer(self, request: IRequest, answer: StoreAnswer) -> bytes:
         if self.faults.delay_ms > 0:
             await task.deferLater(self._reactor, self.faults.delay_ms / 1000)
-        await self._until_served()
+        await self._wait_while_down()
         request.setResponseCode(answer.status)
         request.setHeader(b"Content-Type", b"application/json")
         if answer.index is not None:
@@ -204,7 +206,7 @@
         return answer.body
 
 
-def _cut(request: IRequest) -> defer.Deferred[bytes]:
+def _abort_connection(request: IRequest) -> defer.Deferred[bytes]:
     request.transport.abortConnection()
     return defer.Deferred()
 
@@ -219,27 +221,27 @@
     return timedelta(**{_UNITS[found[2]]: float(found[1])}) if found else None
 
 
-def _json_answer(content: object, index: int | None = None) -> Answer:
-    return Answer(200, json.dumps(content).encode(), index)
+def _json_answer(content: object, index: int | None = None) -> StoreAnswer:
+    return StoreAnswer(200, json.dumps(content).encode(), index)
 
 
-def _put_answer(outcome: PutOutcome) -> Answer:
+def _put_answer(outcome: PutOutcome) -> StoreAnswer:
     if outcome is PutOutcome.NO_SESSION:
-        return Answer(500, b"invalid session")
-    return Answer(200, b"true" if outcome is PutOutcome.WRITTEN else b"false")
+        return StoreAnswer(500, b"invalid session")
+    return StoreAnswer(200, b"true" if outcome is PutOutcome.WRITTEN else b"false")
 
 
-def _read(values: KeyValues, key: str) -> Answer:
+def _read_answer(values: KeyValues, key: str) -> StoreAnswer:
     record = values.get(key)
     if record is None:
-        return Answer(404, b"", values.index(key))
+        return StoreAnswer(404, b"", values.index(key))
     return _json_answer([_row(key, record)], record.modify_index)
 
 
-def _list(values: KeyValues, prefix: str) -> Answer:
-    rows = [_row(key, record) for key, record in values.below(prefix)]
+def _list_answer(values: KeyValues, prefix: str) -> StoreAnswer:
+    rows = [_row(key, record) for key, record in values.list_prefix(prefix)]
     if not rows:
-        return Answer(404, b"", values.last_index)
+        return StoreAnswer(404, b"", values.last_index)
     return _json_answer(rows, values.last_index)
 
 
--- a/standins/src/cardamomloft_standins/vms.py
+++ b/standins/src/cardamomloft_standins/vms.py
@@ -12,7 +12,7 @@
 from twisted.internet import defer
 from twisted.web.iweb import IRequest
 
-from cardamomloft_standins.faults import VmFaults, changed, parse_json
+from cardamomloft_standins.faults import VmFaults, apply_changes, parse_json
 from cardamomloft_standins.listener import SetRefusing, ignore_refusing
 
 
@@ -60,7 +60,7 @@
     @app.route("/control", methods=["PUT"])
     def control(self, request: IRequest) -> bytes:
         """Change the faults; an unknown name is answered with 400."""
-        faults = changed(self.faults, parse_json(request.content.read()))
+        faults = apply_changes(self.faults, parse_json(request.content.read()))
         if isinstance(faults, str):
             request.setResponseCode(400)
             return faults.encode()
--- a/standins/tests/test_experiment.py
+++ b/standins/tests/test_experiment.py
@@ -49,7 +49,7 @@
     assert [end.ran for end in endpoint.ended] == [False, True, True, True]
 
 
-def test_work_on_an_object_at_hand_is_short_until_others_push_it_out():
+def test_a_cached_key_is_served_faster_until_it_is_evicted():
     endpoint = Endpoint()
     for key in "aabca":
         endpoint.ask(key)
@@ -57,7 +57,7 @@
     assert [end.warm for end in endpoint.ended] == [False, True, False, False, False]
 
 
-def test_what_nobody_waits_for_is_dropped_from_the_queue():
+def test_a_queued_request_past_its_deadline_is_dropped():
     endpoint = Endpoint()
     for key in "ab":
         endpoint.ask(key)
@@ -67,10 +67,10 @@
     assert endpoint.model.load() == "0,0,2"
 
 
-def test_a_lost_endpoint_answers_nothing():
+def test_a_crashed_endpoint_does_not_answer():
     endpoint = Endpoint()
     endpoint.ask("a")
-    endpoint.model.lose()
+    endpoint.model.crash()
     endpoint.ask("b")
     endpoint.clock.advance(1)
     assert endpoint.ended == []
@@ -90,12 +90,12 @@
     assert len(table({"product": spread([summary])}).splitlines()) == 2
 
 
-def test_several_plays_give_medians_and_between_what_the_credit_lies():
-    plays = [Summary(10, credit, 0.1, 0.5, 0.2, 0.1, 0.2, 0.9, 100.0, 900.0) for credit in CREDITS]
-    found = spread(plays)
-    assert (found.median.credit, found.least, found.most) == (0.5, 0.4, 0.9)
+def test_several_runs_give_medians_and_the_range_of_credit():
+    runs = [Summary(10, credit, 0.1, 0.5, 0.2, 0.1, 0.2, 0.9, 100.0, 900.0) for credit in CREDITS]
+    found = spread(runs)
+    assert (found.median.credit, found.min_credit, found.max_credit) == (0.5, 0.4, 0.9)
     assert found.median.requests == 10
-    assert spread(plays[:1]).median == plays[0]
+    assert spread(runs[:1]).median == runs[0]
     row = table({"product": found}).splitlines()[1].split()
     assert row[0] == "product" and row[-2:] == ["0.400", "0.900"]
 
@@ -106,38 +106,40 @@
     assert (tmp_path / "calm.png").stat().st_size > 1000
 
 
-def _played(name: str, policy: str, use: float, seconds: int = 10) -> Summary:
-    played = scenario(name, use)._replace(length=timedelta(seconds=seconds))
-    return summarize(World(played, POLICIES[policy], seed=1).run())
+def _run_scenario(name: str, policy: str, use: float, seconds: int = 10) -> Summary:
+    adjusted = scenario(name, use)._replace(length=timedelta(seconds=seconds))
+    return summarize(World(adjusted, POLICIES[policy], seed=1).run())
 
 
-def test_the_same_seed_gives_the_same_play():
-    assert _played("calm", "product", 0.2) == _played("calm", "product", 0.2)
+def test_the_same_seed_gives_the_same_result():
+    assert _run_scenario("calm", "product", 0.2) == _run_scenario("calm", "product", 0.2)
 
 
-def test_a_half_idle_second_endpoint_serves_more_than_one_with_a_free_slot():
+def test_spilling_only_to_a_half_idle_secondary_endpoint_serves_more():
     """Guards against cache evictions by keys that spill to a secondary endpoint too early."""
-    product, eager = _played("calm", "product", 0.7), _played("calm", "eager-second", 0.7)
+    product, eager = _run_scenario("calm", "product", 0.7), _run_scenario(
+        "calm", "eager-second", 0.7
+    )
     assert product.credit > eager.credit + 0.03
     assert product.warm > eager.warm
 
 
-def test_placement_by_object_serves_far_more_than_the_nearest_endpoint():
-    product, nearest = _played("calm", "product", 0.4), _played("calm", "nearest", 0.4)
+def test_placement_by_key_serves_more_than_the_nearest_endpoint():
+    product, nearest = _run_scenario("calm", "product", 0.4), _run_scenario("calm", "nearest", 0.4)
     assert product.credit > nearest.credit + 0.2
 
 
-def test_an_object_at_hand_at_two_endpoints_is_served_better_by_the_sooner_one():
+def test_a_key_cached_at_two_endpoints_is_served_better_by_the_faster_one():
     """Guards against waiting for a full primary endpoint when the secondary has the key cached."""
     product, first_only = (
-        _played("fleet", policy, 0.6, seconds=24) for policy in ("product", "first-only")
+        _run_scenario("fleet", policy, 0.6, seconds=24) for policy in ("product", "first-only")
     )
     assert product.credit > first_only.credit + 0.02
 
 
-def test_a_zone_that_is_drained_gets_nothing_until_it_is_restored():
+def test_a_drained_zone_has_no_usable_endpoints_until_it_is_restored():
     world = World(scenario("fleet-drain"), POLICIES["product"], seed=1)
-    book, *_ = world._books()
+    book, *_ = world._upstream_tables()
     usable = {}
     for second in (1, 3, 12):
         world.reactor.callLater(
@@ -147,9 +149,9 @@
     assert usable == {1: 12, 3: 10, 12: 12}
 
 
-def test_endpoints_that_are_lost_for_long_lapse_and_come_back_cold():
+def test_registrations_of_crashed_endpoints_expire_and_return_cold():
     world = World(scenario("fleet-loss"), POLICIES["product"], seed=1)
-    book, *_ = world._books()
+    book, *_ = world._upstream_tables()
     world.reactor.pump([9, 3, 3])
     assert len(book) == 7
     world.reactor.pump([2])
@@ -160,12 +162,12 @@
 @pytest.mark.parametrize(
     ("scenario", "before", "least"), [("calm", 0.548, 0.58), ("burst", 0.480, 0.51)]
 )
-def test_an_overloaded_service_keeps_its_objects_where_they_are(scenario, before, least):
+def test_an_overloaded_service_keeps_its_keys_at_their_endpoints(scenario, before, least):
     """An endpoint without a fresh load report must not count as idle, which gave `before`."""
-    assert _played(scenario, "product", 0.7).credit > least > before
+    assert _run_scenario(scenario, "product", 0.7).credit > least > before
 
 
-def test_an_endpoint_that_ails_is_slow_or_fails_until_it_is_well():
+def test_a_degraded_endpoint_is_slow_or_fails_until_it_recovers():
     world = World(scenario("crowd-heavy", 0.01), POLICIES["product"], seed=1)
     count = len(world.endpoints)
     seen = {}
@@ -182,7 +184,7 @@
     }
 
 
-def test_calls_of_one_instant_keep_their_order_and_those_ended_are_left_out():
+def test_calls_of_one_instant_keep_their_order_and_cancelled_ones_are_skipped():
     loop = Loop()
     made = []
     for name in "abc":
@@ -197,39 +199,41 @@
     assert loop.seconds() == 1.0
 
 
-def _small_crowd(policy: str) -> World:
+def _small_deployment(policy: str) -> World:
     """Return ``crowd-heavy`` with a fifth of the endpoints, load and keys."""
-    played = scenario("crowd-heavy", 0.13)
-    endpoints = {zone: count // 5 for zone, count in played.endpoints.items()}
+    adjusted = scenario("crowd-heavy", 0.13)
+    endpoints = {zone: count // 5 for zone, count in adjusted.endpoints.items()}
     load = {
-        zone: row._replace(per_s=row.per_s / 5, objects=67) for zone, row in played.load.items()
+        zone: row._replace(per_s=row.per_s / 5, key_count=67) for zone, row in adjusted.load.items()
     }
-    played = played._replace(endpoints=endpoints, load=load, length=timedelta(seconds=24))
-    return World(played, POLICIES[policy], seed=1)
+    adjusted = adjusted._replace(endpoints=endpoints, load=load, length=timedelta(seconds=24))
+    return World(adjusted, POLICIES[policy], seed=1)
 
 
-def test_gateways_that_tell_each_other_of_failures_leave_lost_endpoints_sooner():
+def test_gateways_that_share_failures_eject_crashed_endpoints_sooner():
     """Guards against shared failure reports that do not speed up the ejection of endpoints."""
-    alone, shared = (summarize(_small_crowd(name).run()) for name in ("product", "shared-failures"))
-    assert shared.failed < 0.75 * alone.failed
-    assert shared.credit > alone.credit + 0.005
+    own_failures_only, shared = (
+        summarize(_small_deployment(name).run()) for name in ("product", "shared-failures")
+    )
+    assert shared.failed < 0.75 * own_failures_only.failed
+    assert shared.credit > own_failures_only.credit + 0.005
 
 
-def test_a_failure_at_one_gateway_counts_at_all_and_an_answer_ends_the_rest():
-    world = _small_crowd("shared-failures")
+def test_a_failure_at_one_gateway_counts_at_all_and_an_answer_ends_the_ejection():
+    world = _small_deployment("shared-failures")
     first, second, *_ = [entry.selector for row in world.entries.values() for entry in row]
 
-    def rests():
+    def ejection_ends():
         return [one._book.get("a1-0").ejected_until for one in (first, second)]
 
     now = world.clock.monotonic()
     first.record_failure(first._book.get("a1-0"), now)
     world.reactor.advance(0.2)
-    assert max(rests()) < now
+    assert max(ejection_ends()) < now
     second.record_failure(second._book.get("a1-0"), world.clock.monotonic())
     world.reactor.advance(0.2)
-    assert min(rests()) > world.clock.monotonic()
+    assert min(ejection_ends()) > world.clock.monotonic()
     first.record_answer(first._book.get("a1-0"), timedelta(seconds=1), 0.0)
     world.reactor.advance(0.2)
-    assert max(rests()) < world.clock.monotonic()
-    assert first.told + second.told == 3
+    assert max(ejection_ends()) < world.clock.monotonic()
+    assert first.report_count + second.report_count == 3
--- a/standins/tests/test_keyvalue.py
+++ b/standins/tests/test_keyvalue.py
@@ -29,7 +29,7 @@
     assert values.get("k").value == b"a"
 
 
-def test_a_paused_holder_loses_its_lease_without_being_told(values, clock):
+def test_a_paused_holder_loses_its_lease_without_notice(values, clock):
     paused = values.create_session(TTL)
     assert values.put("lease", b"paused", acquire=paused) is PutOutcome.WRITTEN
     clock.advance(9)
@@ -50,9 +50,9 @@
 def test_a_lease_ends_on_demand_by_key_or_by_session(values, by_key):
     session = values.create_session(TTL)
     values.put("lease", b"me", acquire=session)
-    assert values.lapse("lease" if by_key else session)
+    assert values.expire("lease" if by_key else session)
     assert values.get("lease") is None
-    assert not values.lapse("lease")
+    assert not values.expire("lease")
 
 
 def test_a_watch_fires_on_change_on_deletion_and_when_the_wait_is_over(values, clock):
@@ -69,7 +69,7 @@
     assert other.called
 
 
-def test_the_index_of_a_key_never_goes_back_over_its_deletion(values):
+def test_the_index_of_a_key_never_decreases_across_its_deletion(values):
     session = values.create_session(TTL)
     seen = [values.index("k")]
     values.put("k", b"1", acquire=session)
@@ -81,7 +81,7 @@
     assert seen == sorted(set(seen))
 
 
-def test_a_lagging_watch_learns_of_a_change_late_however_it_is_repeated(values, clock):
+def test_a_lagging_watch_fires_late_even_if_it_is_repeated(values, clock):
     values.lag = timedelta(seconds=5)
     before = values.index("k")
     first = values.watch("k", before, WAIT)
--- a/standins/tests/test_processes.py
+++ b/standins/tests/test_processes.py
@@ -6,8 +6,8 @@
 from cardamomloft_standins import processes
 
 
-def test_a_held_port_is_given_to_nobody_else_and_can_be_listened_on():
-    with processes.held_ports(1) as (port,), contextlib.ExitStack() as stack:
+def test_a_reserved_port_is_not_assigned_again_and_can_be_listened_on():
+    with processes.reserved_ports(1) as (port,), contextlib.ExitStack() as stack:
         taken = {port}
         for _ in range(500):
             sock = stack.enter_context(contextlib.closing(socket.socket()))
--- a/standins/tests/test_standin_processes.py
+++ b/standins/tests/test_standin_processes.py
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize(
     ("name", "path"), [("store", "/control/counts"), ("vms", "/control/counts")]
 )
-def test_a_refusing_process_can_be_told_to_listen_again(name, path):
+def test_a_refusing_process_listens_again_after_a_control_request(name, path):
     with running(name, "--listen", "127.0.0.1:0") as ready:
         (address,) = ready["listening"]
         assert call("PUT", f"{address}/control", {"down": "refuse"})["down"] == "refuse"
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The capacity page says what the committed results say, and hides no row over its limit."""
+"""The capacity page matches the committed results and marks every row over its limit."""
 
 import json
 import pathlib
@@ -31,14 +31,14 @@
     listed = PAGE.partition("<!-- begin: over -->")[2].partition("<!-- end: over -->")[0]
     for row in rows_of(RESULTS):
         start = f"| {row.aspect} | {row.what} | "
-        worked = [line.removeprefix(start) for line in lines if line.startswith(start)]
+        values = [line.removeprefix(start) for line in lines if line.startswith(start)]
         value = shown(row.value, row.unit)
         mark = f"**OVER: {value}**" if row.limit is not None and row.value > row.limit else value
-        assert [text.split(" | ")[0] for text in worked] == [mark], row.what
+        assert [text.split(" | ")[0] for text in values] == [mark], row.what
         assert (f"- **{row.role}**: {row.what}, {value}" in listed) == mark.startswith("**OVER")
 
 
-def test_the_plan_is_the_size_asked_for_and_the_limits_of_control_are_not_loosened():
+def test_the_plan_has_the_target_size_and_the_control_limits_are_not_loosened():
     assert RESULTS["plan"] == TARGET._asdict()
     assert TARGET[:6] == (1_500, 1_200_000, 8, 1_000_000, 780, 86)
     control = {(row.aspect, row.limit) for row in rows_of(RESULTS) if row.role == ROLES[-1]}
@@ -72,7 +72,7 @@
     assert (found.slope, found.intercept, found.r2) == (7, 0, 1)
 
 
-def test_a_line_is_found_again_and_too_few_sizes_are_refused():
+def test_a_fit_recovers_its_line_and_too_few_sizes_are_refused():
     found = fit(Series("a.b", "n", "ms", ((1, 5.0), (2, 7.0), (3, 9.0), (4, 11.0))))
     assert (round(found.slope, 9), round(found.intercept, 9), round(found.r2, 9)) == (2, 3, 1)
     assert (
--- a/tests/test_gateway_page.py
+++ b/tests/test_gateway_page.py
@@ -1,4 +1,4 @@
-"""The gateway's pages name every setting, every key of its document and every log line."""
+"""The gateway's pages document every setting, configuration key and log event."""
 
 import pathlib
 import re
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""The script that tells from logs what cost requests their time."""
+"""The script that classifies, from logs, why requests were slow or not served."""
 
 import json
 import pathlib
@@ -57,7 +57,7 @@
     return "12.3 entry-1 " + json.dumps({"message_type": kind, "timestamp": at, **fields})
 
 
-def test_lines_are_folded_by_service_and_by_time():
+def test_log_lines_are_aggregated_by_service_and_by_time():
     texts = [
         "Traceback of something else",
         '{"half',
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages agree with the repository: links, files, targets, commands, JSON, limits, the excerpt."""
+"""Pages match the repository: links, files, make targets, commands, JSON, limits, excerpts."""
 
 import ast
 import importlib.util
@@ -22,15 +22,17 @@
 PAGES = [ROOT / "README.md", ROOT / "CHANGES.md", *sorted((ROOT / "docs").rglob("*.md"))]
 NAMES = [str(page.relative_to(ROOT)) for page in PAGES]
 HINTS = t.get_type_hints(Document, include_extras=True)
-PARTS = {k: t.get_args(h)[0] if t.get_origin(h) is t.NotRequired else h for k, h in HINTS.items()}
+PART_TYPES = {
+    k: t.get_args(h)[0] if t.get_origin(h) is t.NotRequired else h for k, h in HINTS.items()
+}
 
 _LINK = re.compile(r"\[[^\]\n]*\]\(([^)\s]+)\)")
 _CODE = re.compile(r"`([^`\n]+)`")
-_TOP = re.compile(r"(docs|examples|packages|scripts|standins|tests|\.ci)/[\w./*-]*")
-_IN_PACKAGE = re.compile(r"([a-z]+)/([a-z_]+\.py)")
-_TARGET = re.compile(r"\bmake(?: --?\w+| \w+=\S+)* ([a-z][\w./-]*)")
+_REPOSITORY_PATH = re.compile(r"(docs|examples|packages|scripts|standins|tests|\.ci)/[\w./*-]*")
+_PACKAGE_MODULE = re.compile(r"([a-z]+)/([a-z_]+\.py)")
+_MAKE_TARGET = re.compile(r"\bmake(?: --?\w+| \w+=\S+)* ([a-z][\w./-]*)")
 _HEREDOC = re.compile(r"cat > (\S+) <<'?END'?\n(.*?)^END$", re.MULTILINE | re.DOTALL)
-_LIMIT = re.compile(r"\| `(\w+)` in `(packages/\S+\.py)` \| `([^`]+)`")
+_LIMIT_ROW = re.compile(r"\| `(\w+)` in `(packages/\S+\.py)` \| `([^`]+)`")
 
 each_page = pytest.mark.parametrize("page", PAGES, ids=NAMES)
 
@@ -56,7 +58,7 @@
 
 
 def _commands(page: Path) -> list[str]:
-    """Return the lines of fenced and indented commands, continued ones joined."""
+    """Return the command lines of fenced and indented blocks, with continuations joined."""
     text = page.read_text()
     fenced = "\n".join(b.text for b in pages.blocks(text) if b.info in ("", "sh"))
     indented = "\n".join(line[4:] for line in text.splitlines() if line.startswith("    "))
@@ -64,15 +66,15 @@
     return [line.strip() for line in joined.splitlines()]
 
 
-def _words(line: str) -> list[str]:
-    """Return the arguments of a simple command, without comment, redirection or what follows."""
+def _arguments(line: str) -> list[str]:
+    """Return the arguments of a simple command, up to a redirection, operator or comment."""
     words = shlex.split(line, comments=True)
     ends = [i for i, w in enumerate(words) if w in ("|", "&", "&&", "||", ";") or ">" in w]
     return words[1 : min(ends, default=len(words))]
 
 
 @each_page
-def test_links_lead_somewhere(page: Path) -> None:
+def test_links_resolve(page: Path) -> None:
     broken = []
     for link in _LINK.findall(page.read_text()):
         path, _, anchor = link.partition("#")
@@ -83,12 +85,12 @@
 
 
 @each_page
-def test_files_that_are_named_exist(page: Path) -> None:
+def test_named_files_exist(page: Path) -> None:
     missing = []
     for code in _CODE.findall(page.read_text()):
-        if _TOP.fullmatch(code) and not any(ROOT.glob(code.rstrip("/"))):
+        if _REPOSITORY_PATH.fullmatch(code) and not any(ROOT.glob(code.rstrip("/"))):
             missing.append(code)
-        in_package = _IN_PACKAGE.fullmatch(code)
+        in_package = _PACKAGE_MODULE.fullmatch(code)
         if in_package and (ROOT / "packages" / in_package[1]).is_dir():
             package, module = in_package.groups()
             if not (ROOT / f"packages/{package}/src/cardamomloft/{package}/{module}").exists():
@@ -96,47 +98,47 @@
     assert missing == []
 
 
-def test_make_targets_that_are_named_exist() -> None:
+def test_named_make_targets_exist() -> None:
     rules = re.findall(r"^([\w./-]+):", (ROOT / "Makefile").read_text(), re.MULTILINE)
     named = {
         target
         for page in PAGES
         for line in [*_commands(page), *_CODE.findall(page.read_text())]
-        for target in _TARGET.findall(line)
+        for target in _MAKE_TARGET.findall(line)
     }
     assert named >= {"demo", "test", "bench", "slopes"}
     assert named - set(rules) == set()
 
 
 def test_command_lines_parse() -> None:
-    counted = 0
+    parsed = 0
     for page in PAGES:
         for line in _commands(page):
             command = line.partition(" ")[0]
             try:
                 if command == "cardamomctl":
-                    ctl.bind(_words(line))
+                    ctl.bind(_arguments(line))
                 elif command == "cardamomloft":
-                    defopt.bind(entry, argv=_words(line))
+                    defopt.bind(entry, argv=_arguments(line))
                 else:
                     continue
             except SystemExit:
                 pytest.fail(f"{page.name}: {line}")
-            counted += 1
-    assert counted > 20
+            parsed += 1
+    assert parsed > 20
 
 
 def _check_json(name: str, value: dict[str, t.Any]) -> t.Any:
-    """Check a file or block by what it is; return the outcome, None if it is of no known kind."""
+    """Validate a file or block by its kind; return the outcome, or None for an unknown kind."""
     if "format" in value:
         return check_document(value)
     if "seat" in value:
         return load_settings(json.dumps(value))
     if "store" in value:
         return check_typed(Settings, value)
-    if value.keys() <= PARTS.keys():
+    if value.keys() <= PART_TYPES.keys():
         for key, part in value.items():
-            outcome = check_typed(PARTS[key], part)
+            outcome = check_typed(PART_TYPES[key], part)
             if outcome.is_error():
                 return outcome
         return outcome
@@ -165,7 +167,7 @@
     assert all(settings[key] == row[key] for key in ("zone", "callers", "peers", "operators"))
 
 
-def test_the_readme_excerpt_stands_in_the_example() -> None:
+def test_the_readme_excerpt_is_part_of_the_example() -> None:
     blocks = pages.blocks((ROOT / "README.md").read_text())
     (excerpt,) = (json.loads(block.text) for block in blocks if block.info == "json")
     rules = json.loads((ROOT / "examples" / "pimento.json").read_text())["rules"]
@@ -184,7 +186,7 @@
 
 
 def test_the_limits_of_the_security_page_are_those_of_the_code() -> None:
-    rows = _LIMIT.findall((ROOT / "docs" / "security.md").read_text())
+    rows = _LIMIT_ROW.findall((ROOT / "docs" / "security.md").read_text())
     assert len(rows) > 10
     for name, path, value in rows:
         assert f"\n{name} = {value}\n" in (ROOT / path).read_text(), (name, path)
@@ -196,7 +198,7 @@
     assert set(PAGES) - linked == {index}
 
 
-# The reader of pages itself.
+# The parser of pages.
 
 PAGE = """
 ```sh
@@ -239,5 +241,5 @@
         ("a\n", "", False),
     ],
 )
-def test_dots_stand_for_what_varies(expected: str, printed: str, same: bool) -> None:
+def test_dots_match_varying_output(expected: str, printed: str, same: bool) -> None:
     assert pages.matches(expected, printed) is same
--- a/tests/test_scripts.py
+++ b/tests/test_scripts.py
@@ -1,4 +1,4 @@
-"""Every script can be imported: a name that moves in a package must not break make bench."""
+"""Every script can be imported; guards against imports of names that packages no longer have."""
 
 import importlib
 import pathlib
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,7 +1,7 @@
-"""Whole sessions, recorded as each party saw them and kept as golden files.
+"""Multi-party sessions whose transcripts are compared with snapshots.
 
-All clocks are manual, nothing is drawn without a seed, and there are no sockets. Each session also
-asserts its promise directly, so that a golden file made anew cannot hide that it was broken.
+Clocks are manual, random draws are seeded, and there are no sockets. Each session also asserts its
+guarantee directly, so that an updated snapshot cannot hide a violation.
 """
 
 import itertools
@@ -53,25 +53,25 @@
 
 
 class Transcript:
-    """What each party saw, line by line, with the virtual time in seconds."""
+    """The events seen by each party, one per line, with the virtual time in seconds."""
 
     def __init__(self, clock, *parties):
         self.clock = clock
         self._lines = {party: [] for party in parties}
 
-    def saw(self, party, text):
+    def add(self, party, text):
         at = self.clock.monotonic().total_seconds()
         self._lines[party].append(f"{at:7.2f}  {text}")
 
     def __str__(self):
-        parts = ["\n".join([f"{party}:", *lines]) for party, lines in self._lines.items()]
-        return "\n\n".join(parts) + "\n"
+        sections = ["\n".join([f"{party}:", *lines]) for party, lines in self._lines.items()]
+        return "\n\n".join(sections) + "\n"
 
 
-# An order.
+# Orders.
 
 
-class Content:
+class FakeAnswerBody:
     def __init__(self, content):
         self.content = content
 
@@ -79,7 +79,7 @@
         return succeed(Ok(self.content))
 
 
-class Flow:
+class NullFlow:
     def pause_body(self):
         pass
 
@@ -87,8 +87,8 @@
         pass
 
 
-class Shop:
-    """A caller, two entries with real executors, and an upstream that runs what it is sent."""
+class OrderSession:
+    """A caller, two entries with real executors, and a fake upstream."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -98,9 +98,9 @@
         for seat in "ab":
             self.start(seat, f"{seat}1")
 
-    def start(self, seat, life):
-        me = self.current[seat] = Incarnation(seat, life)
-        self.record.saw(f"entry {seat}", f"starts as {me}")
+    def start(self, seat, incarnation):
+        me = self.current[seat] = Incarnation(seat, incarnation)
+        self.record.add(f"entry {seat}", f"starts as {me}")
         ids = self.ids[seat] = OperationIds(me, self.clock, seat.encode() * 32)
         member = self.members[seat] = Membership(me, self.clock)
         rows = {"a": {"zone": "z1"}, "b": {"zone": "z2"}}
@@ -112,15 +112,15 @@
             Ledger(self.clock, max_operations=100, max_bytes=10_000_000),
             None,
             None,
-            Upstream(self, me),
-            Link(self, seat),
+            FakeUpstream(self, me),
+            PeerLink(self, seat),
             Metrics(),
             {"a": "127.0.0.1:1", "b": "127.0.0.1:2"}.get,
             lambda process: member.incarnation_of(process.seat) == process,
             lambda failure: failure.raiseException(),
         )
 
-    def wait(self, seconds):
+    def advance(self, seconds):
         self.clock.advance(seconds * SECOND)
 
     def gossip(self):
@@ -131,154 +131,156 @@
 
     def look_up(self, seat, executor):
         text, left = self.members[seat].prefix_of(executor)
-        self.record.saw(f"entry {seat}", f"look-up -> executor {executor}, prefix {text}")
+        self.record.add(f"entry {seat}", f"look-up -> executor {executor}, prefix {text}")
         seconds = left.total_seconds()
-        self.record.saw("caller", f"look-up at {seat} -> {executor}, {text}, {seconds:.2f} s left")
+        self.record.add("caller", f"look-up at {seat} -> {executor}, {text}, {seconds:.2f} s left")
         return text
 
     def name(self, operation, name):
         self.names[operation] = name
-        self.record.saw("caller", f"makes {name}: {operation}")
+        self.record.add("caller", f"makes {name}: {operation}")
         return operation
 
     def order(self, seat, operation, *, lost=False):
-        """Send an order; the caller gets no answer if `lost`."""
+        """Send an order; with `lost`, the caller's connection is lost before the answer."""
         name = self.names[operation]
-        self.record.saw("caller", f"{name} to {seat}")
+        self.record.add("caller", f"{name} to {seat}")
         headers, gone = (("idempotency-key", operation),), Deferred()
-        asked = self.receive(seat, "caller", headers, b"two patties", gone)
+        deferred = self.receive(seat, "caller", headers, b"two patties", gone)
 
         def answered(answer):
-            words = {key.lower(): value for key, value in answer.headers}
-            outcome = words["cardamomloft-outcome"]
-            self.record.saw(f"entry {seat}", f"{name} -> caller: {answer.status} {outcome}")
+            headers_by_name = {key.lower(): value for key, value in answer.headers}
+            outcome = headers_by_name["cardamomloft-outcome"]
+            self.record.add(f"entry {seat}", f"{name} -> caller: {answer.status} {outcome}")
             detail = answer.body.decode()
             if outcome != "complete":
                 detail = json.loads(detail)["detail"]
             text = "the connection is lost" if lost else f"{answer.status} {outcome}: {detail}"
-            self.record.saw("caller", f"{name} at {seat}: {text}")
+            self.record.add("caller", f"{name} at {seat}: {text}")
             outcomes.append(outcome)
 
         outcomes = []
-        asked.addCallback(answered)
+        deferred.addCallback(answered)
         return outcomes
 
     def receive(self, seat, sender, headers, content, gone):
         operation = dict(headers)["idempotency-key"]
-        self.record.saw(f"entry {seat}", f"{self.names[operation]} <- {sender}")
+        self.record.add(f"entry {seat}", f"{self.names[operation]} <- {sender}")
         deadline = self.clock.monotonic() + 5 * SECOND
         req = Request(
             "pay", "POST", "/pay", None, None, {}, Priority.NORMAL, False, deadline, operation
         )
         head = RequestHead("POST", "/pay", "", headers, "127.0.0.1", len(content), False)
-        body = RequestBody(len(content), Flow())
+        body = RequestBody(len(content), NullFlow())
         body.data_received(content)
         body.end()
         return ensureDeferred(self.executors[seat].handle(req, head, body, gone))
 
     def finish(self):
-        """Let the oldest run end; only the process that began it hears of it, if it still is."""
-        process, operation, told = self.runs.pop(0)
-        self.record.saw("upstream", f"{self.names[operation]} done: receipt")
+        """Finish the oldest run; answer the process that started it if it still exists."""
+        process, operation, response = self.runs.pop(0)
+        self.record.add("upstream", f"{self.names[operation]} done: receipt")
         if self.current[process.seat] == process:
             answer = KeptAnswer(201, (("content-type", "text/plain"),), b"receipt")
-            self.record.saw(f"entry {process.seat}", f"{self.names[operation]} <- upstream: 201")
-            told.callback(answer)
+            self.record.add(f"entry {process.seat}", f"{self.names[operation]} <- upstream: 201")
+            response.callback(answer)
         else:
-            self.record.saw("upstream", f"{process} is gone; nobody takes the answer")
+            self.record.add("upstream", f"{process} is gone; nobody takes the answer")
 
 
-class Upstream:
-    """The way of one process to the upstream."""
+class FakeUpstream:
+    """The upstream client of one process."""
 
-    def __init__(self, shop, process):
-        self.shop, self.process = shop, process
+    def __init__(self, session, process):
+        self.session, self.process = session, process
 
     def collect(self, req, head, whole):
-        name = self.shop.names[req.operation]
-        self.shop.record.saw(f"entry {self.process.seat}", f"{name} -> upstream")
-        self.shop.record.saw("upstream", f"{name} from {self.process}: {whole.decode()}")
-        self.shop.starts[req.operation] += 1
-        told = Deferred()
-        self.shop.runs.append((self.process, req.operation, told))
-        return told
+        name = self.session.names[req.operation]
+        self.session.record.add(f"entry {self.process.seat}", f"{name} -> upstream")
+        self.session.record.add("upstream", f"{name} from {self.process}: {whole.decode()}")
+        self.session.starts[req.operation] += 1
+        response = Deferred()
+        self.session.runs.append((self.process, req.operation, response))
+        return response
 
 
-class Link:
-    """The way of one entry to the other."""
+class PeerLink:
+    """The peer connection of one entry to the other."""
 
-    def __init__(self, shop, seat):
-        self.shop, self.seat = shop, seat
+    def __init__(self, session, seat):
+        self.session, self.seat = session, seat
 
     def send(self, sent):
-        shop, seat = self.shop, sent.endpoint.name.removeprefix("entry/")
-        name = shop.names[dict(sent.headers)["idempotency-key"]]
+        session, seat = self.session, sent.endpoint.name.removeprefix("entry/")
+        name = session.names[dict(sent.headers)["idempotency-key"]]
         assert dict(sent.headers)[PASSED_ON_HEADER] == self.seat
-        shop.record.saw(f"entry {self.seat}", f"{name} -> entry {seat}")
-        asked = shop.receive(seat, f"entry {self.seat}", sent.headers, sent.body, Deferred())
+        session.record.add(f"entry {self.seat}", f"{name} -> entry {seat}")
+        deferred = session.receive(seat, f"entry {self.seat}", sent.headers, sent.body, Deferred())
 
         def answered(answer):
-            shop.record.saw(f"entry {seat}", f"{name} -> entry {self.seat}: {answer.status}")
+            session.record.add(f"entry {seat}", f"{name} -> entry {self.seat}: {answer.status}")
             return Ok(
-                UpstreamAnswer(answer.status, answer.headers, None, False, Content(answer.body))
+                UpstreamAnswer(
+                    answer.status, answer.headers, None, False, FakeAnswerBody(answer.body)
+                )
             )
 
-        return asked.addCallback(answered)
+        return deferred.addCallback(answered)
 
 
 def test_session_of_an_order_whose_answer_is_lost_and_whose_executor_is_replaced(snapshot):
-    shop = Shop()
-    shop.gossip()
-    shop.wait(0.5)
-    prefix = shop.look_up("b", "a")
-    first = shop.name(f"{prefix}.first-order-00001", "order 1")
-    second = shop.name(f"{prefix}.second-order-0002", "order 2")
-
-    shop.wait(0.1)
-    unseen = shop.order("a", first, lost=True)
-    shop.wait(0.2)
-    joined = shop.order("b", first)
-    assert unseen == joined == [], "the run has not ended"
-    shop.wait(0.3)
-    shop.finish()
-    shop.wait(0.5)
-    repeated = shop.order("b", first)
-    assert unseen == joined == repeated == ["complete"]
-
-    shop.wait(1)
-    shop.order("a", second, lost=True)
-    shop.wait(0.1)
-    shop.record.saw("caller", "order 2 at a: the connection is lost")
-    shop.start("a", "a2")
-    early = shop.order("b", second)  # b has not heard of the new life yet
-    shop.wait(0.2)
-    shop.finish()
-    shop.gossip()
-    after = [shop.order(seat, order) for seat in "ab" for order in (first, second)]
+    session = OrderSession()
+    session.gossip()
+    session.advance(0.5)
+    prefix = session.look_up("b", "a")
+    first = session.name(f"{prefix}.first-order-00001", "order 1")
+    second = session.name(f"{prefix}.second-order-0002", "order 2")
+
+    session.advance(0.1)
+    lost_answer = session.order("a", first, lost=True)
+    session.advance(0.2)
+    joined_answer = session.order("b", first)
+    assert lost_answer == joined_answer == [], "the run has not ended"
+    session.advance(0.3)
+    session.finish()
+    session.advance(0.5)
+    retried_answer = session.order("b", first)
+    assert lost_answer == joined_answer == retried_answer == ["complete"]
+
+    session.advance(1)
+    session.order("a", second, lost=True)
+    session.advance(0.1)
+    session.record.add("caller", "order 2 at a: the connection is lost")
+    session.start("a", "a2")
+    early = session.order("b", second)  # b does not know the new incarnation yet.
+    session.advance(0.2)
+    session.finish()
+    session.gossip()
+    after = [session.order(seat, order) for seat in "ab" for order in (first, second)]
     assert early == ["unknown"] and after == [["unknown"]] * 4
 
-    shop.wait(1)
-    third = shop.name(f"{shop.look_up('b', 'a')}.third-order-00003", "order 3")
-    told = shop.order("b", third)
-    shop.wait(0.3)
-    shop.finish()
-    assert told == ["complete"]
+    session.advance(1)
+    third = session.name(f"{session.look_up('b', 'a')}.third-order-00003", "order 3")
+    response = session.order("b", third)
+    session.advance(0.3)
+    session.finish()
+    assert response == ["complete"]
 
-    assert shop.starts == {first: 1, second: 1, third: 1} and not shop.runs
-    assert str(shop.record) == snapshot
+    assert session.starts == {first: 1, second: 1, third: 1} and not session.runs
+    assert str(session.record) == snapshot
 
 
-# A loan.
+# Loans.
 
 KEY = "slots/e"
 SLOTS = 3
 STEP = 50 * MS
 RATES = {"a": 1.01, "b": 0.99, "c": 1.0}
-LOAN_WORDS = {LoanGrant: "grant", LoanReturn: "return", LoanRecall: "recall"}
+LOAN_VERBS = {LoanGrant: "grant", LoanReturn: "return", LoanRecall: "recall"}
 
 
 class Use:
-    """One use of a slot; the endpoint ends it by its deadline, whether or not its entry wakes."""
+    """A use of a slot, which the endpoint ends at its deadline even if the entry is paused."""
 
     def __init__(self, hold, until, clock):
         self.hold, self.until, self.clock = hold, until, clock
@@ -288,8 +290,8 @@
         return self.clock.monotonic() >= self.until
 
 
-class Lenders:
-    """Three entries with one slot each, whose clocks differ by up to 2 %, and their endpoint."""
+class LoanCluster:
+    """Three entries with one slot each and clock rates up to 2 % apart, and their endpoint."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -299,7 +301,7 @@
         self.shares = {seat: Shares(self.me[seat], self.clocks[seat]) for seat in RATES}
         self.waiting, self.uses = [], {seat: [] for seat in RATES}
         self.demand, self.paused, self.lost = dict.fromkeys(RATES, 0), set(), []
-        self.running, self.most, self.total, self.loans = "", 0, Counter(), {}
+        self.running, self.max_running, self.total, self.loans = "", 0, Counter(), {}
         limit = Limit(KEY, LimitKind.CONCURRENCY, SLOTS, tuple(RATES), 2 * SECOND)
         for shares in self.shares.values():
             shares.configure(1, {KEY: limit})
@@ -307,18 +309,18 @@
             self.shares[other].on_digest(self.me[seat], Digest(1, 1, "ready", "", 0))
 
     def loan(self, borrower, number):
-        """Name a loan by its borrower and turn, and its renewal, instead of its long number."""
+        """Return a short name of a loan: borrower, sequence number and renewal."""
         loan = number >> RENEWAL_BITS
         self.loans.setdefault(
             loan, f"{borrower}{sum(n[0] == borrower for n in self.loans.values())}"
         )
         return f"{self.loans[loan]}.{number & ((1 << RENEWAL_BITS) - 1)}"
 
-    def words(self, sender, to, message):
+    def describe_message(self, sender, to, message):
         if isinstance(message, LoanRequest):
             return f"request {self.loan(sender, message.number)} of {message.amount}"
         borrower = to if isinstance(message, LoanGrant | LoanRecall) else sender
-        text = f"{LOAN_WORDS[type(message)]} {self.loan(borrower, message.number)}"
+        text = f"{LOAN_VERBS[type(message)]} {self.loan(borrower, message.number)}"
         if isinstance(message, LoanGrant):
             text = f"{text} of {message.amount} for {message.term_ms} ms"
             text = text if message.amount else f"denial {self.loan(borrower, message.number)}"
@@ -326,8 +328,8 @@
 
     def send(self, seat, outgoing):
         for out in outgoing:
-            words = self.words(seat, out.seat, out.message)
-            self.record.saw(f"entry {seat}", f"{words} -> {out.seat}")
+            description = self.describe_message(seat, out.seat, out.message)
+            self.record.add(f"entry {seat}", f"{description} -> {out.seat}")
             if (type(out.message), seat) in self.lost:
                 self.lost.remove((type(out.message), seat))
                 continue
@@ -337,11 +339,13 @@
         arriving = [item for item in self.waiting if item[1] not in self.paused]
         self.waiting = [item for item in self.waiting if item[1] in self.paused]
         for sender, seat, message in arriving:
-            self.record.saw(f"entry {seat}", f"{self.words(sender, seat, message)} <- {sender}")
+            self.record.add(
+                f"entry {seat}", f"{self.describe_message(sender, seat, message)} <- {sender}"
+            )
             self.send(seat, self.shares[seat].on_message(self.me[sender], message))
 
     def serve(self, seat):
-        """End the uses that are over, and begin as many as are in demand and may begin."""
+        """End the expired uses, then begin new ones up to the demand and the free units."""
         clock, shares, uses = self.clocks[seat], self.shares[seat], self.uses[seat]
         for use in [use for use in uses if use.is_over]:
             uses.remove(use)
@@ -360,88 +364,92 @@
         self.clock.advance(STEP)
         for seat, clock in self.clocks.items():
             clock.advance(STEP * RATES[seat])
-        # Requests come before messages: a process that goes on may take them in this order.
+        # Requests precede messages, as a resumed process may handle them in this order.
         for seat in [seat for seat in RATES if seat not in self.paused]:
             self.serve(seat)
             self.send(seat, self.shares[seat].tick())
         self.deliver()
-        # A use that has ended may be followed by another at once, so the count is of the present.
+        # An ended use may be replaced at once, so count only the uses that are running now.
         live = {s: sum(not use.is_over for use in uses) for s, uses in self.uses.items()}
         count = sum(live.values())
         running = f"{count} of {SLOTS} running: " + ", ".join(f"{s} {n}" for s, n in live.items())
         if running != self.running:
-            self.record.saw("endpoint", running)
-        self.running, self.most = running, max(self.most, count)
+            self.record.add("endpoint", running)
+        self.running, self.max_running = running, max(self.max_running, count)
         assert count <= SLOTS
 
     def run(self, until, **demand):
         for seat, wanted in demand.items():
-            self.record.saw(f"entry {seat}", f"its demand is {wanted}")
+            self.record.add(f"entry {seat}", f"its demand is {wanted}")
         self.demand.update(demand)
         while self.clock.monotonic() < until * SECOND:
             self.step()
 
     def pause(self, seat):
-        self.record.saw(f"entry {seat}", "is paused")
+        self.record.add(f"entry {seat}", "is paused")
         self.paused.add(seat)
 
     def resume(self, seat):
-        self.record.saw(f"entry {seat}", "goes on")
+        self.record.add(f"entry {seat}", "goes on")
         self.paused.remove(seat)
 
-    def free(self):
-        """Return what each entry may use now, and note it down."""
+    def record_free_units(self):
+        """Record and return the free units of each entry."""
         free = {seat: shares.free(KEY) for seat, shares in self.shares.items()}
         for seat, units in free.items():
             if seat not in self.paused:
-                self.record.saw(f"entry {seat}", f"free: {units}")
+                self.record.add(f"entry {seat}", f"free: {units}")
         return free
 
 
 def test_session_of_loans_renewed_recalled_lost_and_outlived_by_a_pause(snapshot):
-    fleet = Lenders()
-    fleet.run(6, a=3)
-    assert {"a0.2", "a1.2"} <= set(str(fleet.record).split()), "the loans were not renewed"
-    assert fleet.total["a"] >= 14, "one entry has not got the whole limit"
-    fleet.run(8, b=1)
-    assert fleet.total["b"] >= 1, "a lender has not got its unit back"
-    fleet.lost = [(LoanReturn, "a")]
-    fleet.run(9, a=0, b=0)
-    assert not fleet.lost and fleet.free() == {"a": 1, "b": 1, "c": 0}
-    fleet.run(18)
-    assert fleet.free() == {"a": 1, "b": 1, "c": 1}, "the lost return was not made up for"
-    fleet.run(19, c=2)
-    fleet.pause("c")
-    fleet.run(22.6, a=1, b=1)
-    assert not fleet.uses["b"], "a lender has not waited for the end of the term"
-    fleet.resume("c")
-    fleet.run(24)
-    assert fleet.uses["b"], "a lender has not got its unit back"
-    fleet.run(26, a=0, b=0)
-    assert len(fleet.uses["c"]) == 2
-    fleet.pause("c")
-    fleet.run(36, a=1, b=1)
-    assert fleet.uses["b"], "a lender has not got its unit back from a paused borrower"
-    fleet.resume("c")
-    fleet.run(38)
-    assert {seat: len(uses) for seat, uses in fleet.uses.items()} == dict.fromkeys("abc", 1)
-    fleet.run(40, a=0, b=0, c=0)
-    assert fleet.free() == {"a": 1, "b": 1, "c": 1}
-    assert fleet.most == SLOTS
-    assert str(fleet.record) == snapshot
-
-
-# A change of the configuration.
+    cluster = LoanCluster()
+    cluster.run(6, a=3)
+    assert {"a0.2", "a1.2"} <= set(str(cluster.record).split()), "the loans were not renewed"
+    assert cluster.total["a"] >= 14, "entry a did not get the whole limit"
+    cluster.run(8, b=1)
+    assert cluster.total["b"] >= 1, "a lender did not get its unit back"
+    cluster.lost = [(LoanReturn, "a")]
+    cluster.run(9, a=0, b=0)
+    assert not cluster.lost and cluster.record_free_units() == {"a": 1, "b": 1, "c": 0}
+    cluster.run(18)
+    assert cluster.record_free_units() == {
+        "a": 1,
+        "b": 1,
+        "c": 1,
+    }, "the units of a lost return were not recovered"
+    cluster.run(19, c=2)
+    cluster.pause("c")
+    cluster.run(22.6, a=1, b=1)
+    assert not cluster.uses["b"], "a lender did not wait for the end of the term"
+    cluster.resume("c")
+    cluster.run(24)
+    assert cluster.uses["b"], "a lender did not get its unit back"
+    cluster.run(26, a=0, b=0)
+    assert len(cluster.uses["c"]) == 2
+    cluster.pause("c")
+    cluster.run(36, a=1, b=1)
+    assert cluster.uses["b"], "a lender did not get its unit back from a paused borrower"
+    cluster.resume("c")
+    cluster.run(38)
+    assert {seat: len(uses) for seat, uses in cluster.uses.items()} == dict.fromkeys("abc", 1)
+    cluster.run(40, a=0, b=0, c=0)
+    assert cluster.record_free_units() == {"a": 1, "b": 1, "c": 1}
+    assert cluster.max_running == SLOTS
+    assert str(cluster.record) == snapshot
+
+
+# Configuration changes.
 
 
 class Store:
-    """The configuration key; `history` holds all that ever took effect."""
+    """The configuration key; `history` holds all committed records."""
 
     def __init__(self, record):
         self.record, self.history = record, []
 
     def read(self, who):
-        self.record.saw("store", f"{who} reads revision {self.history[-1]['number']}")
+        self.record.add("store", f"{who} reads revision {self.history[-1]['number']}")
         return self.history[-1], len(self.history)
 
     def swap(self, who, step):
@@ -449,20 +457,20 @@
         if written:
             self.history.append(step.record)
         number, result = step.record["number"], "written" if written else "refused"
-        self.record.saw(
+        self.record.add(
             "store", f"{who} writes revision {number} on version {step.version}: {result}"
         )
         return written
 
 
 class Operator:
-    """One operator; `begin` builds a change on what was read, `go_on` takes its next step."""
+    """One operator; `begin` builds a change on a read record, `take_next_step` advances it."""
 
     def __init__(self, name, store, record):
         self.name, self.store, self.record = name, store, record
 
     def note(self, text):
-        self.record.saw(self.name, text)
+        self.record.add(self.name, text)
 
     def begin(self, change, current, version):
         document = {"entries": dict.fromkeys(SEATS, {}), "made by": change}
@@ -472,7 +480,7 @@
         self.attempt = Attempt(made, version)
         self.step = self.attempt.start()
 
-    def go_on(self, *, lost=False):
+    def take_next_step(self, *, lost=False):
         match self.step:
             case Swap():
                 swapped = self.store.swap(self.name, self.step)
@@ -495,8 +503,8 @@
 SEATS = ("e1", "e2", "e3", "e4")
 
 
-class Copies:
-    """Four entries with a copy of the configuration each; messages take one step of 50 ms."""
+class ConfigurationCluster:
+    """Four entries with a replica of the configuration each; messages take one `STEP`."""
 
     def __init__(self):
         self.clock = ManualClock()
@@ -522,34 +530,34 @@
 
     def offer(self, seat, made):
         self.replicas[seat].offer(made["number"], pack(made["document"]))
-        self.look(seat)
+        self.record_state(seat)
 
     def send(self, seat, outgoing):
         for out in outgoing:
             match out.message:
                 case DocumentReply(revision):
-                    self.record.saw(seat, f"sends revision {revision} to {out.seat}")
+                    self.record.add(seat, f"sends revision {revision} to {out.seat}")
                 case DocumentRequest():
-                    self.record.saw(seat, f"asks {out.seat}")
+                    self.record.add(seat, f"asks {out.seat}")
             self.waiting.append((seat, out.seat, out.message))
 
     def receive(self, sender, seat, message):
-        replica, life = self.replicas[seat], Incarnation(sender, "1")
+        replica, incarnation = self.replicas[seat], Incarnation(sender, "1")
         match message:
             case Digest():
-                return replica.on_digest(life, message)
+                return replica.on_digest(incarnation, message)
             case DocumentRequest():
-                return replica.on_document_request(life, message)
-        return replica.on_document_reply(life, message)
+                return replica.on_document_request(incarnation, message)
+        return replica.on_document_reply(incarnation, message)
 
-    def look(self, seat):
-        """Note down what an entry has and serves if that has changed; it must never go back."""
+    def record_state(self, seat):
+        """Record the state of an entry if it has changed; its revision must never decrease."""
         replica = self.replicas[seat]
         assert replica.number >= self.highest[seat]
         self.highest[seat] = replica.number
         state = f"revision {replica.number}, {'serving' if replica.ready else 'not serving'}"
         if state != self.states.get(seat):
-            self.record.saw(seat, state)
+            self.record.add(seat, state)
         self.states[seat] = state
 
     def step(self):
@@ -559,101 +567,105 @@
         arriving = [item for item in self.waiting if item[1] in awake]
         self.waiting = [item for item in self.waiting if item[1] not in awake]
         for seat in awake:
-            self.look(seat)  # Before its tick: a paused process may get requests first.
+            self.record_state(seat)  # Before its tick, as a resumed process may get requests first.
         for sender, seat, message in arriving:
             self.send(seat, self.receive(sender, seat, message))
-            self.look(seat)
+            self.record_state(seat)
         for at, seat in enumerate(awake):
             self.send(seat, self.replicas[seat].tick())
             if self.steps % 10 == 0:
                 others = [other for other in SEATS if other != seat]
                 to = others[(self.steps // 10 + at) % len(others)]
                 self.waiting.append((seat, to, self.describe(seat, self.replicas[seat].number)))
-            self.look(seat)
+            self.record_state(seat)
 
     def run(self, until):
         while self.clock.monotonic() < until * SECOND:
             self.step()
 
-    def ask_all(self, operator, number, first):
-        """Ask every entry what it has in force; judge by this round and the one before it."""
+    def poll_acceptance(self, operator, number, first):
+        """Query the revision of every entry; judge acceptance by this and the previous round."""
         second = {
             seat: Report("1", replica.number)
             for seat, replica in self.replicas.items()
             if seat not in self.paused
         }
         judged = confirm_acceptance(number, SEATS, first, second, ())
-        heard = ", ".join(f"{seat} {report.revision}" for seat, report in second.items())
+        reported = ", ".join(f"{seat} {report.revision}" for seat, report in second.items())
         lacking = f"not accepted, unconfirmed: {', '.join(judged.lacking)}"
-        operator.note(f"asks all: {heard}; {'accepted' if judged.accepted else lacking}")
+        operator.note(f"asks all: {reported}; {'accepted' if judged.accepted else lacking}")
         return judged.accepted, second
 
 
 def test_session_of_two_operators_a_lost_answer_and_a_paused_entry(snapshot):
-    fleet = Copies()
-    ann, ben = (Operator(name, fleet.store, fleet.record) for name in ("ann", "ben"))
+    cluster = ConfigurationCluster()
+    ann, ben = (Operator(name, cluster.store, cluster.record) for name in ("ann", "ben"))
     ann.begin("change 1", None, 0)
-    ann.go_on()
+    ann.take_next_step()
     for seat in SEATS:
-        fleet.read_store(seat)
-    fleet.run(1)
-    late_read, _ = fleet.store.read("e2")
-    fleet.record.saw("e4", "is paused")
-    fleet.paused.add("e4")
-    ann.begin("change 2", *fleet.store.read("ann"))
-    ben.begin("change 3", *fleet.store.read("ben"))
-    fleet.run(1.1)
-    ann.go_on(lost=True)
-    fleet.run(1.2)
-    ben.go_on()
-    ben.go_on()
+        cluster.read_store(seat)
+    cluster.run(1)
+    late_read, _ = cluster.store.read("e2")
+    cluster.record.add("e4", "is paused")
+    cluster.paused.add("e4")
+    ann.begin("change 2", *cluster.store.read("ann"))
+    ben.begin("change 3", *cluster.store.read("ben"))
+    cluster.run(1.1)
+    ann.take_next_step(lost=True)
+    cluster.run(1.2)
+    ben.take_next_step()
+    ben.take_next_step()
     assert isinstance(ben.step, Conflict) and ben.step.winner["change"] == "change 2"
-    fleet.run(1.3)
-    ben.begin("change 4", *fleet.store.read("ben"))
-    ben.go_on()
+    cluster.run(1.3)
+    ben.begin("change 4", *cluster.store.read("ben"))
+    ben.take_next_step()
     assert isinstance(ben.step, Recorded)
-    fleet.run(1.5)
-    ann.go_on()
+    cluster.run(1.5)
+    ann.take_next_step()
     assert isinstance(ann.step, Recorded) and ann.step.superseded
-    assert [made["change"] for made in fleet.store.history] == ["change 1", "change 2", "change 4"]
+    assert [made["change"] for made in cluster.store.history] == [
+        "change 1",
+        "change 2",
+        "change 4",
+    ]
 
-    fleet.read_store("e1")
-    fleet.run(1.8)
-    fleet.record.saw("e2", "the store's answer of 1.00 comes")
-    fleet.offer("e2", late_read)
+    cluster.read_store("e1")
+    cluster.run(1.8)
+    cluster.record.add("e2", "the store's answer of 1.00 comes")
+    cluster.offer("e2", late_read)
     rounds = {}
     for second in (2, 3, 4):
-        fleet.run(second)
-        accepted, rounds = fleet.ask_all(ben, 3, rounds)
-        assert not accepted, "accepted while an entry may still serve what was before"
-    fleet.record.saw("e4", "goes on")
-    fleet.paused.remove("e4")
-    late, judged = fleet.replicas["e4"], []
-    assert not late.ready, "an entry serves what it had before its pause"
+        cluster.run(second)
+        accepted, rounds = cluster.poll_acceptance(ben, 3, rounds)
+        assert not accepted, "accepted while an entry may still serve an older revision"
+    cluster.record.add("e4", "goes on")
+    cluster.paused.remove("e4")
+    late, judged = cluster.replicas["e4"], []
+    assert not late.ready, "an entry serves its old revision after a pause"
     while not any(judged):
         for _ in range(6):
-            fleet.step()
+            cluster.step()
             assert late.number == 3 or not late.ready
-        accepted, rounds = fleet.ask_all(ben, 3, rounds)
+        accepted, rounds = cluster.poll_acceptance(ben, 3, rounds)
         judged.append(accepted)
-        assert fleet.clock.monotonic() < 8 * SECOND
-    assert len(judged) > 1, "accepted after a single round in which all had it"
-    assert {seat: replica.number for seat, replica in fleet.replicas.items()} == dict.fromkeys(
+        assert cluster.clock.monotonic() < 8 * SECOND
+    assert len(judged) > 1, "accepted after a single round in which all entries had the revision"
+    assert {seat: replica.number for seat, replica in cluster.replicas.items()} == dict.fromkeys(
         SEATS, 3
     )
-    fleet.run(8)
-    assert all(replica.ready for replica in fleet.replicas.values())
-    assert str(fleet.record) == snapshot
+    cluster.run(8)
+    assert all(replica.ready for replica in cluster.replicas.values())
+    assert str(cluster.record) == snapshot
 
 
-# A drain.
+# Drains.
 
 CAP = 0.1
 RATE = 100
 
 
 class Router:
-    """Steering of one entry that gets `RATE` requests a second."""
+    """The steering of one entry that receives `RATE` requests per second."""
 
     def __init__(self, name, zone, region, clock, record):
         self.name, self.zone, self.region, self.record = name, zone, region, record
@@ -661,7 +673,7 @@
         self.counts, self.seconds, self.requests = Counter(), [], 0
 
     def configure(self, revision, document):
-        self.record.saw(self.name, f"revision {revision} in force")
+        self.record.add(self.name, f"revision {revision} in force")
         self.rules = RuleSet(document)
         self.steering.configure(document)
 
@@ -677,20 +689,20 @@
         self.steering.on_result(endpoint, True, 5 * MS)
         self.counts[choice.place] += 1
         if self.requests % 70 == 0:
-            self.record.saw(self.name, f"request {self.requests} -> {endpoint}")
+            self.record.add(self.name, f"request {self.requests} -> {endpoint}")
         return choice.place
 
     def end_second(self):
-        parts = {zone: self.counts[zone] / RATE for zone in ("a1", "b1", "a2")}
-        text = ", ".join(f"{zone} {part:.0%}" for zone, part in parts.items())
-        self.record.saw(self.name, f"last second: {text}")
-        assert sum(parts.values()) == 1, "a request went elsewhere"
-        self.seconds.append(parts)
+        fractions = {zone: self.counts[zone] / RATE for zone in ("a1", "b1", "a2")}
+        text = ", ".join(f"{zone} {fraction:.0%}" for zone, fraction in fractions.items())
+        self.record.add(self.name, f"last second: {text}")
+        assert sum(fractions.values()) == 1, "a request was sent to another place"
+        self.seconds.append(fractions)
         self.counts.clear()
 
 
-def plans(drained_at=None):
-    """Return the document: three quarters to a1, half of that to move, and maybe a2's drain."""
+def make_document(drained_at=None):
+    """Return a document: weight 3/4 on a1, half of it to move to b1; optionally a2 drained."""
     regions = {"r1": ["a1", "b1"], "r2": ["a2"]}
     upstreams = {
         f"{zone}-{number}": {"zone": zone, "address": "10.0.0.1:1", "slots": 4, "connections": 9}
@@ -721,21 +733,23 @@
     ]
     drained_at = datetime(2026, 1, 1, 0, 0, 7, tzinfo=UTC)
     for router in routers:
-        router.configure(1, plans())
-    learns = {3 * SECOND: routers[0], 3.4 * SECOND: routers[1]}
+        router.configure(1, make_document())
+    drain_received = {3 * SECOND: routers[0], 3.4 * SECOND: routers[1]}
     while clock.monotonic() < 12 * SECOND:
         clock.advance(SECOND / RATE)
-        if router := learns.get(clock.monotonic()):
-            router.configure(2, plans(drained_at))
+        if router := drain_received.get(clock.monotonic()):
+            router.configure(2, make_document(drained_at))
         for router in routers:
             place = router.request(clock)
-            assert place != "a2" or clock.utcnow() < drained_at, "new work for a drained zone"
+            assert (
+                place != "a2" or clock.utcnow() < drained_at
+            ), "a request was sent to a drained zone"
             if clock.monotonic() % SECOND == timedelta(0):
                 router.end_second()
     for router in routers:
         for before, after in itertools.pairwise(router.seconds):
             gained = sum(max(0.0, after[zone] - before[zone]) for zone in after)
-            # Each count is within one request of its fractions' sum at both ends of each second.
+            # Counts are whole requests: each may be off by one at both ends of the second.
             assert gained <= CAP + 4 / RATE
         assert router.seconds[0] == {"a1": 0.75, "b1": 0.0, "a2": 0.25}
         assert router.seconds[-1]["a2"] == 0 and router.seconds[-1]["b1"] > 0.4
