--- a/standins/src/cardamomloft_standins/experiment/report.py
+++ b/standins/src/cardamomloft_standins/experiment/report.py
@@ -128,7 +128,7 @@
     for name, outcomes in runs.items():
         windows = by_window(outcomes)
         axes.plot(list(windows), list(windows.values()), marker=".", label=name)
-    axes.set(title=title, xlabel="time of asking (s)", ylabel="mean credit", ylim=(0, 1.02))
+    axes.set(title=title, xlabel="time of request (s)", ylabel="mean credit", ylim=(0, 1.02))
     axes.legend(loc="lower left", fontsize="small")
     figure.tight_layout()
     figure.savefig(path)
--- a/standins/tests/test_experiment.py
+++ b/standins/tests/test_experiment.py
@@ -32,48 +32,48 @@
     def __init__(self):
         self.clock = Clock()
         self.model = ModelEndpoint(self.clock, ROW, TRAITS, random.Random(1))
-        self.ended = []
+        self.results = []
 
-    def ask(self, key, until=10.0):
-        self.model.offer(Job(key, until, self.ended.append))
+    def send(self, key, until=10.0):
+        self.model.offer(Job(key, until, self.results.append))
 
 
 def test_an_endpoint_runs_as_many_as_it_has_slots_and_refuses_beyond_its_queue():
     endpoint = Endpoint()
     for key in "abcd":
-        endpoint.ask(key)
-    assert [end.ran for end in endpoint.ended] == [False]
+        endpoint.send(key)
+    assert [end.ran for end in endpoint.results] == [False]
     assert endpoint.model.load() == "2,1,2"
     endpoint.clock.advance(0.4)
     endpoint.clock.advance(0.4)
-    assert [end.ran for end in endpoint.ended] == [False, True, True, True]
+    assert [end.ran for end in endpoint.results] == [False, True, True, True]
 
 
 def test_a_cached_key_is_served_faster_until_it_is_evicted():
     endpoint = Endpoint()
     for key in "aabca":
-        endpoint.ask(key)
+        endpoint.send(key)
         endpoint.clock.advance(0.5)
-    assert [end.warm for end in endpoint.ended] == [False, True, False, False, False]
+    assert [end.warm for end in endpoint.results] == [False, True, False, False, False]
 
 
 def test_a_queued_request_past_its_deadline_is_dropped():
     endpoint = Endpoint()
     for key in "ab":
-        endpoint.ask(key)
-    endpoint.ask("c", until=0.1)
+        endpoint.send(key)
+    endpoint.send("c", until=0.1)
     endpoint.clock.advance(1)
-    assert sorted(end.ran for end in endpoint.ended) == [False, True, True]
+    assert sorted(end.ran for end in endpoint.results) == [False, True, True]
     assert endpoint.model.load() == "0,0,2"
 
 
 def test_a_crashed_endpoint_does_not_answer():
     endpoint = Endpoint()
-    endpoint.ask("a")
+    endpoint.send("a")
     endpoint.model.crash()
-    endpoint.ask("b")
+    endpoint.send("b")
     endpoint.clock.advance(1)
-    assert endpoint.ended == []
+    assert endpoint.results == []
 
 
 def test_a_summary_counts_each_request_once():
@@ -139,11 +139,12 @@
 
 def test_a_drained_zone_has_no_usable_endpoints_until_it_is_restored():
     world = World(scenario("fleet-drain"), POLICIES["product"], seed=1)
-    book, *_ = world._upstream_tables()
+    upstream_table, *_ = world._upstream_tables()
     usable = {}
     for second in (1, 3, 12):
         world.reactor.callLater(
-            second, lambda at=second: usable.update({at: len(book.of_service("modelled"))})
+            second,
+            lambda at=second: usable.update({at: len(upstream_table.of_service("modelled"))}),
         )
     world.reactor.pump([1, 2, 9])
     assert usable == {1: 12, 3: 10, 12: 12}
@@ -151,12 +152,12 @@
 
 def test_registrations_of_crashed_endpoints_expire_and_return_cold():
     world = World(scenario("fleet-loss"), POLICIES["product"], seed=1)
-    book, *_ = world._upstream_tables()
+    upstream_table, *_ = world._upstream_tables()
     world.reactor.pump([9, 3, 3])
-    assert len(book) == 7
+    assert len(upstream_table) == 7
     world.reactor.pump([2])
-    assert len(book) == 12
-    assert book.get("c1-0").cold_until > world.clock.monotonic()
+    assert len(upstream_table) == 12
+    assert upstream_table.get("c1-0").cold_until > world.clock.monotonic()
 
 
 @pytest.mark.parametrize(
@@ -186,16 +187,16 @@
 
 def test_calls_of_one_instant_keep_their_order_and_cancelled_ones_are_skipped():
     loop = Loop()
-    made = []
+    called = []
     for name in "abc":
-        loop.callLater(1.0, made.append, name)
-    loop.callLater(0.5, made.append, "first")
-    loop.callLater(0.7, made.append, "ended").cancel()
-    loop.callLater(0.2, lambda: loop.callLater(0.0, made.append, "nested"))
+        loop.callLater(1.0, called.append, name)
+    loop.callLater(0.5, called.append, "first")
+    loop.callLater(0.7, called.append, "ended").cancel()
+    loop.callLater(0.2, lambda: loop.callLater(0.0, called.append, "nested"))
     loop.advance(0.9)
-    assert made == ["nested", "first"]
+    assert called == ["nested", "first"]
     loop.run_until(1.0)
-    assert made == ["nested", "first", "a", "b", "c"]
+    assert called == ["nested", "first", "a", "b", "c"]
     assert loop.seconds() == 1.0
 
 
