--- a/packages/entry/src/cardamomloft/entry/executor.py
+++ b/packages/entry/src/cardamomloft/entry/executor.py
@@ -44,7 +44,7 @@
 from twisted.internet.defer import Deferred, ensureDeferred
 from twisted.python.failure import Failure
 
-PASSED_ON_HEADER = "x-forwarded-by"
+FORWARDED_BY_HEADER = "x-forwarded-by"
 LEASE_PAUSE = timedelta(seconds=1)
 CLIENT_HEADER = "x-client"
 NOT_KEPT_HEADER = ("Cardamomloft-Answer", "not-kept")
@@ -310,7 +310,7 @@
     ) -> Answer:
         """Send the request to the only process that may run it, and relay its answer."""
         address = self._address_of(executor.seat)
-        passed_before = any(name == PASSED_ON_HEADER for name, _ in head.headers)
+        passed_before = any(name == FORWARDED_BY_HEADER for name, _ in head.headers)
         if address is None or passed_before or not self._is_current(executor):
             return self._words(Unknown(f"the executor {executor.seat} is not reachable"))
         self._metrics.count("passed-on")
@@ -319,7 +319,7 @@
         kept = tuple(h for h in head.headers if h[0] not in ("host", "content-length"))
         if not any(name == CLIENT_HEADER for name, _ in kept):
             kept = (*kept, (CLIENT_HEADER, head.client))
-        headers = (*kept, (PASSED_ON_HEADER, self._me.seat))
+        headers = (*kept, (FORWARDED_BY_HEADER, self._me.seat))
         request_id = f"{self._me.seat}-{self._me.number}-passed"
         sent = await self._client.send(
             UpstreamRequest(
--- a/packages/entry/src/cardamomloft/entry/forwarding.py
+++ b/packages/entry/src/cardamomloft/entry/forwarding.py
@@ -59,7 +59,7 @@
     @property
     def repeatable(self) -> bool:
         """Whether the body could be sent again."""
-        return self.whole is not None or (self.stream is not None and self.stream.untouched)
+        return self.whole is not None or (self.stream is not None and self.stream.unconsumed)
 
 
 class Caller:
--- a/packages/entry/src/cardamomloft/entry/gossip.py
+++ b/packages/entry/src/cardamomloft/entry/gossip.py
@@ -11,7 +11,7 @@
 from cardamomloft.core.shares import Shares
 
 INTERVAL = timedelta(seconds=1)
-TARGETS = 6
+DIGEST_FANOUT = 6
 ASKED_HOLDERS = 4
 
 
@@ -61,7 +61,7 @@
         """Send the digest to a few peers, and ask holders whose agreement is missing for theirs."""
         digest = self._describe()
         self._membership.set_own_digest(digest)
-        targets = self._membership.gossip_targets(self._rng, TARGETS)
+        targets = self._membership.gossip_targets(self._rng, DIGEST_FANOUT)
         self.send(Outgoing(seat, digest) for seat in targets)
         # Their digests may come by chance only.
         lacking = sorted(self._shares.awaited)
@@ -73,6 +73,6 @@
         """Tell those that wait for our word, and a few others, what has changed here."""
         digest = self._describe()
         self._membership.set_own_digest(digest)
-        targets = set(self._membership.gossip_targets(self._rng, TARGETS))
+        targets = set(self._membership.gossip_targets(self._rng, DIGEST_FANOUT))
         targets |= self._shares.partners
         self.send(Outgoing(seat, digest) for seat in sorted(targets))
--- a/packages/entry/src/cardamomloft/entry/lookups.py
+++ b/packages/entry/src/cardamomloft/entry/lookups.py
@@ -9,7 +9,7 @@
 from cardamomloft.core.operations import OperationIds
 from cardamomloft.core.router import Router
 
-ENTRIES = 3
+ENTRIES_PER_LOOKUP = 3
 """Entries in one answer, so that a caller has others when one is lost."""
 
 VALID = timedelta(seconds=2)
@@ -37,7 +37,7 @@
     def answer(self, client: str, router: Router, revision: int) -> LookupAnswer:
         """Name the entries that `client` should use, and the prefix for its operation ids."""
         site = router.classifier.site_of(int.from_bytes(socket.inet_aton(client)))
-        seats = self._membership.entries_for(site, ENTRIES)
+        seats = self._membership.entries_for(site, ENTRIES_PER_LOOKUP)
         executor, prefix, left = self._executor_among(seats)
         rows = router.document["entries"]
         entries = [LookupEntry(name=seat, address=rows[seat]["callers"]) for seat in seats]
--- a/packages/entry/src/cardamomloft/entry/main.py
+++ b/packages/entry/src/cardamomloft/entry/main.py
@@ -54,8 +54,8 @@
     from cardamomloft.runtime.eventloop import install_event_loop
 
     install_event_loop()
+    from cardamomloft.entry.adapters import connect
     from cardamomloft.entry.node import EntryNode
-    from cardamomloft.entry.outside import connect
     from cardamomloft.peers.node import BindError
     from cardamomloft.runtime.logs import start_logs
     from twisted.internet import error, reactor
--- a/packages/entry/src/cardamomloft/entry/mapfetching.py
+++ b/packages/entry/src/cardamomloft/entry/mapfetching.py
@@ -11,7 +11,7 @@
 if t.TYPE_CHECKING:
     from cardamomloft.entry.node import EntryNode
 
-CHUNKS = timedelta(milliseconds=100)
+CHUNK_REQUEST_INTERVAL = timedelta(milliseconds=100)
 """How often missing chunks are asked for."""
 
 
@@ -54,4 +54,4 @@
     async def _read(self, digest: str) -> None:
         match await self._node.store.get(f"map/{digest}"):
             case Result(tag="ok", ok=record) if record is not None:
-                self._node.maps.take(digest, record.value)
+                self._node.maps.add_chunk(digest, record.value)
--- a/packages/entry/src/cardamomloft/entry/maps.py
+++ b/packages/entry/src/cardamomloft/entry/maps.py
@@ -16,7 +16,7 @@
 from cardamomloft.runtime.logs import log
 from expression import Result
 
-ASKED_AT_ONCE = 2
+CHUNKS_PER_REQUEST_ROUND = 2
 
 
 class MapLoader:
@@ -27,7 +27,7 @@
     rng
         Chooses whom to ask.
     read
-        Begins to read one chunk from the store; its bytes come to :meth:`take`.
+        Begins to read one chunk from the store; its bytes come to :meth:`add_chunk`.
     on_map
         Told of each new map, complete or not.
 
@@ -73,7 +73,7 @@
         missing = self.missing
         if not missing:
             return []
-        chosen = self._rng.sample(missing, min(ASKED_AT_ONCE, len(missing)))
+        chosen = self._rng.sample(missing, min(CHUNKS_PER_REQUEST_ROUND, len(missing)))
         if from_store:
             for digest in chosen:
                 self._read(digest)
@@ -87,7 +87,7 @@
         chunk = self._kept.get(req.digest)
         return [] if chunk is None else [Outgoing(seat, ChunkReply(req.digest, chunk))]
 
-    def take(self, digest: str, chunk: bytes) -> None:
+    def add_chunk(self, digest: str, chunk: bytes) -> None:
         """Take a chunk from the store or a peer; one that is not wanted or forged is dropped."""
         if digest not in self.missing or digest_of(chunk) != digest:
             return
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -28,14 +28,14 @@
 from cardamomloft.core.shares import Shares
 from cardamomloft.core.steering import Steering
 from cardamomloft.core.stewardship import STANDBYS_PER_REGION, Stewardship
+from cardamomloft.entry.adapters import Outside
 from cardamomloft.entry.executor import Executor
 from cardamomloft.entry.forwarding import Forwarder
 from cardamomloft.entry.gossip import INTERVAL, Gossip
 from cardamomloft.entry.loads import LoadPoller
 from cardamomloft.entry.lookups import VALID, Lookups
-from cardamomloft.entry.mapfetching import CHUNKS, MapFetcher
+from cardamomloft.entry.mapfetching import CHUNK_REQUEST_INTERVAL, MapFetcher
 from cardamomloft.entry.maps import MapLoader
-from cardamomloft.entry.outside import Outside
 from cardamomloft.entry.receiving import receive
 from cardamomloft.entry.seat import SeatRecord
 from cardamomloft.entry.settings import DEFAULTS, EntrySettings
@@ -46,7 +46,7 @@
 from cardamomloft.peers.curve import CurveKeys
 from cardamomloft.peers.node import PeerNode
 from cardamomloft.runtime.control import ControlApp
-from cardamomloft.runtime.lifecycle import LifeActions, make_life_cycle
+from cardamomloft.runtime.lifecycle import LifeActions, make_lifecycle
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.runtime.timers import Timers
@@ -60,7 +60,7 @@
 SEAT_RETRY = timedelta(seconds=2)
 FIRST_READ = timedelta(milliseconds=1500)
 USELESS = timedelta(seconds=10)
-CLAIMS_PER_S = 300
+TOTAL_CLAIMS_PER_S = 300
 
 
 class EntryNode:
@@ -92,7 +92,7 @@
         self._rng = rng
         self.me = Incarnation(cfg["seat"], secrets.token_hex(8))
         self.metrics = Metrics()
-        self.life = make_life_cycle(_Later(reactor, self))
+        self.life = make_lifecycle(_Later(reactor, self))
         self.stopped: Deferred[None] = Deferred()
         self.store, self.client = outside.store, outside.client
         self.vms = VmWatch(outside.vms, clock, self.metrics, self._take_vms, self._send_all)
@@ -181,7 +181,7 @@
         every(timedelta(milliseconds=self._cfg["vms_every_ms"]), self._poll_vms)
         every(timedelta(milliseconds=self._cfg["load_every_ms"]), self._poll_load)
         every(SEAT_RETRY, self._record_seat)
-        every(CHUNKS, self.fetcher.fetch)
+        every(CHUNK_REQUEST_INTERVAL, self.fetcher.fetch)
         every(FIRST_READ, self._look_for_first)
 
     def stop(self) -> None:
@@ -197,11 +197,11 @@
         """Leave the look-ups; go on serving callers that asked a moment ago."""
         log("leaving")
         self.gossip.announce()
-        self.app.closing()
+        self.app.start_closing()
         hard = self._cfg.get("hard_stop_ms")
         if hard is not None:
             self._reactor.callLater(hard / 1000, cut_off, self)
-        self._reactor.callLater(LINGER.total_seconds(), self.life.lingered)
+        self._reactor.callLater(LINGER.total_seconds(), self.life.lookups_expired)
 
     def on_closing(self) -> None:
         """Refuse new work, finish what is in flight, hand the shares over."""
@@ -303,7 +303,9 @@
         self._place_steward()
         if self.claims is not None:
             entries = len(held.document["entries"])
-            self.claims.budget.set_rate(min(self._cfg["claims_per_s"], CLAIMS_PER_S / entries))
+            self.claims.budget.set_rate(
+                min(self._cfg["claims_per_s"], TOTAL_CLAIMS_PER_S / entries)
+            )
         log("in-force", revision=held.number)
         self.life.prepared()
         self.gossip.announce()
--- a/packages/entry/src/cardamomloft/entry/receiving.py
+++ b/packages/entry/src/cardamomloft/entry/receiving.py
@@ -45,6 +45,6 @@
         case ChunkRequest():
             send(node.maps.on_request(sender.seat, message), sender)
         case ChunkReply():
-            node.maps.take(message.digest, message.chunk)
+            node.maps.add_chunk(message.digest, message.chunk)
         case VmNotice():
             node.vms.on_notice(message)
--- a/packages/entry/src/cardamomloft/entry/status.py
+++ b/packages/entry/src/cardamomloft/entry/status.py
@@ -55,7 +55,7 @@
             "steward": bool(node.steward and node.steward.stewardship.is_steward),
             "services": self._services(),
             "drains": self._drains(),
-            "limits": [_limit(row) for row in node.shares.rows()] if limits else [],
+            "limits": [_limit_row(row) for row in node.shares.rows()] if limits else [],
             "vms_age_ms": self._age_ms(node.vms.fetched_at),
             "store_age_ms": self._age_ms(node.store_at),
         }
@@ -159,7 +159,7 @@
     return (endpoint.zone, endpoint.region)
 
 
-def _limit(row: t.Any) -> dict[str, t.Any]:
+def _limit_row(row: t.Any) -> dict[str, t.Any]:
     return {
         "key": row.key,
         "capacity": row.capacity,
--- a/packages/entry/src/cardamomloft/entry/steward.py
+++ b/packages/entry/src/cardamomloft/entry/steward.py
@@ -11,13 +11,13 @@
 from cardamomloft.core.replication import Replica, pack
 from cardamomloft.core.stewardship import ReadLease, Renew, Step, Stewardship, TryLease, WatchLease
 from cardamomloft.runtime.logs import log
-from cardamomloft.store.keyvalue import Record, Store, Watched
+from cardamomloft.store.keyvalue import Record, Store, WatchResult
 from expression import Result
 from twisted.internet.defer import ensureDeferred
 from twisted.python.failure import Failure
 
 CONFIGURATION_KEY = "config/current"
-WATCH_WAIT = timedelta(minutes=5)
+WATCH_TIMEOUT = timedelta(minutes=5)
 FIRST_BACK_OFF = timedelta(milliseconds=500)
 LAST_BACK_OFF = timedelta(seconds=10)
 
@@ -104,10 +104,10 @@
             case Renew():
                 following = await self._renew()
             case WatchLease():
-                result = await self._store.watch(self._key, self._lease_index, WATCH_WAIT)
+                result = await self._store.watch(self._key, self._lease_index, WATCH_TIMEOUT)
                 following = self._looked(result)
             case ReadLease():
-                result = await self._store.watch(self._key, 0, WATCH_WAIT)
+                result = await self._store.watch(self._key, 0, WATCH_TIMEOUT)
                 following = self._looked(result)
         self._do(following)
 
@@ -137,9 +137,9 @@
                 return self.stewardship.lease_lost()
         return self.stewardship.store_failed()
 
-    def _looked(self, result: Result[Watched, t.Any]) -> list[Step]:
+    def _looked(self, result: Result[WatchResult, t.Any]) -> list[Step]:
         match result:
-            case Result(tag="ok", ok=Watched(record, index)):
+            case Result(tag="ok", ok=WatchResult(record, index)):
                 self._lease_index = index
             case _:
                 self._lease_index = 0
@@ -150,9 +150,9 @@
 
     async def _watch(self) -> None:
         while self.stewardship.watches_configuration:
-            result = await self._store.watch(CONFIGURATION_KEY, self._config_index, WATCH_WAIT)
+            result = await self._store.watch(CONFIGURATION_KEY, self._config_index, WATCH_TIMEOUT)
             match result:
-                case Result(tag="ok", ok=Watched(record, index)):
+                case Result(tag="ok", ok=WatchResult(record, index)):
                     self._config_index = index
                     self._offer(record)
                     self._failures = 0
--- a/packages/entry/src/cardamomloft/entry/vms.py
+++ b/packages/entry/src/cardamomloft/entry/vms.py
@@ -11,7 +11,7 @@
 from expression import Result
 from twisted.internet.defer import Deferred, ensureDeferred
 
-PER_ENTRY = timedelta(milliseconds=100)
+POLL_INTERVAL_PER_ENTRY = timedelta(milliseconds=100)
 
 
 class VmWatch:
@@ -65,7 +65,7 @@
         if now < self._due:
             return None
         if not watches:
-            self._due = now + roster * PER_ENTRY
+            self._due = now + roster * POLL_INTERVAL_PER_ENTRY
         return ensureDeferred(self._fetch(tells))
 
     def on_notice(self, notice: VmNotice) -> None:
--- a/packages/entry/tests/test_executor.py
+++ b/packages/entry/tests/test_executor.py
@@ -19,7 +19,7 @@
     Unknown,
 )
 from cardamomloft.core.operations import OperationIds
-from cardamomloft.entry.executor import PASSED_ON_HEADER, Executor
+from cardamomloft.entry.executor import FORWARDED_BY_HEADER, Executor
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.store.failures import StoreFailure
 from cardamomloft.store.keyvalue import Record
@@ -240,7 +240,7 @@
 
 def test_a_request_is_passed_on_once_at_most(fleet):
     operation = fleet.system_id("e1")
-    headers = (("idempotency-key", operation), (PASSED_ON_HEADER, "e3"))
+    headers = (("idempotency-key", operation), (FORWARDED_BY_HEADER, "e3"))
     assert fleet.ask("e2", operation, headers=headers).outcome == "unknown"
     assert fleet.runs == []
 
--- a/packages/entry/tests/test_maps.py
+++ b/packages/entry/tests/test_maps.py
@@ -26,7 +26,7 @@
     while loader.missing:
         for _, request in loader.next_requests(["e2"], from_store=False):
             assert isinstance(request, ChunkRequest)
-            loader.take(request.digest, chunks[request.digest])
+            loader.add_chunk(request.digest, chunks[request.digest])
             taken += 1
     return taken
 
@@ -46,8 +46,8 @@
     chunks = chunks_of(BLOCKS)
     loader.configure({"default": "d", "chunks": list(chunks)})
     first = next(iter(chunks))
-    loader.take(first, b"forged")
-    loader.take("0" * 64, chunks[first])
+    loader.add_chunk(first, b"forged")
+    loader.add_chunk("0" * 64, chunks[first])
     assert len(loader.missing) == len(chunks) and loader.map.site_of(ADDRESS) == "d"
     assert loader.next_requests(["e2"], from_store=False)
     assert load(loader, chunks) == len(chunks)
@@ -58,6 +58,6 @@
     loader.configure({"default": "d", "chunks": list(chunks)})
     first = next(iter(chunks))
     assert loader.on_request("e2", ChunkRequest(first)) == []
-    loader.take(first, chunks[first])
+    loader.add_chunk(first, chunks[first])
     ((seat, reply),) = loader.on_request("e2", ChunkRequest(first))
     assert (seat, reply.digest, reply.chunk) == ("e2", first, chunks[first])
--- a/packages/entry/tests/test_node.py
+++ b/packages/entry/tests/test_node.py
@@ -15,8 +15,8 @@
 from cardamomloft.core.messages import Digest, DocumentReply, DocumentRequest
 from cardamomloft.core.model import Incarnation, Refusal, RefusalReason
 from cardamomloft.core.replication import pack
+from cardamomloft.entry.adapters import Outside
 from cardamomloft.entry.node import EntryNode
-from cardamomloft.entry.outside import Outside
 from cardamomloft.store.failures import StoreFailure
 from cardamomloft.store.keyvalue import Record
 from expression import Error, Ok
@@ -289,7 +289,7 @@
     bench.pass_time(60)
     assert bench.ended == [] and bench.node.life.state() == "closing"
     assert not bench.seat_row()["stopped"]
-    bench.node.app._finished()
+    bench.node.app._request_finished()
     bench.pass_time(5)
     assert bench.ended == [None] and bench.seat_row()["stopped"]
 
--- a/packages/entry/tests/test_steward.py
+++ b/packages/entry/tests/test_steward.py
@@ -11,7 +11,7 @@
 from cardamomloft.core.stewardship import Stewardship
 from cardamomloft.entry.steward import CONFIGURATION_KEY, StewardRunner, offer_record
 from cardamomloft.store.failures import StoreFailure
-from cardamomloft.store.keyvalue import Record, Watched
+from cardamomloft.store.keyvalue import Record, WatchResult
 from expression import Error, Ok
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
@@ -72,13 +72,13 @@
     def watch(self, key, index, wait):
         if key == CONFIGURATION_KEY:
             if self.away or index == 0:
-                return self.answer("config", lambda: Ok(Watched(self.config, 1)))
+                return self.answer("config", lambda: Ok(WatchResult(self.config, 1)))
             self.watches.append(Deferred())
             return self.watches[-1]
 
         def look():
             held = None if self.holder is None else Record(self.holder[0].encode(), 1)
-            return Ok(Watched(held, 1))
+            return Ok(WatchResult(held, 1))
 
         return self.answer("look", look)
 
@@ -142,7 +142,7 @@
 
 
 def test_a_steward_passes_on_what_its_watch_brings(steward):
-    steward.store.watches[-1].callback(Ok(Watched(record(4), 2)))
+    steward.store.watches[-1].callback(Ok(WatchResult(record(4), 2)))
     assert steward.replica.offers == [3, 4] and steward.offered == 2
     assert len(steward.store.watches) == 2
 
@@ -161,7 +161,7 @@
     """Its lease has lapsed under it; the replica, not the lease, keeps copies from going back."""
     steward.store.lapse()
     steward.clock.advance(timedelta(seconds=30))
-    steward.store.watches[-1].callback(Ok(Watched(record(2), 2)))
+    steward.store.watches[-1].callback(Ok(WatchResult(record(2), 2)))
     assert steward.replica.offers == [3, 2]
     steward.run(10)
     assert not steward.faults
@@ -204,7 +204,7 @@
 def test_a_fault_in_the_watch_is_reported_and_the_watch_goes_on(steward):
     steward.store.config = record(4)
     steward.replica.offer = lambda number, packed: 1 / 0
-    steward.store.watches[-1].callback(Ok(Watched(record(4), 2)))
+    steward.store.watches[-1].callback(Ok(WatchResult(record(4), 2)))
     assert [fault.type for fault in steward.faults] == [ZeroDivisionError]
     del steward.replica.offer
     steward.run(5)
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -31,7 +31,7 @@
 from cardamomloft.gateway.status import GatewayStatus
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.control import ControlApp
-from cardamomloft.runtime.lifecycle import make_life_cycle
+from cardamomloft.runtime.lifecycle import make_lifecycle
 from cardamomloft.runtime.logs import log
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.runtime.timers import Timers
@@ -114,7 +114,7 @@
         self._bounds = parse_bounds(cfg)
         self.metrics = Metrics()
         self.stopped: Deferred[None] = Deferred()
-        self.lifecycle = make_life_cycle(self)
+        self.lifecycle = make_lifecycle(self)
         self._timers = Timers(reactor, self._on_fault)
         self._port: IListeningPort | None = None
         self.pages: IListeningPort | None = None
@@ -260,9 +260,9 @@
         """Remove this entry from look-ups, and go on serving callers that know its address."""
         log("leaving", in_flight=self.app.in_flight)
         self.presence.withdraw()
-        self.app.closing()
+        self.app.start_closing()
         stop_time = self._bounds.stop_time.total_seconds()
-        self._reactor.callLater(stop_time * LINGER_FRACTION, self.lifecycle.lingered)
+        self._reactor.callLater(stop_time * LINGER_FRACTION, self.lifecycle.lookups_expired)
         self._hard_stop = self._reactor.callLater(
             stop_time * HARD_STOP_FRACTION, self.lifecycle.drained
         )
@@ -358,8 +358,8 @@
             return
         self._reader = RequestReader(plan, self.headers, self._rng)
         self.selector.policies = plan.services
-        self.app.keep_idle(plan.limits.idle_timeout)
-        self.app.bound_heads(plan.limits.head_bytes, plan.limits.head_timeout)
+        self.app.set_idle_timeout(plan.limits.idle_timeout)
+        self.app.set_head_limits(plan.limits.head_bytes, plan.limits.head_timeout)
         log("in-force", configuration=plan.number, rules=len(plan.rules))
         self._check_prepared()
 
--- a/packages/gateway/src/cardamomloft/gateway/status.py
+++ b/packages/gateway/src/cardamomloft/gateway/status.py
@@ -59,9 +59,9 @@
             ]
         return page
 
-    def explain(self, question: dict[str, t.Any]) -> dict[str, t.Any]:
-        """Return the rule that a request with the `host` and `path` in `question` would match."""
-        host, path = str(question.get("host", "")), str(question.get("path", "/"))
+    def explain(self, query: dict[str, t.Any]) -> dict[str, t.Any]:
+        """Return the rule that a request with the `host` and `path` in `query` would match."""
+        host, path = str(query.get("host", "")), str(query.get("path", "/"))
         pairs = (("host", host), (self._gateway.headers.request_id, "explain"))
         head = RequestHead("GET", path, "", pairs, "", 0, False)
         call = self._gateway.read(head)
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -21,7 +21,7 @@
 from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.relays import relays_of
-from cardamomloft.feed.sources import Sources
+from cardamomloft.feed.sources import SourceSelector
 from cardamomloft.gateway.control import Changes, Listing
 from cardamomloft.gateway.relayedcontrol import RelayedControl
 from cardamomloft.gateway.relaying import RelayedChanges
@@ -320,9 +320,9 @@
     time = kit.Time(Clock())
     records = kit.entry_records(ENTRIES)
     own = next(row for row in records if row not in relays_of("east", records))
-    sources, table = Sources(own, DRAIN), ChangeTable()
-    table.listed((), kit.at(60, era=2))
-    sources.complete(time.clock.monotonic())
+    sources, table = SourceSelector(own, DRAIN), ChangeTable()
+    table.apply_listing((), kit.at(60, era=2))
+    sources.record_complete(time.clock.monotonic())
     time.advance(100 * MS)
     answer = RelayedChanges((OLD_PLAN,), index, time.clock.monotonic(), whole)
     port = SimpleNamespace(
--- a/packages/gateway/tests/test_storecontrol.py
+++ b/packages/gateway/tests/test_storecontrol.py
@@ -21,7 +21,7 @@
 from cardamomloft.gateway.pages import GatewayPages, listen_pages
 from cardamomloft.gateway.process import CALLER_HEADERS, UPSTREAM_DIALECT
 from cardamomloft.gateway.storecontrol import StoreControl
-from cardamomloft.store.keyvalue import HttpStore, Listed, Record
+from cardamomloft.store.keyvalue import HttpStore, ListResult, Record
 from cardamomloft.upstreams.client import UpstreamClient
 from cardamomloft_standins import gateway as kit
 from cardamomloft_standins.store import Store as StandinStore
@@ -73,7 +73,7 @@
             self.values["g/" + key.replace("__", "/").replace("_", "-")] = Record(raw, self.index)
 
     def list(self, prefix):
-        return succeed(Ok(Listed(dict(self.values), self.index)))
+        return succeed(Ok(ListResult(dict(self.values), self.index)))
 
     def create_lease(self, ttl):
         return succeed(Ok("s-1"))
--- a/packages/operators/src/cardamomloft/operators/main.py
+++ b/packages/operators/src/cardamomloft/operators/main.py
@@ -10,7 +10,7 @@
 import defopt
 from cardamomloft.core.document import DrainKind
 from cardamomloft.core.references import parse_instant
-from cardamomloft.operators import applying, mapping, planning, reporting
+from cardamomloft.operators import applying, clientmap, planning, reporting
 from cardamomloft.operators.applying import Intent
 from cardamomloft.operators.editing import Move
 from cardamomloft.operators.outcomes import ExitCode, Failure
@@ -101,7 +101,7 @@
     default
         The site of addresses in no block.
     """
-    return _with_text(file, lambda session, text: mapping.publish(session, text, default))
+    return _with_text(file, lambda session, text: clientmap.publish(session, text, default))
 
 
 @command
--- a/packages/operators/src/cardamomloft/operators/running.py
+++ b/packages/operators/src/cardamomloft/operators/running.py
@@ -35,7 +35,7 @@
     json: bool
 
 
-class Streams:
+class ConsoleOutput:
     """Output to the terminal, or one JSON object at the end; problems go to standard error."""
 
     def __init__(self, as_object: bool) -> None:
@@ -85,7 +85,7 @@
 
 def execute(options: Options, command: Command) -> t.NoReturn:
     """Run one command and end the process with its exit code."""
-    streams = Streams(options.json)
+    streams = ConsoleOutput(options.json)
     match _settings(options):
         case Result(tag="error", error=failure):
             sys.exit(streams.finish(Error(failure)))
@@ -93,7 +93,7 @@
             sys.exit(_run_loop(settings, streams, command))
 
 
-def _run_loop(settings: Settings, streams: Streams, command: Command) -> int:
+def _run_loop(settings: Settings, streams: ConsoleOutput, command: Command) -> int:
     finished: list[Finished] = []
 
     async def run(reactor: t.Any) -> None:
@@ -111,7 +111,7 @@
     return INTERRUPTED
 
 
-def _session(reactor: t.Any, settings: Settings, streams: Streams) -> Session:
+def _session(reactor: t.Any, settings: Settings, streams: ConsoleOutput) -> Session:
     store, vms = settings.get("store"), settings.get("vms")
     return Session(
         store=HttpStore(reactor, address_of(store)) if store is not None else None,
--- a/packages/runtime/src/cardamomloft/runtime/lifecycle.py
+++ b/packages/runtime/src/cardamomloft/runtime/lifecycle.py
@@ -18,7 +18,7 @@
     def stop(self) -> None:
         """A planned stop was asked for; asking again changes nothing."""
 
-    def lingered(self) -> None:
+    def lookups_expired(self) -> None:
         """Callers have had time to ask again and hear of other entries."""
 
     def drained(self) -> None:
@@ -66,7 +66,7 @@
     actions.on_leaving()
 
 
-@_leaving.upon(LifeCycle.lingered).to(_closing)
+@_leaving.upon(LifeCycle.lookups_expired).to(_closing)
 def _close(lifecycle: LifeCycle, actions: LifeActions) -> None:
     actions.on_closing()
 
@@ -81,7 +81,7 @@
 _IGNORED = {
     LifeCycle.prepared: (_ready, _leaving, _closing, _stopped),
     LifeCycle.stop: (_leaving, _closing, _stopped),
-    LifeCycle.lingered: (_starting, _ready, _closing, _stopped),
+    LifeCycle.lookups_expired: (_starting, _ready, _closing, _stopped),
     LifeCycle.drained: (_starting, _ready, _stopped),
 }
 for _input, _states in _IGNORED.items():
@@ -97,4 +97,4 @@
     _state.upon(LifeCycle.state).loop().returns(_name)
     _state.upon(LifeCycle.admits).loop().returns(_name in _ADMITTING)
 
-make_life_cycle: t.Callable[[LifeActions], LifeCycle] = _builder.build()
+make_lifecycle: t.Callable[[LifeActions], LifeCycle] = _builder.build()
--- a/packages/runtime/src/cardamomloft/runtime/logs.py
+++ b/packages/runtime/src/cardamomloft/runtime/logs.py
@@ -33,7 +33,7 @@
     globalLogBeginner.beginLoggingTo([_TwistedObserver()], redirectStandardIO=False)
 
 
-class Known:
+class ReportedProblems:
     """What was logged already, so that it is logged once and not each time it is read again."""
 
     def __init__(self) -> None:
--- a/packages/runtime/tests/test_lifecycle.py
+++ b/packages/runtime/tests/test_lifecycle.py
@@ -3,9 +3,9 @@
 import itertools
 
 import pytest
-from cardamomloft.runtime.lifecycle import make_life_cycle
+from cardamomloft.runtime.lifecycle import make_lifecycle
 
-INPUTS = ("prepared", "stop", "lingered", "drained")
+INPUTS = ("prepared", "stop", "lookups_expired", "drained")
 ORDER = ("starting", "ready", "leaving", "closing", "stopped")
 
 
@@ -19,14 +19,14 @@
 
 def play(*inputs):
     actions = Actions()
-    life = make_life_cycle(actions)
+    life = make_lifecycle(actions)
     for name in inputs:
         getattr(life, name)()
     return life, actions.done
 
 
 def test_a_planned_stop_goes_through_every_state():
-    life, done = play("prepared", "stop", "lingered", "drained")
+    life, done = play("prepared", "stop", "lookups_expired", "drained")
     assert life.state() == "stopped"
     assert done == ["on_ready", "on_leaving", "on_closing", "on_stopped"]
 
@@ -37,7 +37,7 @@
         ((), "starting", False),
         (("prepared",), "ready", True),
         (("prepared", "stop"), "leaving", True),
-        (("prepared", "stop", "lingered"), "closing", False),
+        (("prepared", "stop", "lookups_expired"), "closing", False),
         (("prepared", "stop", "drained"), "stopped", False),
         (("stop",), "leaving", True),
         (("stop", "prepared"), "leaving", True),
@@ -52,7 +52,7 @@
 def test_whatever_comes_in_any_order_no_action_is_done_twice_and_no_state_goes_back():
     for inputs in itertools.product(INPUTS, repeat=6):
         actions = Actions()
-        life = make_life_cycle(actions)
+        life = make_lifecycle(actions)
         states = [life.state()]
         for name in inputs:
             getattr(life, name)()
--- a/scripts/losses.py
+++ b/scripts/losses.py
@@ -27,7 +27,7 @@
     fields: dict[str, t.Any]
 
 
-def read(lines: Iterable[str]) -> Iterator[Line]:
+def parse_lines(lines: Iterable[str]) -> Iterator[Line]:
     """Yield the log lines of this project; what stands before a line's JSON is left out."""
     for text in lines:
         start = text.find("{")
@@ -69,7 +69,7 @@
     return "no room" if detail.startswith("no endpoint has room") else detail[:24]
 
 
-def by_cause(lines: Iterable[Line]) -> dict[str, Counter[str]]:
+def count_causes(lines: Iterable[Line]) -> dict[str, Counter[str]]:
     """Return how often each cause stands in the lines of requests, by service."""
     found: dict[str, Counter[str]] = {}
     for line in lines:
@@ -79,7 +79,7 @@
     return found
 
 
-def by_time(lines: Iterable[Line], begin: float) -> dict[float, Counter[str]]:
+def sum_counters(lines: Iterable[Line], begin: float) -> dict[float, Counter[str]]:
     """Return what the counters grew by in each window, without the services' names."""
     found: dict[float, Counter[str]] = {}
     for line in lines:
@@ -116,11 +116,11 @@
         Logs of gateways; standard input if none is named.
     """
     texts = (text for path in files for text in path.open()) if files else sys.stdin
-    lines = list(read(texts))
+    lines = list(parse_lines(texts))
     if not lines:
         raise SystemExit("there is no log line of a gateway in the input")
-    _print_causes(by_cause(lines))
-    _print_windows(by_time(lines, min(line.at for line in lines)))
+    _print_causes(count_causes(lines))
+    _print_windows(sum_counters(lines, min(line.at for line in lines)))
 
 
 if __name__ == "__main__":
--- a/scripts/slopes.py
+++ b/scripts/slopes.py
@@ -61,11 +61,11 @@
     """Return what the rows need from the code besides slopes; durations in seconds."""
     defaults = node._DEFAULTS
     return {
-        "chunk_every_s": node.CHUNKS.total_seconds(),
-        "chunks_at_once": maps.ASKED_AT_ONCE,
-        "claims_per_s": min(defaults["claims_per_s"] * TARGET.entries, node.CLAIMS_PER_S),
+        "chunk_every_s": node.CHUNK_REQUEST_INTERVAL.total_seconds(),
+        "chunks_at_once": maps.CHUNKS_PER_REQUEST_ROUND,
+        "claims_per_s": min(defaults["claims_per_s"] * TARGET.entries, node.TOTAL_CLAIMS_PER_S),
         "digest_bytes": slopes_messages.DIGEST_BYTES,
-        "gossip_targets": gossip.TARGETS,
+        "gossip_targets": gossip.DIGEST_FANOUT,
         "groups_kept_s": CANDIDATE_CACHE_TTL.total_seconds(),
         "ledger_bytes": defaults["ledger_bytes"],
         "ledger_entries": defaults["ledger_entries"],
@@ -75,8 +75,8 @@
         "review_s": REVIEW_INTERVAL.total_seconds(),
         "rules": RULES,
         "vms_every_s": defaults["vms_every_ms"] / 1000,
-        "vms_per_entry_s": vms.PER_ENTRY.total_seconds(),
-        "watch_s": steward.WATCH_WAIT / timedelta(seconds=1),
+        "vms_per_entry_s": vms.POLL_INTERVAL_PER_ENTRY.total_seconds(),
+        "watch_s": steward.WATCH_TIMEOUT / timedelta(seconds=1),
     }
 
 
@@ -153,7 +153,7 @@
     write_results(results)
     for row in slopes_page.rows_of(results):
         mark = "OVER" if row.over else "    "
-        print(f"{mark} {row.role:26} {row.what:60} {slopes_page.shown(row.value, row.unit)}")
+        print(f"{mark} {row.role:26} {row.what:60} {slopes_page.format_value(row.value, row.unit)}")
     return 0
 
 
@@ -161,7 +161,7 @@
     """Write the results file with its rows, the page's tables, and the plots."""
     results["rows"] = [row._asdict() for row in slopes_page.rows_of(results)]
     RESULTS.write_text(json.dumps(results, indent=1) + "\n")
-    PAGE.write_text(slopes_page.put_parts(PAGE.read_text(), slopes_page.render(results)))
+    PAGE.write_text(slopes_page.fill_parts(PAGE.read_text(), slopes_page.render(results)))
     PLOTS.mkdir(exist_ok=True)
     slopes_page.draw(slopes_page.series_of(results), PLOTS)
 
--- a/scripts/slopes_chunks.py
+++ b/scripts/slopes_chunks.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from cardamomloft.core.messages import ChunkRequest
-from cardamomloft.entry.mapfetching import CHUNKS
+from cardamomloft.entry.mapfetching import CHUNK_REQUEST_INTERVAL
 from cardamomloft.entry.maps import MapLoader
 from slopes_document import make_map
 from slopes_fit import Series
@@ -44,19 +44,19 @@
         loaders[f"e{at}"] = _loader(rng, chunks)
     for loader in loaders.values():
         loader.configure({"default": "site-0", "chunks": list(chunks)})
-    due = {seat: CHUNKS * rng.random() for seat in loaders}
+    due = {seat: CHUNK_REQUEST_INTERVAL * rng.random() for seat in loaders}
     now = timedelta(0)
     while any(loader.missing for loader in loaders.values()) and now < _AT_MOST:
         for seat, loader in loaders.items():
             if now >= due[seat]:
-                due[seat] += CHUNKS
+                due[seat] += CHUNK_REQUEST_INTERVAL
                 _ask(loaders, seat, loader)
         now += _STEP
     return now / timedelta(seconds=1)
 
 
 def _loader(rng: random.Random, chunks: dict[str, bytes]) -> MapLoader:
-    loader = MapLoader(rng, lambda digest: loader.take(digest, chunks[digest]), lambda _: None)
+    loader = MapLoader(rng, lambda digest: loader.add_chunk(digest, chunks[digest]), lambda _: None)
     return loader
 
 
@@ -65,4 +65,4 @@
     for target, request in loader.next_requests(peers, from_store=seat == "e0"):
         assert isinstance(request, ChunkRequest)
         for _, reply in loaders[target].on_request(seat, request):
-            loader.take(reply.digest, reply.chunk)
+            loader.add_chunk(reply.digest, reply.chunk)
--- a/scripts/slopes_fit.py
+++ b/scripts/slopes_fit.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from fractions import Fraction
 
-LEAST_SIZES = 4
+MIN_SIZES = 4
 
 
 class Series(t.NamedTuple):
@@ -57,11 +57,11 @@
     Raises
     ------
     ValueError
-        If it has fewer than `LEAST_SIZES` sizes.
+        If it has fewer than `MIN_SIZES` sizes.
     """
     sizes = [size for size, _ in series.points]
-    if len(set(sizes)) < LEAST_SIZES:
-        raise ValueError(f"{series.name}: {len(set(sizes))} sizes, at least {LEAST_SIZES} needed")
+    if len(set(sizes)) < MIN_SIZES:
+        raise ValueError(f"{series.name}: {len(set(sizes))} sizes, at least {MIN_SIZES} needed")
     x = _scaled(sizes, series.scale)
     y = [Fraction(value) for _, value in series.points]
     # Exact sums: rounded ones give another intercept with each kernel that numpy picks for the
--- a/scripts/slopes_limits.py
+++ b/scripts/slopes_limits.py
@@ -38,7 +38,7 @@
 
 def _page(shares: Shares) -> str:
     """Return a status page with nothing but the limits on it."""
-    limits = [status._limit(row) for row in shares.rows()]
+    limits = [status._limit_row(row) for row in shares.rows()]
     known = {"seat": "a", "incarnation": "1", "zone": "z", "region": "r", "state": "ready"}
     numbers = {"revision": 1, "settled": 1, "ready": True, "services": {}, "drains": []}
     return json.dumps({**known, **numbers, "limits": limits})
--- a/scripts/slopes_members.py
+++ b/scripts/slopes_members.py
@@ -12,7 +12,7 @@
 from cardamomloft.core.messages import Digest
 from cardamomloft.core.model import Incarnation
 from cardamomloft.entry import gossip
-from cardamomloft.entry.lookups import ENTRIES as LOOKUP_ENTRIES
+from cardamomloft.entry.lookups import ENTRIES_PER_LOOKUP as LOOKUP_ENTRIES
 from cardamomloft.store.vms import parse_vms
 from slopes_document import SITES, Size, full_size, make_document
 from slopes_fit import Series, cpu_ms, held_bytes
@@ -65,7 +65,7 @@
     return {
         ("configure", "ms"): cpu_ms(lambda: members.configure(document)),
         ("targets", "us"): 1000
-        * cpu_ms(lambda: members.gossip_targets(rng, gossip.TARGETS), loops=_TARGET_CALLS),
+        * cpu_ms(lambda: members.gossip_targets(rng, gossip.DIGEST_FANOUT), loops=_TARGET_CALLS),
         ("on_vms", "ms"): cpu_ms(lambda: members.on_vm_list(rows)),
         ("parse_vms", "ms"): cpu_ms(lambda: parse_vms(listed)),
         ("look_up_groups", "ms"): cpu_ms(all_sites),
@@ -110,7 +110,7 @@
         clock.advance(timedelta(seconds=1))
         for seat, one in members.items():
             one.set_own_digest(_DIGEST)
-            for target in one.gossip_targets(rng, gossip.TARGETS):
+            for target in one.gossip_targets(rng, gossip.DIGEST_FANOUT):
                 members[target].on_digest(names[seat], _DIGEST)
     return list(members.values())
 
--- a/scripts/slopes_page.py
+++ b/scripts/slopes_page.py
@@ -48,7 +48,7 @@
     }
 
 
-def put_parts(page: str, parts: Mapping[str, str]) -> str:
+def fill_parts(page: str, parts: Mapping[str, str]) -> str:
     """Return the page with each part between its marks.
 
     Raises
@@ -65,7 +65,7 @@
     return page
 
 
-def shown(value: float, unit: str) -> str:
+def format_value(value: float, unit: str) -> str:
     """Return a value with its unit, to three digits."""
     if unit.startswith("bytes"):
         rate = unit.removeprefix("bytes")
@@ -108,8 +108,8 @@
 
 
 def _role_line(row: Row, size: str) -> str:
-    limit = "" if row.limit is None else shown(row.limit, row.unit)
-    worked = shown(row.value, row.unit)
+    limit = "" if row.limit is None else format_value(row.limit, row.unit)
+    worked = format_value(row.value, row.unit)
     if row.over:
         worked = f"**OVER: {worked}**"
     names = ", ".join(f"`{name}`" for name in row.series) or "the plan"
@@ -127,8 +127,8 @@
 
 def _over_list(results: Results) -> str:
     found = [
-        f"- **{row.role}**: {row.what}, {shown(row.value, row.unit)} against "
-        f"{shown(t.cast(float, row.limit), row.unit)}"
+        f"- **{row.role}**: {row.what}, {format_value(row.value, row.unit)} against "
+        f"{format_value(t.cast(float, row.limit), row.unit)}"
         for row in rows_of(results)
         if row.over
     ]
--- a/scripts/slopes_store.py
+++ b/scripts/slopes_store.py
@@ -15,7 +15,7 @@
     TryLease,
     WatchLease,
 )
-from cardamomloft.entry.steward import WATCH_WAIT
+from cardamomloft.entry.steward import WATCH_TIMEOUT
 from slopes_fit import Series
 
 _REGION_SIZES = (4, 12, 47, 94, 188)
@@ -59,7 +59,7 @@
             self._perform(name, entry.tick())
             if entry.watches_configuration and now >= self._config_watches.get(name, now):
                 self.calls += 1
-                self._config_watches[name] = now + WATCH_WAIT
+                self._config_watches[name] = now + WATCH_TIMEOUT
 
     def _report(self, entry: Stewardship) -> list[Step]:
         return entry.lease_held(self._holder) if self._holder else entry.lease_free()
@@ -73,7 +73,7 @@
     def _answer(self, name: str, entry: Stewardship, step: Step) -> list[Step]:
         now = self.clock.monotonic()
         if isinstance(step, WatchLease) and self._holder:
-            self._watches[name] = now + WATCH_WAIT
+            self._watches[name] = now + WATCH_TIMEOUT
             return []
         if isinstance(step, WatchLease | ReadLease):
             return self._report(entry)
--- a/standins/src/cardamomloft_standins/operating.py
+++ b/standins/src/cardamomloft_standins/operating.py
@@ -9,7 +9,7 @@
 from cardamomloft.core.clock import ManualClock
 from cardamomloft.core.membership import VmRow
 from cardamomloft.operators import main, recording
-from cardamomloft.operators.running import Streams
+from cardamomloft.operators.running import ConsoleOutput
 from cardamomloft.operators.session import Session
 from cardamomloft.store.failures import StoreFailure
 from cardamomloft.store.keyvalue import Record
@@ -122,7 +122,7 @@
         exit_codes = []
 
         def execute(options, command):
-            streams = Streams(options.json)
+            streams = ConsoleOutput(options.json)
             known = tuple(options.entry or ())
             session = Session(self.store, self, self, self.clock, self.sleep, streams, "ann", known)
             finished = []
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -9,8 +9,8 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT / "scripts"))
 
-from slopes_fit import LEAST_SIZES, Series, fit  # noqa: E402
-from slopes_page import put_parts, render, rows_of, series_of, shown, subjects  # noqa: E402
+from slopes_fit import MIN_SIZES, Series, fit  # noqa: E402
+from slopes_page import fill_parts, format_value, render, rows_of, series_of, subjects  # noqa: E402
 from slopes_roles import ASPECTS, ROLES, TARGET, Row  # noqa: E402
 
 RESULTS = json.loads((ROOT / "docs" / "capacity.json").read_text())
@@ -18,7 +18,7 @@
 
 
 def test_the_generated_parts_are_those_of_the_committed_results():
-    assert put_parts(PAGE, render(RESULTS)) == PAGE
+    assert fill_parts(PAGE, render(RESULTS)) == PAGE
 
 
 def test_each_committed_row_follows_from_the_committed_series():
@@ -32,7 +32,7 @@
     for row in rows_of(RESULTS):
         start = f"| {row.aspect} | {row.what} | "
         values = [line.removeprefix(start) for line in lines if line.startswith(start)]
-        value = shown(row.value, row.unit)
+        value = format_value(row.value, row.unit)
         mark = f"**OVER: {value}**" if row.limit is not None and row.value > row.limit else value
         assert [text.split(" | ")[0] for text in values] == [mark], row.what
         assert (f"- **{row.role}**: {row.what}, {value}" in listed) == mark.startswith("**OVER")
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("series", series_of(RESULTS), ids=lambda series: series.name)
 def test_each_series_has_enough_sizes_a_fit_and_a_plot(series):
-    assert len({size for size, _ in series.points}) >= LEAST_SIZES
+    assert len({size for size, _ in series.points}) >= MIN_SIZES
     assert fit(series).r2 <= 1
     plot = f"plots/{next(iter(subjects([series])))}.png"
     assert f"]({plot})" in PAGE
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -8,7 +8,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "scripts"))
 
-from losses import by_cause, by_time, cause_of, read  # noqa: E402
+from losses import cause_of, count_causes, parse_lines, sum_counters  # noqa: E402
 
 
 def send(ms=100.0, outcome="served", touch="known", reason="home", load="1.0/4", detail=""):
@@ -70,10 +70,10 @@
         line("cardamomloft:figures", 103.0, **{"sends.home.orders": 4}),
         line("cardamomloft:figures", 105.0, requests=1),
     ]
-    lines = list(read(texts))
+    lines = list(parse_lines(texts))
     assert [found.kind for found in lines].count("request") == 2
-    assert by_cause(lines) == {"menus": {"touch: first, home": 1}}
-    assert by_time(lines, 100.0) == {
+    assert count_causes(lines) == {"menus": {"touch: first, home": 1}}
+    assert sum_counters(lines, 100.0) == {
         0.0: {"sends.home": 7, "requests": 5},
         4.0: {"requests": 1},
     }
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -42,7 +42,7 @@
 from cardamomloft.core.rules import RuleSet
 from cardamomloft.core.shares import Shares
 from cardamomloft.core.steering import Steering
-from cardamomloft.entry.executor import PASSED_ON_HEADER, Executor
+from cardamomloft.entry.executor import FORWARDED_BY_HEADER, Executor
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import UpstreamAnswer
 from expression import Ok, Result
@@ -213,7 +213,7 @@
     def send(self, sent):
         session, seat = self.session, sent.endpoint.name.removeprefix("entry/")
         name = session.names[dict(sent.headers)["idempotency-key"]]
-        assert dict(sent.headers)[PASSED_ON_HEADER] == self.seat
+        assert dict(sent.headers)[FORWARDED_BY_HEADER] == self.seat
         session.record.add(f"entry {self.seat}", f"{name} -> entry {seat}")
         deferred = session.receive(seat, f"entry {self.seat}", sent.headers, sent.body, Deferred())
 
