--- a/standins/src/cardamomloft_standins/answers.py
+++ b/standins/src/cardamomloft_standins/answers.py
@@ -1,4 +1,4 @@
-"""How upstream stand-ins send their answers: whole, streamed, cut short or twice."""
+"""Answers of upstream stand-ins: complete, streamed, truncated or duplicated."""
 
 import json
 import typing as t
@@ -9,20 +9,20 @@
 from zope.interface import implementer
 
 CHUNK_BYTES = 64 * 1024
-_CYCLE = bytes(range(251))
-_PATTERN = _CYCLE * (CHUNK_BYTES // len(_CYCLE) + 2)
+_PATTERN_CYCLE = bytes(range(251))
+_REPEATED_PATTERN = _PATTERN_CYCLE * (CHUNK_BYTES // len(_PATTERN_CYCLE) + 2)
 
 
 def pattern(offset: int, size: int) -> bytes:
-    """Return `size` bytes (at most a chunk) of a streamed answer, from `offset` on."""
-    start = offset % len(_CYCLE)
-    return _PATTERN[start : start + size]
+    """Return the `size` bytes (at most `CHUNK_BYTES`) at `offset` of a streamed answer."""
+    start = offset % len(_PATTERN_CYCLE)
+    return _REPEATED_PATTERN[start : start + size]
 
 
 def send(
     request: http.Request, status: int, content: object, headers: Mapping[str, str] | None = None
 ) -> None:
-    """Answer `request` with JSON."""
+    """Answer `request` with `content` as JSON."""
     body = json.dumps(content).encode()
     request.setResponseCode(status)
     _set_headers(request, len(body))
@@ -32,14 +32,14 @@
     request.finish()
 
 
-def send_echo(request: t.Any, endpoint: str, *, cut: bool, again: bool) -> None:
-    """Answer with what was received.
+def send_echo(request: t.Any, endpoint: str, *, truncate: bool, duplicate: bool) -> None:
+    """Answer with a JSON description of the received request.
 
     Parameters
     ----------
-    cut
+    truncate
         Send half of the announced bytes, then close the connection.
-    again
+    duplicate
         Send the whole answer a second time on the same connection.
     """
     body = json.dumps(
@@ -53,61 +53,61 @@
         }
     ).encode()
     _set_headers(request, len(body))
-    if cut:
+    if truncate:
         request.write(body[: len(body) // 2])
         request.loseConnection()
         return
     transport = request.transport
     request.write(body)
     request.finish()
-    if again:
-        transport.write(_raw_answer(request, body))
+    if duplicate:
+        transport.write(_serialize_answer(request, body))
 
 
 @implementer(IPullProducer)
 class AnswerStream:
-    """Streams `size` bytes of :func:`pattern` as fast as the caller takes them.
+    """Streams `size` bytes of :func:`pattern` as fast as the caller reads them.
 
     Parameters
     ----------
-    cut
+    truncate
         Stop after half of the announced bytes and close the connection.
-    done
-        Called before the last bytes leave.
+    on_last_chunk
+        Called before the last chunk is written.
     """
 
     def __init__(
-        self, request: http.Request, size: int, cut: bool, done: Callable[[], None]
+        self, request: http.Request, size: int, truncate: bool, on_last_chunk: Callable[[], None]
     ) -> None:
         self._request = request
         self._size = size
-        self._end = size // 2 if cut else size
-        self._cut = cut
-        self._done = done
-        self._sent = 0
+        self._end_offset = size // 2 if truncate else size
+        self._truncate = truncate
+        self._on_last_chunk = on_last_chunk
+        self._offset = 0
 
     def start(self) -> None:
-        """Send the head, then the body."""
+        """Set the headers and begin to stream the body."""
         _set_headers(self._request, self._size, "application/octet-stream")
         self._request.registerProducer(self, False)
 
     def resumeProducing(self) -> None:  # noqa: N802
         """Send the next chunk."""
-        chunk = pattern(self._sent, min(CHUNK_BYTES, self._end - self._sent))
-        self._sent += len(chunk)
-        last = self._sent == self._end
-        if last:
-            self._done()
+        chunk = pattern(self._offset, min(CHUNK_BYTES, self._end_offset - self._offset))
+        self._offset += len(chunk)
+        is_last = self._offset == self._end_offset
+        if is_last:
+            self._on_last_chunk()
         self._request.write(chunk)
-        if last:
+        if is_last:
             self._finish()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: the endpoint learns of a lost connection by itself."""
+        """Do nothing: the request's `connectionLost` notifies the endpoint."""
 
     def _finish(self) -> None:
         self._request.unregisterProducer()
-        if self._cut:
+        if self._truncate:
             self._request.loseConnection()
         else:
             self._request.finish()
@@ -121,7 +121,7 @@
         request.setHeader("X-Request-Id", request_id)
 
 
-def _raw_answer(request: t.Any, body: bytes) -> bytes:
+def _serialize_answer(request: t.Any, body: bytes) -> bytes:
     head = [b"HTTP/1.1 200 OK"]
     for name, values in request.responseHeaders.getAllRawHeaders():
         head.extend(name + b": " + value for value in values)
--- a/standins/src/cardamomloft_standins/carrying.py
+++ b/standins/src/cardamomloft_standins/carrying.py
@@ -1,4 +1,4 @@
-"""One request's way through a gateway's forwarding, between fakes."""
+"""A gateway's forwarder with a fake upstream client, on a manual clock."""
 
 from cardamomloft.callers.body import RequestBody
 from cardamomloft.callers.exchange import RequestHead
@@ -27,16 +27,16 @@
 
 
 class Bench:
-    """A forwarder between fakes.
+    """A forwarder whose upstream answers are set by the test.
 
     Parameters
     ----------
     outcomes
-        What the endpoints' answers are, in turn; the last one for ever.
+        Outcomes of the sends in order; the last one is repeated.
     slack
-        Of the budget of repeats.
+        Slack of the retry budget.
     endpoints
-        How many there are.
+        Number of registered endpoints.
     """
 
     def __init__(self, *outcomes, slack=1000.0, endpoints=4) -> None:
@@ -62,40 +62,40 @@
         )
 
     def start(self, path="/menus/7", body=b"", whole=True, caller="app/1", address="10.0.0.9"):
-        """Begin to carry a request, and return its answer to come."""
-        pairs = (
+        """Forward a request; return a Deferred of its answer."""
+        headers = (
             ("host", "a.example"),
             ("x-request-id", "id-1"),
             ("x-object", "17"),
             ("user-agent", caller),
         )
-        head = RequestHead("GET", path, "", pairs, address, len(body), False)
+        head = RequestHead("GET", path, "", headers, address, len(body), False)
         call = RequestReader(kit.plan(), kit.HEADERS, kit.rng()).read(
             head, self.time.clock.monotonic()
         )
-        carried = RequestBody(len(body), self)
+        request_body = RequestBody(len(body), self)
         if body:
-            carried.data_received(body if whole else body[:1])
+            request_body.data_received(body if whole else body[:1])
             if whole:
-                carried.end()
+                request_body.end()
         self.gone = Deferred()
-        return ensureDeferred(self.forwarder.forward(call, head, carried, self.gone))
+        return ensureDeferred(self.forwarder.forward(call, head, request_body, self.gone))
 
     def answer(self, *args, **kwargs):
-        """Carry a request that is answered at once."""
-        done = self.start(*args, **kwargs)
+        """Forward a request and return its answer, which must be available at once."""
+        deferred = self.start(*args, **kwargs)
         result = []
-        done.addBoth(result.append)
+        deferred.addBoth(result.append)
         assert result
         return result[0]
 
     def pause_body(self):
-        """Do nothing: bodies are there at once."""
+        """Do nothing: bodies are in memory."""
 
     def resume_body(self):
-        """Do nothing: bodies are there at once."""
+        """Do nothing: bodies are in memory."""
 
 
 def header(answer, name):
-    """Return the value of an answer's header, or None."""
+    """Return the value of the answer's header `name` (lower case), or None."""
     return next((value for key, value in answer.headers if key.lower() == name), None)
--- a/standins/src/cardamomloft_standins/experiment/scenarios.py
+++ b/standins/src/cardamomloft_standins/experiment/scenarios.py
@@ -1,4 +1,4 @@
-"""What an experiment plays: places, endpoints, load and what goes wrong."""
+"""Scenarios of the simulation: zones, endpoints, load and faults."""
 
 import typing as t
 from collections.abc import Mapping
@@ -6,55 +6,56 @@
 
 
 class Traits(t.NamedTuple):
-    """What the endpoints of the modelled service are like.
+    """Properties of the endpoints of the simulated service.
 
     Attributes
     ----------
     slots, queue
-        Requests that one runs at a time, and that wait besides; more are refused.
-    keeps
-        Objects that one has at hand; the one used longest ago makes room.
-    work
-        Time of a request whose object is not at hand.
-    warm_part
-        Part of it that is left when the object is at hand.
+        Concurrent requests and queue length; requests beyond both are refused.
+    cache_size
+        Number of keys in the LRU cache.
+    service_time
+        Median service time on a cache miss.
+    warm_fraction
+        Service time on a cache hit, as a fraction of `service_time`.
     spread
-        Standard deviation of the logarithm of the time of work.
+        Standard deviation of the logarithm of the service time.
     """
 
     slots: int
     queue: int
-    keeps: int
-    work: timedelta
-    warm_part: float
+    cache_size: int
+    service_time: timedelta
+    warm_fraction: float
     spread: float
 
 
 class Load(t.NamedTuple):
-    """What the callers of one zone ask for.
+    """The load of the callers of one zone.
 
     Attributes
     ----------
     per_s
-        Requests a second.
-    objects
-        Different objects that they ask for; no other zone's callers ask for these.
+        Mean requests per second.
+    key_count
+        Number of distinct affinity keys; the zone (or the region, with `Scenario.regional`) does
+        not share them with others.
     skew
-        Exponent of Zipf's law by which some objects are asked for more often.
+        Zipf exponent of the key popularity.
     swing, phase
-        Part of `per_s` by which the load rises and falls in waves of `WAVE`, and where the wave
-        begins, in parts of it.
+        Amplitude of a sine wave of period `WAVE_PERIOD` on the load, as a fraction of `per_s`, and
+        its phase, as a fraction of the period.
     """
 
     per_s: float
-    objects: int
+    key_count: int
     skew: float
     swing: float = 0.0
     phase: float = 0.0
 
 
 class Burst(t.NamedTuple):
-    """A time in which all callers ask `factor` times as often."""
+    """A period in which the load of all zones is multiplied by `factor`."""
 
     begin: timedelta
     end: timedelta
@@ -62,35 +63,35 @@
 
 
 class Crash(t.NamedTuple):
-    """A zone whose endpoints are lost, and come back with nothing at hand."""
+    """A crash of all endpoints of a zone, which restart with empty caches."""
 
     begin: timedelta
     end: timedelta
     zone: str
 
 
-class Ailment(t.NamedTuple):
-    """A time in which a part of the endpoints, drawn by the seed, are not well.
+class Degradation(t.NamedTuple):
+    """A period in which randomly chosen endpoints are degraded.
 
     Attributes
     ----------
-    part
-        Part of all endpoints.
+    fraction
+        Fraction of all endpoints.
     slowness
-        How many times as long their work takes.
+        Factor on their service time.
     errors
-        Part of their requests that end with an error, after the usual time.
+        Fraction of their requests that end with an error, after the usual service time.
     """
 
     begin: timedelta
     end: timedelta
-    part: float
+    fraction: float
     slowness: float = 1.0
     errors: float = 0.0
 
 
 class Drain(t.NamedTuple):
-    """A zone whose endpoints are to get nothing for a time; they keep what they have at hand."""
+    """A drain of a zone for some time; its endpoints keep their caches."""
 
     begin: timedelta
     end: timedelta
@@ -98,35 +99,34 @@
 
 
 class Scenario(t.NamedTuple):
-    """One experiment's world.
+    """The input of one simulation.
 
     Attributes
     ----------
     zones
         The region of each zone.
     endpoints
-        How many endpoints each zone has.
+        Number of endpoints in each zone.
     entries_per_zone
-        Gateways in each zone.
+        Number of gateways in each zone.
     traits
-        What the endpoints are like.
+        Properties of the endpoints.
     load
-        What the callers of each zone ask for.
+        The load of each zone's callers.
     target, timeout
-        The time within which an answer counts whole, and that after which it counts nothing.
+        An answer within `target` has full credit; one after `timeout` has none.
     idempotent
         Whether requests may run more than once.
     length
-        How long load is played.
-    bursts, crashes, drains, ailments
-        What happens meanwhile.
+        Duration of the load.
+    bursts, crashes, drains, degradations
+        Events during the run.
     cross_region
-        Time one way between regions.
+        One-way latency between regions.
     silence
-        After how long a send to a lost endpoint fails, as its connection does; None: at the end of
-        the request's time.
+        Time after which a send to a crashed endpoint fails; None: at the request's deadline.
     regional
-        Whether all callers of a region ask for the same objects, not only those of a zone.
+        Whether the callers of a region share their keys; otherwise those of a zone do.
     """
 
     zones: Mapping[str, str]
@@ -141,18 +141,18 @@
     bursts: tuple[Burst, ...] = ()
     crashes: tuple[Crash, ...] = ()
     drains: tuple[Drain, ...] = ()
-    ailments: tuple[Ailment, ...] = ()
+    degradations: tuple[Degradation, ...] = ()
     cross_region: timedelta = timedelta(milliseconds=35)
     silence: timedelta | None = None
     regional: bool = False
 
 
-WAVE = timedelta(seconds=36)
-"""Length of a wave of load, that of the played days."""
+WAVE_PERIOD = timedelta(seconds=36)
+"""Period of the load wave."""
 
-IN_ZONE = timedelta(microseconds=100)
-CROSS_ZONE = timedelta(microseconds=500)
-"""Times one way between machines, those of the first deployment."""
+IN_ZONE_LATENCY = timedelta(microseconds=100)
+CROSS_ZONE_LATENCY = timedelta(microseconds=500)
+"""One-way latencies between machines within a zone and between zones of a region."""
 
 _SECOND = timedelta(seconds=1)
 _ZONES = {"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
@@ -165,28 +165,29 @@
     Parameters
     ----------
     name
-        ``calm``; ``burst``: 1.7 times the load for 3 s; ``loss``: a zone's endpoints are lost for
-        4.5 s; ``hot``: few objects get most requests; ``roomy``: endpoints have room for twice
-        the objects; ``fleet``, ``fleet-drain`` and ``fleet-loss``: short targets, few slots, and
-        waves of load that reach the regions one after the other.
+        ``calm``: steady load; ``burst``: 1.7 times the load for 3 s; ``loss``: the endpoints of a
+        zone are down for 4.5 s; ``hot``: few keys get most requests; ``roomy``: caches of twice
+        the size; ``fleet``, ``fleet-drain`` and ``fleet-loss``: short targets, few slots and a load
+        wave that reaches one region after the other; ``crowd``, ``crowd-slow`` and
+        ``crowd-heavy``: many gateways and endpoints.
     use
-        Load in parts of what all slots can do when every object is at hand.
+        Load as a fraction of the capacity of all slots when every key is cached.
 
     Raises
     ------
     KeyError
-        If there is none of that name.
+        If there is no scenario of that name.
     """
     if name.startswith("fleet"):
         return _fleet(name, use)
     if name.startswith("crowd"):
-        return _crowd(name, use)
+        return _many_gateways(name, use)
     traits = Traits(4, 12, 36, timedelta(milliseconds=480), 0.25, 0.15)
     slots = sum(_ENDPOINTS.values()) * traits.slots
-    capacity = slots / (traits.work.total_seconds() * traits.warm_part)
-    # As many objects as all endpoints have at hand when each is at one of them.
-    objects = sum(_ENDPOINTS.values()) * traits.keeps * 3 // 4 // len(_ZONES)
-    load = Load(use * capacity / len(_ZONES), objects, 0.2)
+    capacity = slots / (traits.service_time.total_seconds() * traits.warm_fraction)
+    # Three quarters of the keys that all caches can hold, if each key is cached once.
+    key_count = sum(_ENDPOINTS.values()) * traits.cache_size * 3 // 4 // len(_ZONES)
+    load = Load(use * capacity / len(_ZONES), key_count, 0.2)
     calm = Scenario(
         zones=_ZONES,
         endpoints=_ENDPOINTS,
@@ -200,7 +201,7 @@
         "calm": calm,
         "burst": calm._replace(bursts=(Burst(6 * _SECOND, 9 * _SECOND, 1.7),)),
         "loss": calm._replace(crashes=(Crash(6 * _SECOND, 10.5 * _SECOND, "b1"),)),
-        "roomy": calm._replace(traits=traits._replace(keeps=2 * traits.keeps)),
+        "roomy": calm._replace(traits=traits._replace(cache_size=2 * traits.cache_size)),
         "hot": calm._replace(load=dict.fromkeys(_ZONES, load._replace(skew=1.5))),
     }
     return found[name]
@@ -210,10 +211,10 @@
 
 
 def _fleet(name: str, use: float) -> Scenario:
-    """Return a scenario like the look-ups of a fleet of technicians: few objects, all at hand."""
+    """Return a scenario with few keys, all of which fit into every cache."""
     traits = Traits(3, 6, 1000, timedelta(milliseconds=480), 0.3, 0.15)
     slots = sum(_FLEET_ENDPOINTS.values()) * traits.slots
-    capacity = slots / (traits.work.total_seconds() * traits.warm_part)
+    capacity = slots / (traits.service_time.total_seconds() * traits.warm_fraction)
     load = Load(use * capacity / len(_ZONES), 12, 0.0, swing=0.55)
     phases = {"a": 0.0, "b": 1 / 3, "c": 2 / 3}
     calm = Scenario(
@@ -238,19 +239,21 @@
     return found[name]
 
 
-_CROWD_ENDPOINTS = {"a": 15, "b": 63, "c": 75}
+_MANY_GATEWAYS_ENDPOINTS = {"a": 15, "b": 63, "c": 75}
 
 
-def _crowd(name: str, use: float) -> Scenario:
-    """Return a scenario of many gateways, each of which seldom sends to any one endpoint.
+def _many_gateways(name: str, use: float) -> Scenario:
+    """Return a scenario with so many gateways that each rarely sends to a given endpoint.
 
-    A region has a tenth of the endpoints and a third of the demand.
+    Region ``a`` has a tenth of the endpoints and a third of the load.
     """
     traits = Traits(5, 15, 13, timedelta(milliseconds=1632), 0.25, 0.15)
-    zones = {f"{region}{number}": region for region in _CROWD_ENDPOINTS for number in (1, 2, 3)}
-    endpoints = {zone: _CROWD_ENDPOINTS[region] for zone, region in zones.items()}
+    zones = {
+        f"{region}{number}": region for region in _MANY_GATEWAYS_ENDPOINTS for number in (1, 2, 3)
+    }
+    endpoints = {zone: _MANY_GATEWAYS_ENDPOINTS[region] for zone, region in zones.items()}
     slots = sum(endpoints.values()) * traits.slots
-    capacity = slots / (traits.work.total_seconds() * traits.warm_part)
+    capacity = slots / (traits.service_time.total_seconds() * traits.warm_fraction)
     load = Load(use * capacity / len(zones), 336, 0.2, swing=0.55)
     phases = {"a": 0.1, "b": 0.43, "c": 0.77}
     calm = Scenario(
@@ -266,14 +269,14 @@
         silence=timedelta(milliseconds=700),
         regional=True,
     )
-    slow = Ailment(8 * _SECOND, 14.5 * _SECOND, 0.16, slowness=5.0)
-    failing = Ailment(14 * _SECOND, 20.5 * _SECOND, 0.14, errors=0.45)
+    slow = Degradation(8 * _SECOND, 14.5 * _SECOND, 0.16, slowness=5.0)
+    failing = Degradation(14 * _SECOND, 20.5 * _SECOND, 0.14, errors=0.45)
     burst = Burst(10 * _SECOND, 13 * _SECOND, 1.7)
     found = {
         "crowd": calm,
-        "crowd-slow": calm._replace(ailments=(slow,)),
+        "crowd-slow": calm._replace(degradations=(slow,)),
         "crowd-heavy": calm._replace(
-            ailments=(slow, failing),
+            degradations=(slow, failing),
             bursts=(burst,),
             crashes=(Crash(18 * _SECOND, 22.5 * _SECOND, "c3"),),
         ),
--- a/standins/src/cardamomloft_standins/load.py
+++ b/standins/src/cardamomloft_standins/load.py
@@ -1,9 +1,9 @@
-"""A load of callers: asks which entry to use, sends a seeded mix, repeats orders, keeps the books.
+"""Load generator: looks up entries, sends a seeded mix of requests and reports the outcomes.
 
-One process is many callers. Arrivals are open-loop (a slow system does not slow its callers), drawn
-from a seeded generator. The report holds, for each kind of request, counts by outcome and exact
-latencies, and for orders the operation keys, so that a script can compare them with the books of
-the upstreams.
+One process simulates many callers. Arrivals are open-loop: they are drawn from a seeded generator,
+independently of the answers. For each kind of request, the report holds counts by outcome and exact
+latencies. For orders it also holds the operation ids, which scripts compare with the statistics of
+the upstream stand-ins.
 """
 
 import json
@@ -17,12 +17,15 @@
 from twisted.internet import defer, reactor, task
 from twisted.web.client import Agent, HTTPConnectionPool
 
-_LOOKUP_LIFE_S = 1.0
-_MAX_TRIES = 4
+_LOOKUP_TTL_S = 1.0
+_MAX_ATTEMPTS = 4
 
 
 class MixRow(t.TypedDict, total=False):
-    """One kind of request; `rate` a second, `repeat` the share of orders sent twice on purpose."""
+    """One kind of request, at `rate` per second.
+
+    The fraction `repeat` of the completed orders is sent a second time under the same id.
+    """
 
     name: str
     method: str
@@ -39,10 +42,10 @@
 
 
 class LoadSettings(t.TypedDict, total=False):
-    """What one load process does; `entries` are the callers' addresses to begin with.
+    """Settings of a load process; `entries` are the initial addresses of the entries.
 
-    With `direct` there are no look-ups: each request goes to one of the addresses at random. With
-    `plain` the addresses are upstreams, whose answers name no outcome.
+    With `direct`, callers skip the look-up and send each request to a random address. With `plain`
+    the addresses are those of upstreams, whose answers carry no outcome header.
     """
 
     direct: bool
@@ -56,7 +59,7 @@
 
 
 class Report:
-    """Counts by kind and outcome, latencies in seconds, and what became of each order."""
+    """Counts by kind and outcome, latencies in seconds, and the outcomes of each order."""
 
     def __init__(self) -> None:
         self.outcomes: dict[str, Counter[str]] = defaultdict(Counter)
@@ -76,7 +79,7 @@
         self.last_errors: list[str] = []
 
     def to_json(self) -> dict[str, t.Any]:
-        """Return the report as plain data."""
+        """Return the report as a JSON-serializable document."""
         return {
             "outcomes": {name: dict(rows) for name, rows in self.outcomes.items()},
             "reasons": dict(self.reasons),
@@ -96,7 +99,7 @@
 
 
 class Load:
-    """Runs one load and fills a :class:`Report`."""
+    """Generates the load and fills a :class:`Report`."""
 
     def __init__(self, cfg: LoadSettings) -> None:
         self._cfg = cfg
@@ -106,36 +109,36 @@
         self._pool.retryAutomatically = False
         self._agent = Agent(reactor, connectTimeout=1.0, pool=self._pool)
         self._lookups: dict[str, tuple[float, dict[str, t.Any]]] = {}
-        self._bad_until: dict[str, float] = {}
-        self._running: set[defer.Deferred[None]] = set()
+        self._unavailable_until: dict[str, float] = {}
+        self._in_flight: set[defer.Deferred[None]] = set()
         self.report = Report()
         self._start = 0.0
 
     async def run(self) -> None:
-        """Send for the whole duration, then wait for what is in flight."""
+        """Send requests for the configured duration, then wait for those in flight."""
         self._start = time.monotonic()
         self.report.started_at = time.time()
-        streams = [defer.ensureDeferred(self._stream(row)) for row in self._cfg["mix"]]
-        await defer.gatherResults(streams)
-        if self._running:
-            waiting = defer.gatherResults(list(self._running), consumeErrors=True)
-            waiting.addTimeout(self._cfg.get("grace_s", 15.0), reactor)
-            await waiting.addErrback(lambda _: None)
-
-    async def _stream(self, row: MixRow) -> None:
+        senders = [defer.ensureDeferred(self._send_stream(row)) for row in self._cfg["mix"]]
+        await defer.gatherResults(senders)
+        if self._in_flight:
+            in_flight = defer.gatherResults(list(self._in_flight), consumeErrors=True)
+            in_flight.addTimeout(self._cfg.get("grace_s", 15.0), reactor)
+            await in_flight.addErrback(lambda _: None)
+
+    async def _send_stream(self, row: MixRow) -> None:
         due = time.monotonic()
         end = due + self._cfg["duration_s"]
         while (due := due + self._rng.expovariate(row["rate"])) < end:
             await task.deferLater(reactor, max(0.0, due - time.monotonic()), lambda: None)
-            sent = defer.ensureDeferred(self._one(row))
-            self._running.add(sent)
-            sent.addBoth(lambda _, sent=sent: self._running.discard(sent))
+            sent = defer.ensureDeferred(self._run_request(row))
+            self._in_flight.add(sent)
+            sent.addBoth(lambda _, sent=sent: self._in_flight.discard(sent))
 
-    async def _one(self, row: MixRow) -> None:
+    async def _run_request(self, row: MixRow) -> None:
         start = time.monotonic()
         outcome = "error"
         try:
-            outcome = await self._attempts(row)
+            outcome = await self._send_with_retries(row)
         except Exception as exc:
             self.report.last_errors.append(f"{row['name']}: {type(exc).__name__}: {exc}"[:300])
         elapsed = time.monotonic() - start
@@ -149,22 +152,26 @@
                 self.report.in_time[row["name"]] += 1
                 self.report.in_time_by_second[row["name"]][second] += 1
 
-    async def _attempts(self, row: MixRow) -> str:
+    async def _send_with_retries(self, row: MixRow) -> str:
         key: str | None = None
         entry = ""
         outcome = "error"
-        for _ in range(_MAX_TRIES):
-            # Nothing was sent to an entry that was not reached, so a new id is as good.
+        for _ in range(_MAX_ATTEMPTS):
+            # An unreached entry has not seen the operation id, so a new id is safe.
             if outcome in ("error", "unreached") or not row.get("operation"):
-                found = await self._lookup(row)
-                entry = found["entries"][0]["address"]
+                lookup = await self._lookup(row)
+                entry = lookup["entries"][0]["address"]
                 if row.get("operation") == "system":
                     entry = next(
-                        (e["address"] for e in found["entries"] if e["name"] == found["executor"]),
+                        (
+                            e["address"]
+                            for e in lookup["entries"]
+                            if e["name"] == lookup["executor"]
+                        ),
                         entry,
                     )
                     unique = f"{self._rng.getrandbits(128):032x}"
-                    key = f"{found['operation_prefix']}.{unique}"
+                    key = f"{lookup['operation_prefix']}.{unique}"
                 elif row.get("operation") == "own":
                     key = str(_uuid7(self._rng))
             else:
@@ -175,16 +182,16 @@
             if outcome != "unreached" and not (outcome in ("unknown", "cut") and key):
                 break
         if key is not None and outcome == "complete" and self._rng.random() < row.get("repeat", 0):
-            again = await self._repeat(row, entry, key)
-            self.report.outcomes[f"{row['name']}-repeat"][again] += 1
+            repeat_outcome = await self._repeat_order(row, entry, key)
+            self.report.outcomes[f"{row['name']}-repeat"][repeat_outcome] += 1
         if key is not None:
             self.report.orders[key].append(outcome)
         return outcome
 
-    async def _repeat(self, row: MixRow, entry: str, key: str) -> str:
-        """Send an order again under its id, at other entries until one is reached."""
+    async def _repeat_order(self, row: MixRow, entry: str, key: str) -> str:
+        """Send an order again under its id, to other entries until one is reached."""
         outcome = "unreached"
-        for _ in range(_MAX_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             if outcome == "unreached":
                 outcome = await self._send(row, self._other_entry(entry), key)
                 self.report.tries[key].append(f"repeat-{outcome}")
@@ -192,9 +199,11 @@
 
     def _other_entry(self, entry: str) -> str:
         now = time.monotonic()
-        others = [e for e in self._cfg["entries"] if e != entry] or [entry]
-        others = [e for e in others if self._bad_until.get(e, 0) < now] or others
-        return self._rng.choice(others)
+        candidates = [e for e in self._cfg["entries"] if e != entry] or [entry]
+        candidates = [
+            e for e in candidates if self._unavailable_until.get(e, 0) < now
+        ] or candidates
+        return self._rng.choice(candidates)
 
     async def _lookup(self, row: MixRow) -> dict[str, t.Any]:
         now = time.monotonic()
@@ -204,24 +213,24 @@
         cached = self._lookups.get(client)
         if cached is not None and cached[0] > now:
             return cached[1]
-        for _ in range(_MAX_TRIES * 2):
-            good = [e for e in self._cfg["entries"] if self._bad_until.get(e, 0) < now]
-            address = self._rng.choice(good or self._cfg["entries"])
+        for _ in range(_MAX_ATTEMPTS * 2):
+            available = [e for e in self._cfg["entries"] if self._unavailable_until.get(e, 0) < now]
+            address = self._rng.choice(available or self._cfg["entries"])
             if self._cfg.get("fixed_entry"):
                 address = self._cfg["entries"][0]
             try:
-                answer = await self._get(address, client)
+                answer = await self._fetch_lookup(address, client)
             except Exception as exc:
-                self._bad_until[address] = now + 2.0
+                self._unavailable_until[address] = now + 2.0
                 self.report.last_errors.append(f"lookup {address}: {exc}"[:200])
                 continue
             if answer is not None:
-                self._lookups[client] = (now + _LOOKUP_LIFE_S, answer)
+                self._lookups[client] = (now + _LOOKUP_TTL_S, answer)
                 return answer
-            self._bad_until[address] = now + 0.5
+            self._unavailable_until[address] = now + 0.5
         raise RuntimeError("no entry answers look-ups")
 
-    async def _get(self, address: str, client: str) -> dict[str, t.Any] | None:
+    async def _fetch_lookup(self, address: str, client: str) -> dict[str, t.Any] | None:
         resp = await treq.get(
             f"http://{address}/lookup?client={client}", agent=self._agent, timeout=1.0
         )
@@ -248,7 +257,7 @@
         if key is not None:
             headers["Idempotency-Key"] = key
         body = b"x" * row.get("body_bytes", 0) or None
-        wait = row.get("deadline_ms", 10_000) / 1000 + 2.0
+        timeout_s = row.get("deadline_ms", 10_000) / 1000 + 2.0
         path = row["path"]
         sent = time.monotonic()
         self.report.sent_by_second[row["name"]][int(sent - self._start)] += 1
@@ -259,36 +268,36 @@
                 headers=headers,
                 data=body,
                 agent=self._agent,
-                timeout=wait,
+                timeout=timeout_s,
             )
         except Exception as exc:
-            self._bad_until[entry] = time.monotonic() + 1.0
+            self._unavailable_until[entry] = time.monotonic() + 1.0
             self._lookups.clear()
             self.report.last_errors.append(f"{row['name']} {entry}: {exc!r}"[:300])
             return "unreached" if "Connect" in type(exc).__name__ else "cut"
         return await self._read(row, resp, key, sent)
 
     async def _read(self, row: MixRow, resp: t.Any, key: str | None, sent: float) -> str:
-        named = resp.headers.getRawHeaders("cardamomloft-outcome", ["error"])[0]
+        outcome = resp.headers.getRawHeaders("cardamomloft-outcome", ["error"])[0]
         if self._cfg.get("plain") and resp.code == 200:
-            named = "complete"
+            outcome = "complete"
         try:
             body = await resp.content()
         except Exception as exc:
             self.report.last_errors.append(f"{row['name']} body: {exc!r}"[:300])
             return "cut"
-        if named != "complete":
+        if outcome != "complete":
             reason = resp.headers.getRawHeaders("cardamomloft-reason", ["?"])[0]
             self.report.reasons[f"{row['name']}:{reason}"] += 1
-        elif not self._own_answer(row, body, key):
+        elif not self._is_matching_answer(row, body, key):
             self.report.wrong_answers += 1
-        if named == "complete" and "answer_bytes" not in row:
+        if outcome == "complete" and "answer_bytes" not in row:
             endpoint = json.loads(body)["endpoint"]
             self.report.endpoints_by_second[endpoint][int(sent - self._start)] += 1
-        return named
+        return outcome
 
-    def _own_answer(self, row: MixRow, body: bytes, key: str | None) -> bool:
-        """Tell whether the answer is whole and belongs to this request."""
+    def _is_matching_answer(self, row: MixRow, body: bytes, key: str | None) -> bool:
+        """Return whether the answer is complete and belongs to this request."""
         if "answer_bytes" in row:
             return len(body) == row["answer_bytes"]
         answer = json.loads(body)
@@ -300,14 +309,14 @@
 
 
 def _uuid7(rng: random.Random) -> uuid.UUID:
-    """Make a version 7 UUID: 48 bits of Unix milliseconds, the rest drawn."""
+    """Return a version 7 UUID: 48 bits of Unix milliseconds, the rest random."""
     bits = (int(time.time() * 1000) << 80) | rng.getrandbits(80)
     bits = (bits & ~(0xF << 76)) | (0x7 << 76)
     return uuid.UUID(int=(bits & ~(0x3 << 62)) | (0x2 << 62))
 
 
 def run_load(cfg: LoadSettings) -> dict[str, t.Any]:
-    """Run one load in this process's reactor and return its report."""
+    """Run a load in this process's reactor and return its report."""
     load = Load(cfg)
 
     def main(_: t.Any) -> defer.Deferred[None]:
@@ -322,7 +331,7 @@
 
 
 def main() -> None:
-    """Read settings as JSON from the file named on the command line; print the report."""
+    """Read the settings from the JSON file named on the command line; print the report."""
     import sys
 
     with open(sys.argv[1], encoding="utf-8") as file:
--- a/standins/src/cardamomloft_standins/main.py
+++ b/standins/src/cardamomloft_standins/main.py
@@ -1,7 +1,7 @@
 """Run stand-ins: ``python -m cardamomloft_standins.main store|vms|upstreams ...``.
 
-Each command prints one JSON line ``{"listening": [...], "control": ...}`` when it is ready. The
-control address answers even when the others refuse connections. SIGTERM ends it at once.
+Each command prints the JSON line ``{"listening": [...], "control": ...}`` when it is ready. The
+control address stays open while the others refuse connections. SIGTERM ends the process.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 from cardamomloft_standins.control import ControlFactory
 from cardamomloft_standins.listener import Listener
-from cardamomloft_standins.store import SHORTEST_TTL, Store
+from cardamomloft_standins.store import MIN_TTL, Store
 from cardamomloft_standins.upstream import EndpointSettings, Upstream
 from cardamomloft_standins.vms import Vms
 
@@ -27,7 +27,7 @@
 
 
 class UpstreamsSettings(t.TypedDict):
-    """Settings of a process that holds several endpoints; `seed` is for service times."""
+    """Settings of a process with several endpoints; `seed` determines the service times."""
 
     control: t.NotRequired[str]
     seed: t.NotRequired[int]
@@ -38,21 +38,21 @@
     *,
     listen: str,
     control: str = ANY_PORT,
-    shortest_ttl_ms: float = SHORTEST_TTL.total_seconds() * 1000,
+    shortest_ttl_ms: float = MIN_TTL.total_seconds() * 1000,
 ) -> None:
     """Run the key-value store.
 
     Parameters
     ----------
     listen
-        Address as ip:port; port 0 chooses one.
+        Address as ip:port; port 0 picks a free port.
     control
-        Address that answers also while the store refuses connections.
+        Address that stays open while the store refuses connections.
     shortest_ttl_ms
-        Shortest session TTL to accept; the published service takes 10 s.
+        Minimum session TTL to accept; Consul's minimum is 10 s.
     """
-    shortest = timedelta(milliseconds=shortest_ttl_ms)
-    _serve_app(lambda refuse: Store(reactor, refuse, shortest_ttl=shortest), listen, control)
+    min_ttl = timedelta(milliseconds=shortest_ttl_ms)
+    _serve_app(lambda refuse: Store(reactor, refuse, min_ttl=min_ttl), listen, control)
 
 
 def vms(*, listen: str, control: str = ANY_PORT) -> None:
@@ -61,9 +61,9 @@
     Parameters
     ----------
     listen
-        Address as ip:port; port 0 chooses one.
+        Address as ip:port; port 0 picks a free port.
     control
-        Address that answers also while the list refuses connections.
+        Address that stays open while the list refuses connections.
     """
     _serve_app(lambda refuse: Vms(reactor, refuse), listen, control)
 
@@ -74,7 +74,7 @@
     Parameters
     ----------
     settings
-        JSON file with the endpoints.
+        JSON file with the settings of the endpoints.
     """
     cfg: UpstreamsSettings = json.loads(settings.read_text())
     rng = random.Random(cfg.get("seed", 1))
@@ -86,7 +86,7 @@
 def _serve_app(build: t.Callable[..., Store | Vms], listen: str, control: str) -> None:
     def set_refusing(refusing: bool, transport: t.Any) -> None:
         if refusing:
-            main_listener.close(spare=transport)
+            main_listener.close(keep=transport)
         else:
             main_listener.open()
 
@@ -102,7 +102,7 @@
 
 
 def _no_log(request: http.Request) -> None:
-    """Keep no access log."""
+    """Write no access log."""
 
 
 def _run(listeners: list[Listener], control: Listener) -> None:
--- a/standins/src/cardamomloft_standins/relayed.py
+++ b/standins/src/cardamomloft_standins/relayed.py
@@ -1,4 +1,4 @@
-"""Gateways of a region that pass changes on; store and network are in memory, on one clock."""
+"""Gateways of a region that relay changes, with store and network simulated on one clock."""
 
 import random
 import typing as t
@@ -27,26 +27,26 @@
 MS = kit.MS
 
 DRAIN = 2500 * MS
-"""How soon a change must be in force."""
+"""Time within which a change must be in force at every gateway."""
 
 ENTRIES = 10
-"""Gateways of the region: enough for relays."""
+"""Number of gateways in the region; large enough that relays are used."""
 
-CALL = 4 * MS
-"""How long the store takes for a call."""
+STORE_ROUND_TRIP = 4 * MS
+"""Round-trip time of a call to the store."""
 
-LINK = 2 * MS
-"""How long a message between gateways takes."""
+PEER_LATENCY = 2 * MS
+"""Latency of a message between gateways."""
 
-TICK = 200 * MS
-"""How often a gateway looks what did not come back."""
+TICK_INTERVAL = 200 * MS
+"""Interval of the ticks that expire unconfirmed facts."""
 
-LOST_AFTER = 700 * MS
-"""When a call to a store that says nothing counts as failed; its wait comes on top."""
+CALL_TIMEOUT = 700 * MS
+"""Timeout of a call to the store, in addition to the wait of a blocking query."""
 
 
-class Copy(t.NamedTuple):
-    """What a store held at an instant."""
+class Snapshot(t.NamedTuple):
+    """The content of the store at one instant."""
 
     at: timedelta
     revision: int
@@ -54,7 +54,7 @@
 
 
 class Store:
-    """A store with revisions. Gateways in `cut` hear nothing from it, those in `refused` a no."""
+    """A store with revisions; `cut` gateways get no answers, `refused` ones get errors."""
 
     def __init__(self, time: kit.Time) -> None:
         self.time = time
@@ -62,74 +62,80 @@
         self.revision = 1
         self.held: dict[object, object] = {}
         self.events: list[tuple[int, object]] = []
-        self.copies: list[Copy] = [Copy(timedelta(0), 1, {})]
-        self.first_known = 0
+        self.snapshots: list[Snapshot] = [Snapshot(timedelta(0), 1, {})]
+        self.compacted_revision = 0
         self.cut: set[str] = set()
         self.refused: set[str] = set()
-        self.waiting: list[t.Callable[[], None]] = []
+        self.pending_queries: list[t.Callable[[], None]] = []
         self.calls = 0
 
     @property
     def position(self) -> Position:
-        """Where it is in its history."""
+        """The current position in the store's history."""
         return Position(self.era, self.revision)
 
     def write(self, key: object, fact: object, *, removes: bool = False) -> None:
-        """Write or remove a key, and answer who waits for a change."""
+        """Write or remove a key, and answer all blocking queries."""
         self.revision += 1
         self.events.append((self.revision, fact))
         self.held.pop(key, None)
         if not removes:
             self.held[key] = fact
-        self.copies.append(Copy(self.time.clock.monotonic(), self.revision, dict(self.held)))
-        waiting, self.waiting = self.waiting, []
-        for answer in waiting:
+        self.snapshots.append(Snapshot(self.time.clock.monotonic(), self.revision, dict(self.held)))
+        pending_queries, self.pending_queries = self.pending_queries, []
+        for answer in pending_queries:
             answer()
 
     def forget(self) -> None:
-        """Drop the history of changes."""
-        self.first_known = self.revision
+        """Discard the history of changes, as a compaction does."""
+        self.compacted_revision = self.revision
 
     def restore(self, age: timedelta) -> None:
-        """Come back from a copy of that age: what was written since is gone."""
-        instant = self.time.clock.monotonic() - age
-        copy = [copy for copy in self.copies if copy.at <= instant or copy.revision == 1][-1]
+        """Restore a snapshot of age `age` in a new era; later writes are lost."""
+        restored_at = self.time.clock.monotonic() - age
+        snapshot = [
+            snapshot
+            for snapshot in self.snapshots
+            if snapshot.at <= restored_at or snapshot.revision == 1
+        ][-1]
         self.era += 1
-        self.revision, self.held = copy.revision, dict(copy.held)
-        self.events = [(at, fact) for at, fact in self.events if at <= copy.revision]
-        self.copies = [each for each in self.copies if each.revision <= copy.revision]
-        self.first_known = min(self.first_known, copy.revision)
-        # Whoever waits for a change is cut off, and hears of that.
-        waiting, self.waiting = self.waiting, []
-        for answer in waiting:
+        self.revision, self.held = snapshot.revision, dict(snapshot.held)
+        self.events = [(at, fact) for at, fact in self.events if at <= snapshot.revision]
+        self.snapshots = [each for each in self.snapshots if each.revision <= snapshot.revision]
+        self.compacted_revision = min(self.compacted_revision, snapshot.revision)
+        # A restore also ends all blocking queries.
+        pending_queries, self.pending_queries = self.pending_queries, []
+        for answer in pending_queries:
             answer()
 
 
 class Client:
-    """One gateway's connection to the store."""
+    """The store client of one gateway."""
 
     def __init__(self, store: Store, name: str) -> None:
         self.store, self.name = store, name
 
     def read(self):
-        """List all that the store holds."""
+        """Return a listing of the whole store."""
         store = self.store
         return self._call(
             lambda: Ok(Listing(tuple(store.held.values()), store.position)), timedelta(0)
         )
 
     def changes(self, after, wait):
-        """Return what has changed, at the latest when `wait` is over."""
-        return self._call(lambda: self._news(after), wait, lambda: self.store.position > after)
+        """Return the changes since `after`; wait for one for at most `wait`."""
+        return self._call(
+            lambda: self._changes_since(after), wait, lambda: self.store.position > after
+        )
 
-    def _news(self, after):
+    def _changes_since(self, after):
         store = self.store
-        if after.era != store.era or after.revision < store.first_known:
+        if after.era != store.era or after.revision < store.compacted_revision:
             return Ok(Changes((), after, lost=True))
-        news = tuple(fact for at, fact in store.events if at > after.revision)
-        return Ok(Changes(news, store.position))
+        facts = tuple(fact for at, fact in store.events if at > after.revision)
+        return Ok(Changes(facts, store.position))
 
-    def _call(self, answer, wait, is_due=lambda: True):
+    def _call(self, answer, wait, is_ready=lambda: True):
         store, reactor = self.store, self.store.time.reactor
         store.calls += 1
         done = Deferred(lambda _: finish(Error(StoreFailure(False, "cancelled"))))
@@ -140,26 +146,29 @@
 
         def reply():
             if self.name not in store.cut:
-                reactor.callLater((CALL / 2).total_seconds(), finish, answer())
+                reactor.callLater((STORE_ROUND_TRIP / 2).total_seconds(), finish, answer())
 
         def arrive():
             if self.name in store.refused:
                 finish(Error(StoreFailure(False, "refused")))
             elif self.name not in store.cut:
-                if is_due() or not wait:
+                if is_ready() or not wait:
                     reply()
                 else:
-                    store.waiting.append(reply)
+                    store.pending_queries.append(reply)
                     reactor.callLater(wait.total_seconds(), reply)
 
         lost = Error(StoreFailure(False, "no answer"))
-        reactor.callLater((CALL / 2).total_seconds(), arrive)
-        reactor.callLater((wait + LOST_AFTER).total_seconds(), finish, lost)
+        reactor.callLater((STORE_ROUND_TRIP / 2).total_seconds(), arrive)
+        reactor.callLater((wait + CALL_TIMEOUT).total_seconds(), finish, lost)
         return done
 
 
 class Network:
-    """Messages between gateways: late, lost, or kept from those in `silenced`."""
+    """Delivers messages between gateways with latency and loss.
+
+    Messages from and to the gateways in `silenced` are dropped.
+    """
 
     def __init__(self, time: kit.Time, rng: random.Random) -> None:
         self.time, self.rng = time, rng
@@ -168,19 +177,21 @@
         self.gateways: dict[str, Gateway] = {}
 
     def send(self, sender: "Gateway", address: str, message, to) -> bool:
-        """Bring a message to the gateway at `address`, if nothing is in the way."""
+        """Deliver a message to the gateway at `address`, unless it is lost or dropped."""
         receiver = self.gateways[address]
         lost = self.rng.random() < self.loss
         if lost or {sender.name, receiver.name} & self.silenced:
             return True
         if to not in (None, receiver.me):
             return True
-        self.time.reactor.callLater(LINK.total_seconds(), receiver.receive, sender.me, message)
+        self.time.reactor.callLater(
+            PEER_LATENCY.total_seconds(), receiver.receive, sender.me, message
+        )
         return True
 
 
 class Gateway:
-    """What a gateway does with the store and its peers, and what it knows by it."""
+    """The change feed of one gateway, with the tables and the view that it maintains."""
 
     def __init__(self, record, store: Store, network: Network, time: kit.Time, seed: int) -> None:
         self.record, self.name, self.network = record, record.name, network
@@ -210,10 +221,10 @@
             metrics,
         )
         self.feed.port.peers = self
-        self.book = UpstreamTable(dict.fromkeys("abc", record.region))
-        selector = Selector(self.book, self.name, record.zone, None, Preferences())
+        self.upstream_table = UpstreamTable(dict.fromkeys("abc", record.region))
+        selector = Selector(self.upstream_table, self.name, record.zone, None, Preferences())
         self.view = StoreView(
-            time.clock, self.book, self.entries, selector, _ignore, self._on_plan, metrics
+            time.clock, self.upstream_table, self.entries, selector, _ignore, self._on_plan, metrics
         )
         self.follower = Follower(
             time.reactor,
@@ -229,12 +240,12 @@
         self._ticks.clock = time.reactor
 
     def start(self) -> None:
-        """Begin to follow."""
-        self._ticks.start(TICK.total_seconds(), now=False)
+        """Start to follow the store."""
+        self._ticks.start(TICK_INTERVAL.total_seconds(), now=False)
         self.follower.start(self.faults.append)
 
     def stop(self) -> None:
-        """End, as a gateway does."""
+        """Stop the change feed."""
         self.stopped = True
         if self._ticks.running:
             self._ticks.stop()
@@ -242,25 +253,25 @@
         self.follower.stop()
 
     def send(self, address, message, to=None) -> bool:
-        """Send a message to another gateway."""
+        """Send a message to the gateway at `address`."""
         return self.network.send(self, address, message, to)
 
     def close(self) -> None:
         """Do nothing: there is no socket."""
 
     def receive(self, sender, message) -> None:
-        """Take a message of another gateway."""
+        """Pass a message from another gateway to the change feed."""
         if not self.stopped:
             self.feed.receive(sender, message)
 
     @property
     def drained(self) -> set[str]:
-        """The zones that get nothing."""
-        return set(self.book.drained_zones)
+        """The drained zones."""
+        return set(self.upstream_table.drained_zones)
 
     def _on_changes(self, facts) -> None:
-        gone = [fact for fact in facts if isinstance(fact, EntryWithdrawn)]
-        self.entries_gone += [self.time.clock.monotonic()] * len(gone)
+        withdrawn = [fact for fact in facts if isinstance(fact, EntryWithdrawn)]
+        self.entries_gone += [self.time.clock.monotonic()] * len(withdrawn)
         self.view.apply_changes(facts)
 
     def _on_plan(self, plan) -> None:
@@ -273,11 +284,11 @@
 
 
 def _ignore(address) -> None:
-    """Keep no connections."""
+    """Do nothing: there are no pooled connections."""
 
 
 class Deployment:
-    """Ten gateways of one region that know each other, and a store with a configuration."""
+    """`ENTRIES` gateways of one region that know each other, and a store with a configuration."""
 
     def __init__(self, seed: int = 1) -> None:
         self.time = kit.Time(Clock())
@@ -298,12 +309,12 @@
         self.run(3000 * MS)
 
     def configure(self) -> None:
-        """Write a newer configuration."""
+        """Write a configuration with the next number."""
         self.number += 1
         self.store.write("plan", PlanRead(kit.plan(self.number)))
 
     def run(self, duration: timedelta) -> None:
-        """Let time go by."""
+        """Advance the clocks by `duration`."""
         self.time.advance(duration, 5 * MS)
 
     def by_name(self, name: str) -> Gateway:
@@ -311,11 +322,11 @@
         return next(gateway for gateway in self.gateways if gateway.name == name)
 
     def listeners(self) -> list[Gateway]:
-        """Return the gateways that were no relays at the start."""
+        """Return the gateways that were not relays at the start."""
         return [gateway for gateway in self.gateways if gateway.name not in self.relays]
 
     def late(self) -> list[str]:
-        """Return the names of those that have not the newest configuration."""
+        """Return the names of the gateways that lack the newest configuration."""
         return [row.name for row in self.gateways if row.plans[-1] != self.number]
 
 
--- a/standins/tests/test_standin_processes.py
+++ b/standins/tests/test_standin_processes.py
@@ -10,7 +10,7 @@
 
 @contextmanager
 def running(*arguments):
-    """Yield the ready line of a stand-in's process; it must end with status 0."""
+    """Run a stand-in process and yield its ready line; the process must exit with status 0."""
     command = [sys.executable, "-m", "cardamomloft_standins.main", *arguments]
     proc = subprocess.Popen(command, stdout=subprocess.PIPE)
     try:
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize(
     ("name", "path"), [("store", "/control/counts"), ("vms", "/control/counts")]
 )
-def test_a_refusing_process_can_be_told_to_listen_again(name, path):
+def test_a_refusing_process_listens_again_after_a_control_request(name, path):
     with running(name, "--listen", "127.0.0.1:0") as ready:
         (address,) = ready["listening"]
         assert call("PUT", f"{address}/control", {"down": "refuse"})["down"] == "refuse"
