--- a/standins/src/cardamomloft_standins/endpoints.py
+++ b/standins/src/cardamomloft_standins/endpoints.py
@@ -192,7 +192,7 @@
     body: bytes
 
 
-def ask(
+def send_request(
     gateway: str, path: str, key: str = "17", names: CallerHeaders = DEFAULT_HEADER_NAMES
 ) -> Reply:
     """Send one GET request to a gateway on a new connection."""
--- a/standins/src/cardamomloft_standins/experiment/callers.py
+++ b/standins/src/cardamomloft_standins/experiment/callers.py
@@ -10,7 +10,7 @@
 from cardamomloft_standins.experiment.scenarios import WAVE_PERIOD, Load
 
 if t.TYPE_CHECKING:
-    from cardamomloft_standins.experiment.world import World
+    from cardamomloft_standins.experiment.simulation import Simulation
 
 LATE_CREDIT = 0.2
 """Credit of an answer after the target but within the timeout."""
@@ -43,7 +43,7 @@
 class Callers:
     """The callers of one zone."""
 
-    def __init__(self, world: "World", zone: str, load: Load, rng: random.Random) -> None:
+    def __init__(self, world: "Simulation", zone: str, load: Load, rng: random.Random) -> None:
         self._world = world
         self._zone = zone
         self._key_scope = world.scenario.zones[zone] if world.scenario.regional else zone
@@ -83,7 +83,7 @@
     """One request of a caller, sent again once if it is refused."""
 
     def __init__(
-        self, world: "World", rng: random.Random, zone: str, request_id: str, key: str
+        self, world: "Simulation", rng: random.Random, zone: str, request_id: str, key: str
     ) -> None:
         self._world = world
         self._rng = rng
--- a/standins/src/cardamomloft_standins/experiment/world.py
+++ b/standins/src/cardamomloft_standins/experiment/simulation.py
@@ -75,7 +75,7 @@
         """Do nothing."""
 
 
-class World:
+class Simulation:
     """One run of a scenario under one policy.
 
     Parameters
@@ -190,7 +190,7 @@
 class _Entry:
     """The forwarding and placement of one gateway, with a simulated upstream client."""
 
-    def __init__(self, world: World, name: str, zone: str, policy: SelectorFactory) -> None:
+    def __init__(self, world: Simulation, name: str, zone: str, policy: SelectorFactory) -> None:
         self._world = world
         self.table = table = UpstreamTable(world.scenario.zones)
         for endpoint in world.endpoints.values():
@@ -230,7 +230,7 @@
 
     dialect = kit.DIALECT
 
-    def __init__(self, world: World, zone: str) -> None:
+    def __init__(self, world: Simulation, zone: str) -> None:
         self._world = world
         self._zone = zone
         self.warm: dict[str, bool] = {}
--- a/standins/src/cardamomloft_standins/assembled.py
+++ b/standins/src/cardamomloft_standins/gatewayharness.py
@@ -30,7 +30,7 @@
 }
 
 
-class Run:
+class GatewayHarness:
     """A gateway whose control store and upstream answers are set by the test.
 
     Parameters
@@ -43,7 +43,7 @@
 
     def __init__(self, control=None, start=True) -> None:
         self.control = control or kit.FakeControl(Ok(kit.listing(kit.registration(1))))
-        self.control.next = kit.no_changes()
+        self.control.next_changes = kit.no_changes()
         self.time = kit.Time(MemoryReactorClock())
         self.client = kit.FakeClient(kit.answer())
         self.gateway = Gateway(
@@ -63,13 +63,13 @@
         self.gateway.start()
         self.time.advance(20 * MS)
 
-    def change(self, *facts, index=11) -> None:
+    def deliver_changes(self, *facts, index=11) -> None:
         """Deliver `facts` from the store as changes up to revision `index`."""
-        self.control.next = Ok(Changes(tuple(facts), kit.at(index)))
+        self.control.next_changes = Ok(Changes(tuple(facts), kit.position(index)))
         self.time.advance(1200 * MS)
-        self.control.next = kit.no_changes(index)
+        self.control.next_changes = kit.no_changes(index)
 
-    def ask(self, path="/menus/7", host="a.example"):
+    def send_request(self, path="/menus/7", host="a.example"):
         """Send a GET request; return the answer, or None if it is still pending."""
         headers = (("host", host), ("x-request-id", "id-1"), ("x-object", "17"))
         head = RequestHead("GET", path, "", headers, "10.0.0.9", 0, False)
--- a/standins/src/cardamomloft_standins/operating.py
+++ b/standins/src/cardamomloft_standins/operating.py
@@ -68,7 +68,7 @@
         return None
 
 
-class World:
+class OperatorHarness:
     """A deployment in memory and a terminal that runs operators' commands on it."""
 
     def __init__(self, folder):
@@ -76,12 +76,12 @@
         self.clock = ManualClock()
         self.store = FakeStore()
         self.vms = {}
-        self.stuck = {}
-        self.silent = set()
+        self.pinned_revisions = {}
+        self.unreachable = set()
         self.drains = {}
-        self.asked = []
-        self.lives = {}
-        self.on_asked = {}
+        self.status_requests = []
+        self.incarnations = {}
+        self.status_hooks = {}
 
     @property
     def current(self):
@@ -96,16 +96,16 @@
     def status(self, address):
         """Return the status of the entry at `address`, or an error if it is unreachable."""
         seat = f"e{int(address.rpartition(':')[2]) % 100}"
-        self.asked.append(seat)
-        self.on_asked.pop((seat, self.asked.count(seat)), lambda: None)()
-        if seat in self.silent:
+        self.status_requests.append(seat)
+        self.status_hooks.pop((seat, self.status_requests.count(seat)), lambda: None)()
+        if seat in self.unreachable:
             return succeed(Error("unreachable (TimeoutError)"))
         number = self.current["number"] if self.current else 0
         has_drains = self.current is not None and "drains" in self.current["document"]
         rows = self.drains.get(seat, []) if has_drains else []
         drains = rows.pop(0) if len(rows) > 1 else (rows or [[]])[0]
-        status = make_status(seat, self.stuck.get(seat, number), drains)
-        return succeed(Ok({**status, "incarnation": f"{seat}/{self.lives.get(seat, 1)}"}))
+        status = make_status(seat, self.pinned_revisions.get(seat, number), drains)
+        return succeed(Ok({**status, "incarnation": f"{seat}/{self.incarnations.get(seat, 1)}"}))
 
     def fetch(self):
         """Return the rows of the VM list."""
--- a/standins/src/cardamomloft_standins/upstream.py
+++ b/standins/src/cardamomloft_standins/upstream.py
@@ -15,7 +15,7 @@
 from twisted.web import http
 
 from cardamomloft_standins.answers import AnswerStream, send, send_echo
-from cardamomloft_standins.books import EndpointStatistics
+from cardamomloft_standins.endpointstatistics import EndpointStatistics
 from cardamomloft_standins.faults import Behaviour, apply_changes, parse_json
 from cardamomloft_standins.listener import Listener
 
--- a/standins/tests/test_experiment.py
+++ b/standins/tests/test_experiment.py
@@ -18,7 +18,7 @@
     table,
 )
 from cardamomloft_standins.experiment.scenarios import Traits, scenario
-from cardamomloft_standins.experiment.world import World
+from cardamomloft_standins.experiment.simulation import Simulation
 from twisted.internet.task import Clock
 
 CREDITS = (0.9, 0.4, 0.5)
@@ -108,7 +108,7 @@
 
 def _run_scenario(name: str, policy: str, use: float, seconds: int = 10) -> Summary:
     adjusted = scenario(name, use)._replace(length=timedelta(seconds=seconds))
-    return summarize(World(adjusted, POLICIES[policy], seed=1).run())
+    return summarize(Simulation(adjusted, POLICIES[policy], seed=1).run())
 
 
 def test_the_same_seed_gives_the_same_result():
@@ -138,7 +138,7 @@
 
 
 def test_a_drained_zone_has_no_usable_endpoints_until_it_is_restored():
-    world = World(scenario("fleet-drain"), POLICIES["product"], seed=1)
+    world = Simulation(scenario("fleet-drain"), POLICIES["product"], seed=1)
     upstream_table, *_ = world._upstream_tables()
     usable = {}
     for second in (1, 3, 12):
@@ -151,7 +151,7 @@
 
 
 def test_registrations_of_crashed_endpoints_expire_and_return_cold():
-    world = World(scenario("fleet-loss"), POLICIES["product"], seed=1)
+    world = Simulation(scenario("fleet-loss"), POLICIES["product"], seed=1)
     upstream_table, *_ = world._upstream_tables()
     world.reactor.pump([9, 3, 3])
     assert len(upstream_table) == 7
@@ -169,7 +169,7 @@
 
 
 def test_a_degraded_endpoint_is_slow_or_fails_until_it_recovers():
-    world = World(scenario("crowd-heavy", 0.01), POLICIES["product"], seed=1)
+    world = Simulation(scenario("crowd-heavy", 0.01), POLICIES["product"], seed=1)
     count = len(world.endpoints)
     seen = {}
     for second in (7, 9, 15, 21):
@@ -200,7 +200,7 @@
     assert loop.seconds() == 1.0
 
 
-def _small_deployment(policy: str) -> World:
+def _small_deployment(policy: str) -> Simulation:
     """Return ``crowd-heavy`` with a fifth of the endpoints, load and keys."""
     adjusted = scenario("crowd-heavy", 0.13)
     endpoints = {zone: count // 5 for zone, count in adjusted.endpoints.items()}
@@ -208,7 +208,7 @@
         zone: row._replace(per_s=row.per_s / 5, key_count=67) for zone, row in adjusted.load.items()
     }
     adjusted = adjusted._replace(endpoints=endpoints, load=load, length=timedelta(seconds=24))
-    return World(adjusted, POLICIES[policy], seed=1)
+    return Simulation(adjusted, POLICIES[policy], seed=1)
 
 
 def test_gateways_that_share_failures_eject_crashed_endpoints_sooner():
