--- a/standins/src/cardamomloft_standins/relayharness.py
+++ b/standins/src/cardamomloft_standins/relayharness.py
@@ -288,7 +288,7 @@
 
 
 class Deployment:
-    """`ENTRY_COUNT` gateways of one region that know each other, and a store with a configuration."""
+    """`ENTRY_COUNT` gateways of one region that know each other, and a store with a plan."""
 
     def __init__(self, seed: int = 1) -> None:
         self.time = kit.Time(Clock())
