--- a/packages/core/src/cardamomloft/core/accounts.py
+++ b/packages/core/src/cardamomloft/core/accounts.py
@@ -8,7 +8,7 @@
 from cardamomloft.core.ownership import Ownership
 
 PEAK_WINDOW = timedelta(milliseconds=100)
-"""How long units count as needed here after a peak of own use, and are not lent."""
+"""How long the units of a peak of own use are kept here, and not lent, after the peak."""
 
 _ZERO = timedelta(0)
 
@@ -36,10 +36,10 @@
     used
         Own units in use.
     wanted
-        Units requested here beyond those in use; of a RATE limit the whole rate.
+        Units requested here beyond those in use; of a RATE limit the total rate requested.
     peak, peak_at
         The recent maximum of own use, and the instant at which it was recorded.
-    lendings, loans
+    granted_loans, loans
         Units lent to and borrowed from other entries; None until the first.
     """
 
@@ -88,7 +88,7 @@
         return own + self.loans.free(now) if self.loans else own
 
     def record_use(self, amount: int, now: timedelta) -> None:
-        """Record an amount of own use, of which the recent peak is kept."""
+        """Record the amount of own use, and update its recent peak."""
         if amount >= self.peak or now - self.peak_at > PEAK_WINDOW:
             self.peak = amount
             self.peak_at = now
--- a/packages/core/src/cardamomloft/core/addresses.py
+++ b/packages/core/src/cardamomloft/core/addresses.py
@@ -56,7 +56,7 @@
 def parse_block(text: str) -> Block | None:
     """Return the block written as ``a.b.c.d/length``, or None if it is malformed.
 
-    Bits set behind the prefix are rejected, so that each block has exactly one text form.
+    A block with host bits set is rejected, so that each block has exactly one text form.
     """
     head, _, tail = text.partition("/")
     address = parse_address(head)
--- a/packages/core/src/cardamomloft/core/admission.py
+++ b/packages/core/src/cardamomloft/core/admission.py
@@ -60,30 +60,30 @@
     def __init__(self) -> None:
         self._mean = _ZERO
         self._deviation = _ZERO
-        self._at: timedelta | None = None
+        self._observed_at: timedelta | None = None
 
     def observe(self, duration: timedelta, now: timedelta) -> None:
-        """Add the duration of one answered request."""
-        if self._at is None:
+        """Update the estimate with the duration of one answered request."""
+        if self._observed_at is None:
             self._mean, self._deviation = duration, duration / 4
         else:
             self._deviation += (abs(duration - self._mean) - self._deviation) * _SMOOTHING_FACTOR
             self._mean += (duration - self._mean) * _SMOOTHING_FACTOR
-        self._at = now
+        self._observed_at = now
 
     def mean(self, now: timedelta) -> timedelta:
         """Return the expected duration; zero before the first observation."""
         return self._mean * self._decay(now)
 
-    def likely(self, now: timedelta) -> timedelta:
-        """Return a duration that most requests do not exceed."""
+    def upper_estimate(self, now: timedelta) -> timedelta:
+        """Return an estimate from mean and deviation that most requests do not exceed."""
         return (self._mean + self._deviation * _DEVIATIONS) * self._decay(now)
 
     def _decay(self, now: timedelta) -> float:
-        if self._at is None:
+        if self._observed_at is None:
             return 0.0
-        decaying = now - self._at - _DECAY_DELAY
-        return 1.0 if decaying <= _ZERO else 0.5 ** (decaying / _DECAY_HALF_LIFE)
+        decay_time = now - self._observed_at - _DECAY_DELAY
+        return 1.0 if decay_time <= _ZERO else 0.5 ** (decay_time / _DECAY_HALF_LIFE)
 
 
 class _Position(t.NamedTuple):
@@ -103,7 +103,7 @@
         self.items: list[Queued] = []
         self.slots = 1
 
-    def wait(self, ahead: int, free: int, mean: timedelta) -> timedelta:
+    def expected_wait(self, ahead: int, free: int, mean: timedelta) -> timedelta:
         """Return the expected wait behind `ahead` requests if slots end at evenly spread times."""
         return mean * max(0, ahead - free + 1) / max(1, self.slots)
 
@@ -124,7 +124,7 @@
         self._max_queued = max_queued
         self._queues: dict[QueueKey, _Queue] = {}
         self._times: dict[str, ServiceTime] = {}
-        self._keys: dict[int, Queued] = {}
+        self._items: dict[int, Queued] = {}
 
     def offer(
         self, item: Queued, *, free: int = 0, slots: int = 1
@@ -161,11 +161,11 @@
         evicted = None
         if len(queue.items) >= self._max_queued:
             if queue.items[-1].priority <= item.priority:
-                return Error(self._overload(item, queue))
-            evicted = Evicted(queue.items[-1], self._overload(queue.items[-1], queue))
+                return Error(self._overload_refusal(item, queue))
+            evicted = Evicted(queue.items[-1], self._overload_refusal(queue.items[-1], queue))
             self._drop(evicted.item)
         queue.items.insert(ahead, item)
-        self._keys[item.number] = item
+        self._items[item.number] = item
         return Ok(evicted)
 
     def pop(self, service: str, place: str) -> Queued | None:
@@ -184,7 +184,7 @@
 
     def remove(self, number: int) -> bool:
         """Remove a request whose caller has disconnected; return whether it was queued."""
-        item = self._keys.get(number)
+        item = self._items.get(number)
         if item is None:
             return False
         self._drop(item)
@@ -194,7 +194,8 @@
         """Evict all requests that can no longer finish by their deadlines.
 
         Call it before :meth:`pop`. Requests of higher priority that arrive later lengthen the wait
-        of the others. One is evicted when even half of its estimated wait is too long.
+        of the others. A request is evicted if it would miss its deadline even after half of its
+        estimated wait.
         """
         return [
             evicted for key, queue in self._queues.items() for evicted in self._expire(key, queue)
@@ -215,51 +216,59 @@
         return [key for key, queue in self._queues.items() if queue.items]
 
     def __len__(self) -> int:
-        return len(self._keys)
+        return len(self._items)
 
     def _drop(self, item: Queued) -> None:
         queue = self._queues[QueueKey(item.service, item.place)]
-        at = bisect.bisect_left(queue.items, _position(item), key=_position)
-        assert queue.items[at].number == item.number
-        del queue.items[at]
-        del self._keys[item.number]
+        index = bisect.bisect_left(queue.items, _position(item), key=_position)
+        assert queue.items[index].number == item.number
+        del queue.items[index]
+        del self._items[item.number]
 
-    def _likely(self, service: str) -> timedelta:
+    def _upper_estimate(self, service: str) -> timedelta:
         times = self._times.get(service)
-        return _DEFAULT_SERVICE_TIME if times is None else times.likely(self._clock.monotonic())
+        return (
+            _DEFAULT_SERVICE_TIME
+            if times is None
+            else times.upper_estimate(self._clock.monotonic())
+        )
 
     def _check_deadline(self, item: Queued, queue: _Queue, ahead: int, free: int) -> Refusal | None:
         remaining = item.deadline - self._clock.monotonic()
         mean = self.expected(item.service)
-        wait = queue.wait(ahead, free, mean)
-        # A request that does not have to wait is refused only if even the mean does not fit.
-        run = self._likely(item.service) if wait else mean
-        if remaining > wait + run:
+        wait = queue.expected_wait(ahead, free, mean)
+        # Without a wait, a request is refused only if even the mean duration is too long.
+        run_time = self._upper_estimate(item.service) if wait else mean
+        if remaining > wait + run_time:
             return None
-        return self._refuse_late(remaining, wait, run)
+        return self._deadline_refusal(remaining, wait, run_time)
 
     def _expire(self, key: QueueKey, queue: _Queue) -> list[Evicted]:
         if not queue.items:
             return []
         now = self._clock.monotonic()
-        mean, run = self.expected(key.service), self._likely(key.service)
+        mean, run_time = self.expected(key.service), self._upper_estimate(key.service)
         kept, evicted = 0, []
         for item in tuple(queue.items):
-            remaining, wait = item.deadline - now, queue.wait(kept, 1, mean)
-            if remaining > wait * _EVICTION_WAIT_FACTOR + run:
+            remaining, wait = item.deadline - now, queue.expected_wait(kept, 1, mean)
+            if remaining > wait * _EVICTION_WAIT_FACTOR + run_time:
                 kept += 1
                 continue
             self._drop(item)
-            evicted.append(Evicted(item, self._refuse_late(remaining, wait, run)))
+            evicted.append(Evicted(item, self._deadline_refusal(remaining, wait, run_time)))
         return evicted
 
-    def _refuse_late(self, remaining: timedelta, wait: timedelta, run: timedelta) -> Refusal:
+    def _deadline_refusal(
+        self, remaining: timedelta, wait: timedelta, run_time: timedelta
+    ) -> Refusal:
         # Unless others join the queue, the same request would be admitted after this time.
-        after = max(_MIN_RETRY_AFTER, min(wait, wait + run - remaining)) if wait else None
-        needs, has = (wait + run) // _MILLISECOND, max(remaining, _ZERO) // _MILLISECOND
-        detail = f"the request needs about {needs} ms but its deadline is in {has} ms"
+        after = max(_MIN_RETRY_AFTER, min(wait, wait + run_time - remaining)) if wait else None
+        needed_ms, left_ms = (wait + run_time) // _MILLISECOND, max(
+            remaining, _ZERO
+        ) // _MILLISECOND
+        detail = f"the request needs about {needed_ms} ms but its deadline is in {left_ms} ms"
         return Refusal(RefusalReason.DEADLINE, detail, after)
 
-    def _overload(self, item: Queued, queue: _Queue) -> Refusal:
-        wait = queue.wait(len(queue.items), 0, self.expected(item.service))
+    def _overload_refusal(self, item: Queued, queue: _Queue) -> Refusal:
+        wait = queue.expected_wait(len(queue.items), 0, self.expected(item.service))
         return Refusal(RefusalReason.OVERLOAD, "the queue is full", max(_MIN_RETRY_AFTER, wait))
--- a/packages/core/src/cardamomloft/core/blocks.py
+++ b/packages/core/src/cardamomloft/core/blocks.py
@@ -256,7 +256,7 @@
     def pack(self) -> tuple[Chunk, ...]:
         """Return the map as chunks.
 
-        The address space is halved until each part has at most
+        The address space is halved recursively until each range has at most
         :data:`~cardamomloft.core.chunks.CHUNK_BLOCKS` blocks. The cuts depend on the blocks alone,
         so that a changed block usually changes only the chunk that contains it.
         """
--- a/packages/core/src/cardamomloft/core/budgets.py
+++ b/packages/core/src/cardamomloft/core/budgets.py
@@ -1,8 +1,8 @@
 """Budgets that hold over all entries together, divided without coordination.
 
 An entry's share depends only on the number of recorded entries, so that the shares add up to less
-than the whole. A new entry takes over nothing from another one: its own requests earn it retries,
-and the fixed allowance is divided with a margin.
+than the budget. A new entry needs no share of another one: its retries are proportional to its own
+requests, and the fixed allowance is divided with a margin.
 """
 
 import typing as t
@@ -10,10 +10,10 @@
 from datetime import timedelta
 
 DIVIDED_FRACTION = 0.8
-"""Fraction of a budget that is divided; the rest covers entries that are not yet known to all.
+"""Fraction of a budget that is divided; the remainder covers entries that not all others know yet.
 
-While a tenth entry joins nine others, the shares may add up to 1.1 times what was divided;
-0.8 x 1.1 stays below 1, as it does with a quarter more entries at once.
+While such entries join, the shares add up to more than was divided; the sum stays within the budget
+as long as no more than a quarter of the entries join at once.
 """
 
 
@@ -47,7 +47,7 @@
         self._expire(now)
 
     def may_retry(self, entries: int, now: timedelta) -> bool:
-        """Return whether one more retry fits within this entry's share.
+        """Return whether one more retry is within this entry's share.
 
         Parameters
         ----------
@@ -73,7 +73,7 @@
 class ColdLimit(t.NamedTuple):
     """Rate limit of a cold endpoint in requests per second, over all entries.
 
-    The limit is ``rate * overage + slack``, where ``rate`` is what the service states.
+    The limit is ``rate * overage + slack``, where ``rate`` is the rate that the service states.
     """
 
     overage: float
@@ -100,8 +100,8 @@
         This entry's rank among them for this endpoint, from 0. If the limit is below one request
         per entry, only the lowest ranks get one.
     """
-    whole = int(DIVIDED_FRACTION * (rate * limit.overage + limit.slack))
-    return whole // entries if whole >= entries else int(rank < whole)
+    budget = int(DIVIDED_FRACTION * (rate * limit.overage + limit.slack))
+    return budget // entries if budget >= entries else int(rank < budget)
 
 
 def may_send_cold(sends: list[timedelta], allowance: int, now: timedelta) -> bool:
--- a/packages/core/src/cardamomloft/core/changes.py
+++ b/packages/core/src/cardamomloft/core/changes.py
@@ -16,7 +16,7 @@
 
 AUDIT_KEYS = ("number", "change", "parent", "who", "when", "why", "difference", "previous")
 MAX_RECORD_BYTES = 1_000_000
-# Compare-and-swap writes that one attempt sends before it ends unsettled.
+# Maximum number of compare-and-swap writes of one attempt before it ends unsettled.
 MAX_SWAPS = 5
 
 
@@ -55,8 +55,9 @@
     change
         A new unique id of this change; an attempt keeps it over all its retries.
     above
-        The highest revision that any entry holds. It exceeds the store's only after the store lost
-        changes, for example by a restored backup; entries adopt no revision below their own.
+        The highest revision in force at any entry. It exceeds the store's only after the store lost
+        changes, for example when a backup was restored. Since entries adopt no revision below their
+        own, the new revision must be above it.
     """
     number = current["number"] if current else 0
     return Record(
@@ -88,9 +89,11 @@
     except ValueError as exc:
         return Error(f"not JSON: {exc}")
     if not isinstance(record, dict) or set(record) != set(Record.__annotations__):
-        return Error("not a configuration record")
+        return Error("not a configuration record: not an object with the keys of a record")
     if not _is_count(record["number"]) or not isinstance(record["change"], str):
-        return Error("not a configuration record: number or change has a wrong type")
+        return Error(
+            "not a configuration record: number must be a positive integer and change a text"
+        )
     return Ok(t.cast("Record", record))
 
 
@@ -160,11 +163,12 @@
     Perform each returned step and report its result, until a step is an :data:`Outcome`.
 
     A write whose answer was lost may still take effect later, so reading the old record afterwards
-    proves nothing: the same write, with the same change id and version, is sent again. The version
-    check lets at most one of these writes succeed. A refused write is followed by a read too,
-    since an earlier copy of it may be what changed the version. Before they start, callers must
-    ensure that the audit entry of the record they replace exists; only then can a change that was
-    superseded twice be distinguished from one that never took effect.
+    does not show that it failed: the same write, with the same change id and version, is sent
+    again. The version check lets at most one of these writes succeed. A write that fails the
+    version check is followed by a read too, since an earlier copy of it may have changed the
+    version. Before an attempt, callers must ensure that the audit entry of the replaced record
+    exists; only then can a change that was superseded twice be distinguished from one that never
+    took effect.
 
     Parameters
     ----------
@@ -319,10 +323,10 @@
     """Decide acceptance by two rounds of requests, the second begun after the first had ended.
 
     One round isn't enough: an entry that has answered may be replaced by a process that, while the
-    store is unavailable, gets an older revision from a peer not asked yet. A revision never
-    decreases within one incarnation. If every seat had it in the first round and the same
-    processes answer the second, all of them had it at once between the rounds, and a process that
-    starts after that can only get it or a later one.
+    store is unavailable, gets an older revision from a peer that the round has not reached yet. A
+    revision never decreases within one incarnation. If every seat had `number` in force in the
+    first round and the same processes answer the second, all of them had it in force at one time
+    between the rounds, and a process that starts after that can only get it or a later one.
 
     `number`, `seats` and `gone` are as for :func:`acceptance`.
     """
@@ -351,7 +355,7 @@
     return canonical(entry)
 
 
-def verify_chain(entries: Sequence[bytes], *, whole: bool = True) -> Result[int, str]:
+def verify_chain(entries: Sequence[bytes], *, from_first: bool = True) -> Result[int, str]:
     """Check that each audit entry follows from the one before it.
 
     Parameters
@@ -374,7 +378,7 @@
         if parsed.is_error():
             return Error(parsed.error)
         entry = parsed.ok
-        if before is not None or whole:
+        if before is not None or from_first:
             fault = _link_fault(before, digest, entry)
             if fault:
                 return Error(f"entry {entry['number']}: {fault}")
@@ -388,8 +392,12 @@
     except ValueError as exc:
         return Error(f"not JSON: {exc}")
     if not isinstance(entry, dict) or set(entry) != set(AUDIT_KEYS):
-        return Error("not an audit entry")
-    return Ok(entry) if _is_count(entry["number"]) else Error("number is no positive integer")
+        return Error("not an audit entry: not an object with the keys of an audit entry")
+    return (
+        Ok(entry)
+        if _is_count(entry["number"])
+        else Error("not an audit entry: number is not a positive integer")
+    )
 
 
 def _link_fault(
@@ -400,7 +408,7 @@
     if entry["parent"] != (before["change"] if before else None):
         return "its parent is not the previous change"
     if before and entry["number"] <= before["number"]:
-        return "its number is not above the previous entry's"
+        return "its number is not higher than the previous entry's"
     return None
 
 
--- a/packages/core/src/cardamomloft/core/chunks.py
+++ b/packages/core/src/cardamomloft/core/chunks.py
@@ -28,7 +28,7 @@
 
 
 class Chunk(t.NamedTuple):
-    """One part of a packed map and the hexadecimal SHA-256 digest that identifies it."""
+    """A section of a packed map and the hexadecimal SHA-256 digest that identifies it."""
 
     digest: str
     data: bytes
@@ -105,7 +105,7 @@
 
 
 def unpack_chunk(digest: str, data: bytes | None) -> Payload | str:
-    """Return a chunk's validated payload, or a message that says what is wrong with it."""
+    """Return a chunk's validated payload, or an error message."""
     if data is None:
         return f"chunk {digest} is missing"
     if digest_of(data) != digest:
--- a/packages/core/src/cardamomloft/core/claims.py
+++ b/packages/core/src/cardamomloft/core/claims.py
@@ -28,7 +28,7 @@
 MAX_CLOCK_DRIFT = 0.01
 
 ID_REUSED = Refusal(RefusalReason.OPERATION_REUSED, "the id belongs to another request")
-HOLDER_UNKNOWN = Unknown("another entry has claimed the id, and the store does not say which")
+HOLDER_UNKNOWN = Unknown("another entry has claimed the id; which one could not be read")
 
 _MAX_CREATE_ATTEMPTS = 3
 
@@ -142,7 +142,7 @@
     writes_per_s
         Maximum claims written per second by this process.
     window, look_back, max_ahead, max_skew
-        See above.
+        Terms of the formula above.
     lease_rotation
         How long one lease is used for new claims before another one is created.
     drift
--- a/packages/core/src/cardamomloft/core/clock.py
+++ b/packages/core/src/cardamomloft/core/clock.py
@@ -1,11 +1,12 @@
 """Clocks: the only source of time that the decision code sees.
 
-Monotonic instants are :class:`~datetime.timedelta` since an origin that differs from process to
-process, so two processes can never compare them; wall-clock instants are aware UTC datetimes.
+A monotonic instant is the :class:`~datetime.timedelta` since an origin that differs from process to
+process, so instants of two processes cannot be compared. Wall-clock instants are aware UTC
+datetimes.
 
-Elapsed time is read from ``CLOCK_BOOTTIME``. Unlike the wall clock it is never set, and unlike
-``CLOCK_MONOTONIC`` it advances while the VM is suspended: after a suspension, data ages by its
-length and timers that expired during it are due at once.
+Elapsed time is read from ``CLOCK_BOOTTIME``. Unlike the wall clock it is never adjusted, and unlike
+``CLOCK_MONOTONIC`` it advances while the VM is suspended. After a suspension, the age of all data
+includes its length, and timers that expired during it are due at once.
 """
 
 import time
--- a/packages/core/src/cardamomloft/core/hints.py
+++ b/packages/core/src/cardamomloft/core/hints.py
@@ -1,8 +1,9 @@
 """State of one upstream endpoint as seen by an entry: its own observations and reported hints.
 
 Observations come from this entry's own requests: how many are in flight, how the last ones ended
-and how long they took. Load reports and reported health lag and can be wrong, so they only order
-endpoints and eject a bounded fraction of a zone, and they are ignored once they are old.
+and how long they took. Reported load and health lag and can be wrong, so they only affect the order
+of endpoints and eject a bounded fraction of a zone. Reports older than `MAX_REPORT_AGE` are
+ignored.
 """
 
 import statistics
@@ -16,7 +17,7 @@
 """Age after which a load report is ignored."""
 
 FAILURES_TO_EJECT = 3
-"""Consecutive failures after which an endpoint is ejected or counts towards a dead zone."""
+"""Consecutive failures after which an endpoint counts as failing, and is ejected if permitted."""
 
 MAX_EJECTED_FRACTION = 0.5
 """Fraction of a service's endpoints in a zone that may be ejected at one time."""
@@ -39,7 +40,7 @@
 
 
 class LoadReport(t.NamedTuple):
-    """Load reported by an endpoint; `at` is the monotonic instant of the request for it."""
+    """Load reported by an endpoint; the report was requested at the monotonic instant `at`."""
 
     running: int
     slots: int
@@ -51,7 +52,7 @@
     """Bounds the requests in flight at a cold endpoint.
 
     The bound starts at one and grows by one with each answer about as fast as those of warm peers.
-    A slow answer raises it only once in several, so that an endpoint that stays slow still warms
+    Of slower answers only one in several raises it, so that an endpoint that stays slow still warms
     up.
     """
 
@@ -85,7 +86,7 @@
     Parameters
     ----------
     endpoint
-        Its location and limits.
+        Its name, location and capacity.
     cold
         Whether it starts cold, as an endpoint that joins a running service does.
     """
@@ -119,7 +120,7 @@
         return self.failures >= FAILURES_TO_EJECT
 
     def is_ejected(self, now: timedelta) -> bool:
-        """Return whether the endpoint is ejected now, after failures or by its report."""
+        """Return whether the endpoint is ejected now, after failures or for a reported drain."""
         return _is_future(self.ejected_until, now) or _is_future(self._drain_honored_until, now)
 
     def usable(self, now: timedelta) -> bool:
@@ -160,11 +161,12 @@
         return now - self._last_shed_at <= MAX_REPORT_AGE
 
     def on_report(self, report: LoadReport) -> None:
-        """Record a report, unless a later one was recorded before."""
+        """Record a report, unless one that was requested later is already recorded."""
         last = self._report
         if last is not None and report.at < last.at:
             return
-        # Only a change restarts the slow start: a permanent "cold" must not keep it low.
+        # Only a change to "cold" restarts the slow start, or an endpoint that always reports it
+        # would never warm up.
         if report.state == "cold" and (last is None or last.state != "cold"):
             self.slow_start.begin()
         if report.state != "draining":
@@ -172,15 +174,15 @@
         self._report = report
 
     def honor_drain_until(self, until: timedelta | None) -> None:
-        """Exclude the endpoint until then because of its report; None ends the exclusion."""
+        """Eject the endpoint until `until` because it reports a drain; None ends the ejection."""
         self._drain_honored_until = until
 
     def honors_drain(self, now: timedelta) -> bool:
-        """Return whether the endpoint is excluded now because of its report."""
+        """Return whether the endpoint is ejected now because it reports a drain."""
         return _is_future(self._drain_honored_until, now)
 
     def eject(self, now: timedelta) -> None:
-        """Exclude the endpoint for a time that doubles with each ejection, up to a bound."""
+        """Eject the endpoint for a time that doubles with each ejection, up to a bound."""
         self.ejected_until = now + min(
             _MAX_EJECTION, _INITIAL_EJECTION * 2 ** min(self._ejections, 8)
         )
@@ -188,9 +190,11 @@
 
     def on_shed(self, now: timedelta) -> None:
         """Back off after a refusal, for longer with each consecutive one up to a bound."""
-        pause = min(_MAX_SHED_BACKOFF, _INITIAL_SHED_BACKOFF * 2 ** min(self._consecutive_sheds, 8))
+        backoff = min(
+            _MAX_SHED_BACKOFF, _INITIAL_SHED_BACKOFF * 2 ** min(self._consecutive_sheds, 8)
+        )
         self._consecutive_sheds += 1
-        self._shed_backoff_until = now + pause
+        self._shed_backoff_until = now + backoff
         self._last_shed_at = now
 
     def on_started(self, now: timedelta) -> None:
@@ -229,16 +233,19 @@
 
 
 def may_eject(state: EndpointState, peers: Iterable[EndpointState], now: timedelta) -> bool:
-    """Return whether ejecting `state` keeps the bound; `peers` is its zone, with itself."""
+    """Return whether `state` may be ejected too without exceeding `MAX_EJECTED_FRACTION`.
+
+    `peers` are the endpoints of its service in its zone, itself included.
+    """
     others = [peer for peer in peers if peer is not state]
     ejected = sum(peer.is_ejected(now) for peer in others)
     return ejected + 1 <= (len(others) + 1) * MAX_EJECTED_FRACTION
 
 
 def median_latency(states: Iterable[EndpointState]) -> timedelta | None:
-    """Return the median latency of the warm endpoints, or None if none has answered."""
-    known = [s.latency for s in states if s.latency is not None and not s.cold and not s.failing]
-    return statistics.median_low(known) if known else None
+    """Return the median latency of the warm, healthy endpoints, or None if none has answered."""
+    warm = [s.latency for s in states if s.latency is not None and not s.cold and not s.failing]
+    return statistics.median_low(warm) if warm else None
 
 
 class Candidate(t.NamedTuple):
--- a/packages/core/src/cardamomloft/core/loans.py
+++ b/packages/core/src/cardamomloft/core/loans.py
@@ -56,7 +56,10 @@
 
 
 def loan_ids(me: Incarnation) -> Iterator[int]:
-    """Yield loan ids that no other incarnation of this seat uses, to tell their grants apart."""
+    """Yield loan ids that no other incarnation of this seat uses.
+
+    A late grant to an earlier incarnation is therefore never taken for one to this incarnation.
+    """
     digest = hashlib.blake2b(str(me).encode(), digest_size=8).digest()
     loan_id = int.from_bytes(digest, "big") >> (64 - _LOAN_ID_BITS)
     while True:
@@ -170,7 +173,7 @@
     def recall(self, amount: int, now: timedelta) -> list[tuple[str, int]]:
         """Choose loans of at least `amount` units in total; return seat and number of each.
 
-        Loans recalled less than ``RECALL_INTERVAL`` ago count, but are left out of the result.
+        Loans recalled less than ``RECALL_INTERVAL`` ago count, but are omitted from the result.
         """
         due = []
         for (borrower, _), loan in self._loans.items():
--- a/packages/core/src/cardamomloft/core/membership.py
+++ b/packages/core/src/cardamomloft/core/membership.py
@@ -145,7 +145,7 @@
     def on_vm_list(self, rows: Iterable[VmRow]) -> None:
         """Apply the platform's VM list; pass all of its rows at each fetch.
 
-        The list lags, so "gone" counts only if the seat's last known process is silent too.
+        The list lags, so "gone" takes effect only if the seat's last known process is silent too.
         """
         for row in rows:
             before = self._vm_rows.get(row.name)
@@ -205,8 +205,8 @@
         if known is None or not known.digest.prefix:
             return None
         age = self._clock.monotonic() - known.received_at
-        left = timedelta(milliseconds=known.digest.prefix_left_ms) - age
-        return (known.digest.prefix, left) if left > timedelta(0) else None
+        remaining = timedelta(milliseconds=known.digest.prefix_left_ms) - age
+        return (known.digest.prefix, remaining) if remaining > timedelta(0) else None
 
     def revision_of(self, seat: str) -> int | None:
         """Return the revision that the seat last reported as in force."""
@@ -313,12 +313,12 @@
         return ring[at + 1 :] + ring[:at]
 
     def _rotate_holders(self, n: int, chosen: Sequence[str]) -> list[str]:
-        left = [seat for seat in self._holders if seat not in chosen]
-        if not left:
+        remaining = [seat for seat in self._holders if seat not in chosen]
+        if not remaining:
             return []
-        start = self._next_holder % len(left)
+        start = self._next_holder % len(remaining)
         self._next_holder += n
-        return (left[start:] + left[:start])[:n]
+        return (remaining[start:] + remaining[:start])[:n]
 
     def _pick_partners(
         self, rng: random.Random, n: int, reachable: Sequence[str], chosen: Sequence[str]
--- a/packages/core/src/cardamomloft/core/model.py
+++ b/packages/core/src/cardamomloft/core/model.py
@@ -61,7 +61,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request was refused; with each of these reasons it has not been run."""
+    """Why a request was refused; a refused request has not been run."""
 
     RULE = "refused-by-rule"
     NO_RULE = "no-rule-matches"
@@ -86,7 +86,10 @@
 
 
 class Refusal(t.NamedTuple):
-    """The definite statement that a request was not run; `retry_after` is when to retry."""
+    """The definite statement that a request was not run.
+
+    `retry_after` is the time that the caller should wait before it retries, None if not stated.
+    """
 
     reason: RefusalReason
     detail: str = ""
--- a/packages/core/src/cardamomloft/core/naming.py
+++ b/packages/core/src/cardamomloft/core/naming.py
@@ -42,7 +42,7 @@
     ) -> list[EntryRecord]:
         """Return the cached result of :func:`entries_for`.
 
-        `with_own` says whether this entry itself may be in the answer.
+        `with_own` is whether this entry itself may be in the answer.
         """
         entries = self._entries
         full = len(self._cache) >= MAX_CACHED_ANSWERS
--- a/packages/core/src/cardamomloft/core/notices.py
+++ b/packages/core/src/cardamomloft/core/notices.py
@@ -29,7 +29,7 @@
 """How long an excuse is kept, which must be enough for it to reach all entries."""
 
 LEAVING_RETENTION = timedelta(minutes=1)
-"""How long a leaving notice is kept. Each answer of the upstream repeats that it is leaving."""
+"""How long a leaving notice is kept. Each answer of a leaving upstream states it again."""
 
 
 # The class names and fields of notices are part of their `repr`, which `NoticeTable` hashes into
--- a/packages/core/src/cardamomloft/core/quarantine.py
+++ b/packages/core/src/cardamomloft/core/quarantine.py
@@ -1,7 +1,7 @@
 """Quarantine of requests that crash upstreams.
 
-When an upstream crashes, every request that it was processing is a suspect. A harmless request is
-answered when it is retried, which clears it; the request that causes the crashes never is.
+When an upstream crashes, every request that it was processing is suspected. A harmless request is
+cleared when a retry is answered; the request that causes the crashes is never answered.
 """
 
 from collections.abc import Iterable
@@ -13,7 +13,8 @@
 CRASHES_TO_QUARANTINE = 3
 """Crashes without an answer in between after which a request is sent to no upstream.
 
-A harmless request can meet two, when its retry goes to the same upstream as that of the culprit.
+A harmless request can be in progress during two crashes, if its retry goes to the same upstream as
+the retry of the request that causes them.
 """
 
 RESTART_TIME = timedelta(seconds=1)
@@ -30,14 +31,16 @@
         return len(self._crashes)
 
     def crash_notice(
-        self, fingerprint: str, life: UpstreamIncarnation, now: timedelta
+        self, fingerprint: str, incarnation: UpstreamIncarnation, now: timedelta
     ) -> CrashUnderRequest:
-        """Return the notice that the upstream incarnation `life` crashed during the request."""
+        """Return the notice that `incarnation` crashed during the request."""
         number = 1
-        for (upstream, started_ms, known), at in self._crashes.get(fingerprint, {}).items():
-            if (upstream, started_ms) == life:
-                number = max(number, known + (now - at >= RESTART_TIME))
-        return CrashUnderRequest(fingerprint, *life, number)
+        for (upstream, started_ms, recorded_number), at in self._crashes.get(
+            fingerprint, {}
+        ).items():
+            if (upstream, started_ms) == incarnation:
+                number = max(number, recorded_number + (now - at >= RESTART_TIME))
+        return CrashUnderRequest(fingerprint, *incarnation, number)
 
     def clearing_notices(self, fingerprint: str) -> list[CrashUnderRequest]:
         """Return the notices that clear a request that has been answered."""
--- a/packages/core/src/cardamomloft/core/ramping.py
+++ b/packages/core/src/cardamomloft/core/ramping.py
@@ -106,7 +106,7 @@
     ) -> None:
         """Move towards `target` by at most `rate` (a fraction of the traffic) per second.
 
-        The traffic of `closed` places moves first, since it is refused in the meantime. The rest of
+        The traffic of `closed` places moves first, since it is refused until then. The remainder of
         the step changes the fraction that may overflow.
         """
         self._step(target, closed, rate * self._timer.elapsed_s(now), now)
@@ -126,9 +126,10 @@
     def pick(self, priority: Priority, closed: AbstractSet[str]) -> str | None:
         """Return the place for the next request, or None if it falls to a closed place.
 
-        While places are closed, requests of lower priority give up their turns at open places to
-        make up for refused requests of higher priority. A turn is reserved before it is used, so
-        that no open place gets more than its fraction.
+        While places are closed, requests of higher priority that fall to them are refused. To make
+        up for these, turns of lower priority at open places are reserved for later requests of
+        higher priority. A turn is reserved before it is used, so that no open place gets more than
+        its fraction.
         """
         place = self._selector.pick(self.fractions)
         if not closed:
--- a/packages/core/src/cardamomloft/core/requests.py
+++ b/packages/core/src/cardamomloft/core/requests.py
@@ -20,7 +20,7 @@
 PRIORITY_HEADER = "x-priority"
 OPERATION_HEADER = "idempotency-key"
 
-# ASCII digits only, with a bound on the cost of parsing.
+# ASCII digits only; the bound on their number limits the cost of parsing.
 _WHOLE_NUMBER = re.compile(r"[0-9]{1,18}\Z")
 _DOT_SEGMENT = re.compile(r"/(\.|%2[eE]){1,2}(/|\Z)")
 
@@ -54,7 +54,7 @@
             strip_trailing_slashes(row["prefix"]): _service(name, row)
             for name, row in document["services"].items()
         }
-        self._depth = max((prefix.count("/") for prefix in self._services), default=0)
+        self._max_depth = max((prefix.count("/") for prefix in self._services), default=0)
 
     def classify(
         self,
@@ -74,7 +74,9 @@
         headers
             The request's headers with lower-case names.
         client
-            The caller's IPv4 address; if it is unknown, the site is the entry's `zone`.
+            The caller's IPv4 address, None if unknown.
+        zone
+            The entry's zone, used as the site of a caller without a known address.
 
         Errors
         ------
@@ -118,17 +120,17 @@
         return self._blocks.site_of(client)
 
     def _service_of(self, path: str) -> _Service | Refusal:
-        bare = path_without_query(path)
+        bare_path = path_without_query(path)
         # The upstream may resolve dot segments, which would bypass rules on paths.
-        if not bare.startswith("/") or _DOT_SEGMENT.search(bare):
+        if not bare_path.startswith("/") or _DOT_SEGMENT.search(bare_path):
             return Refusal(
                 RefusalReason.BAD_REQUEST, "the path must be absolute and without dot segments"
             )
-        for prefix in reversed(path_prefixes(bare, self._depth)):
+        for prefix in reversed(path_prefixes(bare_path, self._max_depth)):
             service = self._services.get(prefix)
             if service is not None:
                 return service
-        return Refusal(RefusalReason.NO_SERVICE, f"no service has the path {bare}")
+        return Refusal(RefusalReason.NO_SERVICE, f"no service has a prefix of the path {bare_path}")
 
 
 def body_limit(row: ServiceRow) -> int:
@@ -163,17 +165,17 @@
         return service.deadline
     if not _WHOLE_NUMBER.match(text):
         return Refusal(RefusalReason.BAD_REQUEST, f"{DEADLINE_HEADER} must be a whole number of ms")
-    left_ms = min(int(text), service.max_deadline // timedelta(milliseconds=1))
-    if left_ms == 0:
+    remaining_ms = min(int(text), service.max_deadline // timedelta(milliseconds=1))
+    if remaining_ms == 0:
         return Refusal(RefusalReason.DEADLINE, f"{DEADLINE_HEADER} must be at least 1 ms")
-    return timedelta(milliseconds=left_ms)
+    return timedelta(milliseconds=remaining_ms)
 
 
 def _priority(text: str | None, service: _Service) -> Priority | Refusal:
     """Return the caller's priority, limited to the service's.
 
-    A caller can lower its priority but not raise it, so that the configured order holds when
-    capacity is short.
+    A caller can lower the priority of its request but not raise it, so that the configured order
+    holds when capacity is short.
     """
     if text is None:
         return service.priority
--- a/packages/core/src/cardamomloft/core/retryafter.py
+++ b/packages/core/src/cardamomloft/core/retryafter.py
@@ -40,17 +40,17 @@
         """Record whether a request was refused."""
         self._refused_fraction += (refused - self._refused_fraction) / SMOOTHED_REQUESTS
 
-    def wait(self, draw: float, left: timedelta) -> timedelta:
+    def wait(self, draw: float, remaining: timedelta) -> timedelta:
         """Return the time after which a refused caller should retry.
 
         Parameters
         ----------
         draw
-            Random number from 0 to 1, the position between the bounds.
+            Random number from 0 to 1, which sets the position between the bounds.
         left
             Time until the caller gives up.
         """
         waits, fraction = self._waits, self._refused_fraction
         low = waits.normal_min + (waits.overload_min - waits.normal_min) * fraction
         high = waits.normal_max + (waits.overload_max - waits.normal_max) * fraction
-        return min(low + (high - low) * draw, max(left, timedelta(0)) * MAX_WAIT_FRACTION)
+        return min(low + (high - low) * draw, max(remaining, timedelta(0)) * MAX_WAIT_FRACTION)
--- a/packages/core/src/cardamomloft/core/router.py
+++ b/packages/core/src/cardamomloft/core/router.py
@@ -171,11 +171,11 @@
         """
         ticket = dispatch.ticket
         req = ticket.req
-        left = req.deadline - self._clock.monotonic()
+        remaining = req.deadline - self._clock.monotonic()
         attempts = ticket.directive.attempts - ticket.attempt
         expected = self.admission.expected(req.service)
         budget = self._retry_budgets.get(req.service)
-        if budget is None or not may_retry(req.idempotent, not_run, attempts, left, expected):
+        if budget is None or not may_retry(req.idempotent, not_run, attempts, remaining, expected):
             return Error(refusal)
         if not budget.try_retry():
             return Error(refusal)
@@ -291,7 +291,7 @@
         return out
 
     def _dispatch_queued(self, queued_request: _QueuedRequest) -> Dispatch | Dropped | None:
-        """Repeat the choice at the request's place, since conditions may have changed."""
+        """Choose again among the endpoints of the request's place, and dispatch if one has room."""
         ticket, place = queued_request.ticket, queued_request.choice.place
         match self.steering.choose(ticket.req, ticket.directive, ticket.excluded, place):
             case Result(tag="ok", ok=choice):
@@ -300,7 +300,7 @@
                 return Dropped(ticket, refusal)
 
     def _try_dispatch(self, ticket: Ticket, choice: Choice) -> Dispatch | None:
-        """Acquire all holds at the first endpoint that has room; no hold is kept otherwise."""
+        """Dispatch to the first endpoint at which all holds can be acquired, if there is one."""
         for endpoint in choice.endpoints:
             holds = self._acquire(endpoint, choice, ticket.req.deadline)
             if holds is not None:
--- a/packages/core/src/cardamomloft/core/rules.py
+++ b/packages/core/src/cardamomloft/core/rules.py
@@ -27,7 +27,7 @@
 
 
 class Directive(t.NamedTuple):
-    """What the matching rule asks for; `spill` names regions to use when the places are full."""
+    """The effect of the matching rule; `spill` names regions to use when the places are full."""
 
     rule: str
     places: tuple[WeightedPlace, ...]
@@ -290,7 +290,7 @@
         self._buckets: dict[_BucketKey, _Bucket] = {}
 
     def match(self, req: Request, zone: str, region: str) -> Result[Directive, Refusal]:
-        """Return what the first matching rule asks for, for an entry of `zone` in `region`.
+        """Return the effect of the first matching rule, for an entry of `zone` in `region`.
 
         Errors
         ------
--- a/packages/core/src/cardamomloft/core/selection.py
+++ b/packages/core/src/cardamomloft/core/selection.py
@@ -151,7 +151,7 @@
 
     Parameters
     ----------
-    book
+    table
         The registered endpoints.
     name, zone
         This entry's name and zone.
@@ -174,13 +174,13 @@
 
     def __init__(
         self,
-        book: UpstreamTable,
+        table: UpstreamTable,
         name: str,
         zone: str,
         cold_limit: ColdLimit,
         preferences: Preferences,
     ) -> None:
-        self._book = book
+        self._book = table
         self._zone = zone
         self.cold_limit = cold_limit
         self._preferences = preferences
@@ -256,8 +256,8 @@
             chosen = self._cold_with_room(cold, now)
         if chosen is not None:
             return Choice(chosen, Reason.RETRY if tried else Reason.COLD)
-        seen = ", ".join(describe_load(up, now) for up in untried) or f"{len(cold)} cold"
-        return Refusal(RefusalReason.OVERLOAD, f"no endpoint has room for {key}: {seen}")
+        loads = ", ".join(describe_load(up, now) for up in untried) or f"{len(cold)} cold"
+        return Refusal(RefusalReason.OVERLOAD, f"no endpoint has room for {key}: {loads}")
 
     def _with_room(
         self,
@@ -407,7 +407,7 @@
         upstream
             The endpoint.
         took
-            Time from sending the request to the end of its answer, waiting included.
+            The time from sending the request to the end of its answer, waiting included.
         load
             Requests that the endpoint had when this one was sent.
         """
--- a/packages/core/src/cardamomloft/core/shares.py
+++ b/packages/core/src/cardamomloft/core/shares.py
@@ -39,8 +39,8 @@
     return Error(Refusal(reason, detail))
 
 
-_NO_LIMIT = _refused(RefusalReason.NO_PLACE, "no such limit")
-_CLOSED = _refused(RefusalReason.STOPPING, "the entry is stopping and has given up its shares")
+_NO_LIMIT = _refused(RefusalReason.NO_PLACE, "the configuration has no such limit")
+_CLOSED = _refused(RefusalReason.STOPPING, "the entry is stopping and has released its shares")
 _NO_SHARE = _refused(RefusalReason.OVERLOAD, "no units of the limit are free at this entry")
 _BAD_DEADLINE = _refused(
     RefusalReason.DEADLINE, "the deadline is past, or later than the limit's longest use allows"
@@ -60,8 +60,8 @@
 
     def __init__(self, me: Incarnation, clock: Clock, *, drift: float = 0.01) -> None:
         self.before_rate_change: Callable[[str], None] | None = None
-        # False until this incarnation is recorded: without the record its successor would not
-        # know that it must be quarantined.
+        # False until this incarnation is recorded: its successor must be quarantined, and learns
+        # that only from the record.
         self.may_own = True
         self._me = me
         self._clock = clock
@@ -78,7 +78,7 @@
         self._lender = Lender(drift)
         self._borrower = Borrower(me, drift, self._co_holders)
         self._quarantined_at: timedelta | None = None
-        self._configured = 0
+        self._revision_count = 0
         self._reviewed_at = clock.monotonic()
         self._stopping = False
         self._closed = False
@@ -90,7 +90,7 @@
 
     @property
     def partners(self) -> frozenset[str]:
-        """The seats whose digests this entry needs, or that may need its digest."""
+        """The other holders, and the former owners, of the limits that this entry holds."""
         accounts = self._accounts.values()
         seats = {seat for a in accounts for seat in (*a.limit.holders, *a.ownership.former_owners)}
         return frozenset(seats - {self._me.seat})
@@ -117,7 +117,7 @@
     def is_clear(self) -> bool:
         """Whether nothing is used, lent or borrowed any longer after :meth:`hand_over`.
 
-        Once true, nothing can be acquired, and a successor may start without quarantine.
+        Once it is true, no units can be acquired, and a successor may start without quarantine.
         """
         if self._stopping and not self._holds:
             now = self._clock.monotonic()
@@ -140,7 +140,7 @@
         now = self._clock.monotonic()
         if not self._revision and quarantine:
             self._quarantined_at = now
-        self._configured += 1
+        self._revision_count += 1
         previous, self._limits, self._revision = self._limits, limits, revision
         held = {key for key, limit in limits.items() if self._me.seat in limit.holders}
         for key in sorted(held | set(self._accounts)):
@@ -153,7 +153,7 @@
         It has no effect after a second revision, which may have extended the wait for other
         reasons.
         """
-        if self._quarantined_at is None or self._configured > 1:
+        if self._quarantined_at is None or self._revision_count > 1:
             return
         self._quarantined_at = None
         for account in self._accounts.values():
@@ -194,6 +194,7 @@
         if hold.loan is None:
             account.used -= hold.amount
             excess = account.used + account.lent - account.ownership.base
+            # This release has reduced the occupied units to the base share or below.
             if -hold.amount < excess <= 0:
                 self._review()
         elif account.loans:
@@ -216,7 +217,7 @@
     def want(self, key: str, amount: int) -> None:
         """Set how many units are wanted beyond those in use; 0 ends the demand.
 
-        For a RATE limit, `amount` is the whole rate that is wanted.
+        For a RATE limit, `amount` is the total rate that is wanted, including the rate in use.
         """
         account = self._accounts.get(key) or self._add_account(key)
         if account:
@@ -315,8 +316,8 @@
             old = account.limit
         limit = account.limit = new or old._replace(capacity=0, holders=())
         ownership = account.ownership
-        holds = me in limit.holders or (old is not None and me in old.holders)
-        if not holds and ownership.complete and ownership.settled:
+        is_holder = me in limit.holders or (old is not None and me in old.holders)
+        if not is_holder and ownership.complete and ownership.settled:
             if not account.is_busy:
                 self._active.discard(key)
                 del self._accounts[key]
@@ -332,7 +333,11 @@
         self._unsettled.add(key)
 
     def _extend_wait(self, account: Account, old: Limit | None, now: timedelta) -> None:
-        """Wait for quarantined work, and for work that may outlast the new longest use."""
+        """Extend the wait for uses and loans that may exist from before this revision.
+
+        They are those of an earlier incarnation under quarantine, and those that may outlast the
+        new longest use.
+        """
         ownership = account.ownership
         if self._quarantined_at is not None:
             until = self._quarantined_at + ownership.max_carryover
--- a/packages/core/src/cardamomloft/core/steering.py
+++ b/packages/core/src/cardamomloft/core/steering.py
@@ -185,7 +185,7 @@
         req
             The request.
         directive
-            What the matching rule asks for.
+            The effect of the matching rule.
         exclude
             Endpoints that were already tried for this request.
         place
@@ -318,11 +318,11 @@
 
     def _cap_refusal(self, service: ServiceState, stream: Stream) -> Refusal:
         """Refuse until the traffic should have moved; the retry times are spread over callers."""
-        left = stream.shift.on(stream.closed)
+        remaining_fraction = stream.shift.on(stream.closed)
         self._cap_refusals += 1
         spread = 1 + self._cap_refusals * _GOLDEN_RATIO_FRACTION % 1 * _RETRY_AFTER_JITTER
-        after = max(_MIN_RETRY_AFTER, timedelta(seconds=left / service.cap)) * spread
-        detail = f"{left:.0%} of the traffic has yet to move off closed places"
+        after = max(_MIN_RETRY_AFTER, timedelta(seconds=remaining_fraction / service.cap)) * spread
+        detail = f"{remaining_fraction:.0%} of the traffic has yet to move off closed places"
         return Refusal(RefusalReason.CAP, detail, after)
 
     def _advance(self) -> None:
--- a/packages/core/src/cardamomloft/core/upstreamtable.py
+++ b/packages/core/src/cardamomloft/core/upstreamtable.py
@@ -23,7 +23,7 @@
 """Maximum number of endpoints whose latest start is kept; the least recently seen are evicted."""
 
 MAX_LEAVING = 10_000
-"""Maximum number of incarnations remembered as leaving, and of those remembered as gone."""
+"""Maximum number of incarnations kept as leaving, and of those kept as gone."""
 
 
 class LoadReport(t.NamedTuple):
@@ -58,7 +58,7 @@
     full_until
         Monotonic instant until which it counts as full after a refusal.
     paused_until
-        Monotonic instant until which the endpoint asked this entry, with a refusal, to pause.
+        Monotonic instant until which this entry sends nothing, as a refusal of the endpoint asks.
     leaving
         Whether it gets no new requests because it is leaving.
     missing
@@ -287,7 +287,7 @@
         return True
 
     def leave(self, incarnation: UpstreamIncarnation) -> bool:
-        """Exclude an incarnation, registered or not, because it leaves; return whether new."""
+        """Exclude a leaving incarnation, registered or not; return whether this is new."""
         if incarnation in self._leaving:
             return False
         self._leaving.add(incarnation)
@@ -348,7 +348,10 @@
 
 
 class _Candidate(t.NamedTuple):
-    """The properties by which keys are assigned; two `Upstream` objects never compare equal."""
+    """An endpoint and its properties that determine the assignment of keys.
+
+    Candidates are compared to detect changes; an `Upstream` is equal only to itself.
+    """
 
     upstream: Upstream
     zone: str
--- a/packages/core/tests/test_admission.py
+++ b/packages/core/tests/test_admission.py
@@ -21,12 +21,12 @@
 
 
 class Bench:
-    """One queue whose requests take 20 ms each; `known` if this was observed."""
+    """One queue whose requests take 20 ms each; `observed` if this was observed."""
 
-    def __init__(self, max_queued=64, known=True):
+    def __init__(self, max_queued=64, observed=True):
         self.clock = ManualClock()
         self.admission = Admission(self.clock, max_queued=max_queued)
-        for _ in range(100 if known else 0):
+        for _ in range(100 if observed else 0):
             self.admission.observe("s", ms(20))
 
     def offer(self, number, priority=NORMAL, within=1000.0, place="p", **kwargs):
@@ -65,7 +65,7 @@
 
 
 def test_a_request_is_not_refused_without_recent_observations():
-    assert Bench(known=False).offer(1, within=1, slots=1).is_ok()
+    assert Bench(observed=False).offer(1, within=1, slots=1).is_ok()
     bench = Bench()
     for _ in range(100):
         bench.admission.observe("s", ms(5000))
@@ -180,7 +180,7 @@
 
 def test_without_observations_a_request_is_evicted_shortly_before_its_deadline():
     """Once sent, its outcome would be unknown; a refusal still proves that it was not run."""
-    bench = Bench(known=False)
+    bench = Bench(observed=False)
     assert bench.offer(1, within=500.0).is_ok()
     bench.clock.advance(ms(460))
     (evicted,) = bench.admission.expire()
--- a/packages/core/tests/test_budgets.py
+++ b/packages/core/tests/test_budgets.py
@@ -53,36 +53,36 @@
     return EntryRecord(name, f"{name}:1", "a", "east")
 
 
-def _book(*names: str) -> EntryTable:
-    book = EntryTable(_record("own"), WINDOW)
+def _table(*names: str) -> EntryTable:
+    table = EntryTable(_record("own"), WINDOW)
     for name in names:
-        book.add(_record(name), timedelta(0))
-    return book
+        table.add(_record(name), timedelta(0))
+    return table
 
 
 def test_a_removed_entry_counts_as_long_as_its_share_may_be_in_use():
-    book = _book("own", "b", "c")
-    assert book.max_recent_count(timedelta(0)) == 3
-    book.withdraw("c", 20_000 * MS)
-    assert book.max_recent_count(20_000 * MS + WINDOW) == 3
-    assert book.max_recent_count(20_001 * MS + WINDOW) == 2
+    table = _table("own", "b", "c")
+    assert table.max_recent_count(timedelta(0)) == 3
+    table.withdraw("c", 20_000 * MS)
+    assert table.max_recent_count(20_000 * MS + WINDOW) == 3
+    assert table.max_recent_count(20_001 * MS + WINDOW) == 2
 
 
 def test_the_own_entry_counts_before_it_is_recorded():
-    assert _book().max_recent_count(timedelta(0)) == 1
-    assert _book("b").max_recent_count(timedelta(0)) == 2
+    assert _table().max_recent_count(timedelta(0)) == 1
+    assert _table("b").max_recent_count(timedelta(0)) == 2
 
 
 def test_the_own_entry_is_listed_only_on_request():
-    book = _book("own", "b")
-    assert [record.name for record in book.records(with_own=False)] == ["b"]
-    assert [record.name for record in book.records(with_own=True)] == ["b", "own"]
+    table = _table("own", "b")
+    assert [record.name for record in table.records(with_own=False)] == ["b"]
+    assert [record.name for record in table.records(with_own=True)] == ["b", "own"]
 
 
 def test_records_lost_with_the_store_are_kept_until_the_return_time():
-    book = _book("b", "c")
-    book.start_grace_period(timedelta(0))
-    assert book.withdraw_unlisted(set(), timedelta(0)) == []
-    book.add(_record("b"), 1000 * MS)
-    assert book.tick(RENEWAL_GRACE) == ["c"]
-    assert [record.name for record in book.records(with_own=False)] == ["b"]
+    table = _table("b", "c")
+    table.start_grace_period(timedelta(0))
+    assert table.withdraw_unlisted(set(), timedelta(0)) == []
+    table.add(_record("b"), 1000 * MS)
+    assert table.tick(RENEWAL_GRACE) == ["c"]
+    assert [record.name for record in table.records(with_own=False)] == ["b"]
--- a/packages/core/tests/test_claims.py
+++ b/packages/core/tests/test_claims.py
@@ -70,9 +70,9 @@
     attempt = claims.start(own_id(clock), "f").ok
     attempt.failed(ambiguous=True)
     assert attempt.failed(ambiguous=False).reason is RefusalReason.CLAIM_UNAVAILABLE
-    repeat = claims.start(own_id(clock), "f").ok
-    repeat.created(made=False)
-    assert repeat.read(attempt.step.value) == Claimed(claims.retention)
+    retry = claims.start(own_id(clock), "f").ok
+    retry.created(made=False)
+    assert retry.read(attempt.step.value) == Claimed(claims.retention)
     assert claims.start(own_id(clock), "f").error.reason is RefusalReason.CLAIM_BUDGET
     clock.advance(timedelta(seconds=0.5))
     assert claims.start(own_id(clock), "f").is_ok()
@@ -90,9 +90,9 @@
     record = msgspec.json.decode(attempt.step.value)
     assert record["lease_end_ms"] == required_lease // TICK
     record["lease_end_ms"] -= 1
-    repeat = claims.start(own, "f").ok
-    repeat.created(False)
-    assert repeat.read(msgspec.json.encode(record)) == Claimed(fast.monotonic())
+    retry = claims.start(own, "f").ok
+    retry.created(False)
+    assert retry.read(msgspec.json.encode(record)) == Claimed(fast.monotonic())
     # The entry with the slowest clock reads the claim until the lease ends, and no longer.
     slow_entry = claims_of(slow, ME._replace(seat="mobay-1"))
     slow.advance(required_lease - TICK)
--- a/packages/core/tests/test_membership.py
+++ b/packages/core/tests/test_membership.py
@@ -126,7 +126,7 @@
 ):
     clock, rng, entries = ManualClock(START), random.Random(3), roster(per_zone)
     zone = [seat for seat in entries if seat.startswith("r0a")]
-    heard = Counter()
+    target_counts = Counter()
     for seat in zone:
         members = Membership(Incarnation(seat, "1"), clock)
         members.configure(document(entries), list(entries)[:40])
@@ -134,10 +134,10 @@
         for _ in range(40):
             targets = members.gossip_targets(rng, 6)
             assert len(set(targets) - {seat}) == count
-            heard.update(targets)
+            target_counts.update(targets)
             reached.update(targets)
         assert len(reached) >= 11
-    assert all(heard[seat] >= 40 * near for seat in zone)
+    assert all(target_counts[seat] >= 40 * near for seat in zone)
 
 
 def test_only_seats_known_as_leaving_are_skipped_as_standbys():
--- a/packages/core/tests/test_naming.py
+++ b/packages/core/tests/test_naming.py
@@ -62,27 +62,27 @@
 
 @given(MOVES, st.sampled_from(["", "a", "b", "c"]), st.booleans())
 def test_cached_answers_match_the_registered_entries(moves, zone, with_own):
-    book = EntryTable(OWN, ZERO)
-    names = EntryLookup(book)
+    table = EntryTable(OWN, ZERO)
+    names = EntryLookup(table)
     for kind, record in moves:
         if kind == "withdraw":
-            book.withdraw(record.name, ZERO)
+            table.withdraw(record.name, ZERO)
         else:
-            book.add(record._replace(address="10.9.9.9:80") if kind == "move" else record, ZERO)
+            table.add(record._replace(address="10.9.9.9:80") if kind == "move" else record, ZERO)
         cached = names.find(zone, "", frozenset(), REGIONS, with_own=with_own)
-        registered = book.records(with_own=with_own)
+        registered = table.records(with_own=with_own)
         assert cached == entries_for(registered, zone, "", frozenset(), REGIONS)
 
 
 def test_answer_is_computed_once_until_the_entries_change(monkeypatch):
     computed = []
     monkeypatch.setattr(naming, "entries_for", lambda *_: computed.append(1) or [])
-    book = EntryTable(OWN, ZERO)
-    names, zones = EntryLookup(book), dict(REGIONS)
+    table = EntryTable(OWN, ZERO)
+    names, zones = EntryLookup(table), dict(REGIONS)
     for _ in range(3):
         names.find("a", "", frozenset(), zones, with_own=True)
     assert len(computed) == 1
-    book.add(OTHERS[0], ZERO)
+    table.add(OTHERS[0], ZERO)
     names.find("a", "", frozenset(), zones, with_own=True)
     assert len(computed) == 2
     names.find("a", "", frozenset(), dict(REGIONS), with_own=True)
--- a/packages/core/tests/test_ranks.py
+++ b/packages/core/tests/test_ranks.py
@@ -53,11 +53,11 @@
     hashed = []
     unit_of = ranks.unit_of
     monkeypatch.setattr(ranks, "unit_of", lambda *pair: hashed.append(1) or unit_of(*pair))
-    book = UpstreamTable({"a": "east"})
+    table = UpstreamTable({"a": "east"})
     for number in range(100):
         row = Registration(f"i-{number}", "menus", "10.0.0.1:1", "a", 4, False, timedelta(9))
-        book.register(row, NOW)
-    selector = Selector(book, "e-0", "a", ColdLimit(1.0, 0.0), Preferences())
+        table.register(row, NOW)
+    selector = Selector(table, "e-0", "a", ColdLimit(1.0, 0.0), Preferences())
     selector.policies = {"menus": ServicePolicy("menus", 1000, timedelta(seconds=3), 0.0)}
     selector.entries, selector.others = len(NAMES), NAMES[1:]
     until = NOW + timedelta(seconds=1)
--- a/packages/core/tests/test_revision_protocol.py
+++ b/packages/core/tests/test_revision_protocol.py
@@ -435,7 +435,7 @@
     third = entry_of(3, second, "c2")
     assert verify_chain([]).ok == 0
     assert verify_chain([first, second, third]).ok == 3
-    assert verify_chain([second, third], whole=False).ok == 3
+    assert verify_chain([second, third], from_first=False).ok == 3
     altered = first.replace(b'"who":"w"', b'"who":"x"')
     for chain in ([altered, second], [first, third], [second, third], [first, first], [b"{}"]):
         assert verify_chain(chain).is_error()
--- a/packages/core/tests/test_selection.py
+++ b/packages/core/tests/test_selection.py
@@ -21,12 +21,12 @@
 
 
 def _selector(near: int = 4, far: int = 4, cold_left: timedelta = ZERO, name="e-0") -> Selector:
-    book = UpstreamTable({"a": "east", "b": "west"})
+    table = UpstreamTable({"a": "east", "b": "west"})
     for number in range(near + far):
         zone = "a" if number < near else "b"
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, cold_left)
-        book.register(row, NOW)
-    selector = Selector(book, name, "a", ColdLimit(1.5, 5), Preferences())
+        table.register(row, NOW)
+    selector = Selector(table, name, "a", ColdLimit(1.5, 5), Preferences())
     selector.policies = {"menus": POLICY}
     return selector
 
@@ -77,12 +77,12 @@
 
 
 def test_large_bodies_stay_within_their_zone():
-    book = UpstreamTable({"a": "east", "b": "east"})
+    table = UpstreamTable({"a": "east", "b": "east"})
     for number in range(8):
         zone = "a" if number < 4 else "b"
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, ZERO)
-        book.register(row, NOW)
-    selector = Selector(book, "e-0", "a", ColdLimit(1.5, 5), Preferences())
+        table.register(row, NOW)
+    selector = Selector(table, "e-0", "a", ColdLimit(1.5, 5), Preferences())
     zones = Counter(_choose(selector, str(key)).registration.zone for key in range(200))
     assert zones["b"] > 60
     selector.body_sizes.record("menus", 60_000)
@@ -354,9 +354,9 @@
 
 def test_a_partial_ranking_equals_the_start_of_the_full_ranking():
     candidates = [Candidate(name, text_hash(name), 1.0) for name in map(str, range(30))]
-    whole = first_ranked("17", candidates, 30)
-    assert sorted(whole) == sorted(map(str, range(30)))
-    assert first_ranked("17", candidates, 8) == whole[:8]
+    full_ranking = first_ranked("17", candidates, 30)
+    assert sorted(full_ranking) == sorted(map(str, range(30)))
+    assert first_ranked("17", candidates, 8) == full_ranking[:8]
 
 
 def test_a_warm_endpoint_is_found_when_all_ranked_ones_are_cold():
@@ -442,12 +442,12 @@
 
 @pytest.mark.parametrize(("in_zone", "stays"), [(1, False), (2, True)])
 def test_large_bodies_stay_within_their_zone_if_zones_have_enough_endpoints(in_zone, stays):
-    book = UpstreamTable({"a": "east", "c": "east", "b": "west"})
+    table = UpstreamTable({"a": "east", "c": "east", "b": "west"})
     zones = ["a"] * in_zone + ["c"] * in_zone + ["b"] * in_zone
     for number, zone in enumerate(zones):
         row = Registration(f"i-{number}", "menus", f"10.0.0.{number}:80", zone, 4, False, ZERO)
-        book.register(row, NOW)
-    selector = Selector(book, "e-0", "a", ColdLimit(1.5, 5), Preferences())
+        table.register(row, NOW)
+    selector = Selector(table, "e-0", "a", ColdLimit(1.5, 5), Preferences())
     selector.body_sizes.record(RULE.name, 60_000)
     chosen = [_choose(selector, str(key)) for key in range(200)]
     assert ({up.registration.zone for up in chosen} == {"a"}) == stays
--- a/packages/gateway/src/cardamomloft/gateway/calls.py
+++ b/packages/gateway/src/cardamomloft/gateway/calls.py
@@ -30,7 +30,7 @@
 
 
 class Call(t.NamedTuple):
-    """One parsed request, as the routing decisions need it.
+    """The attributes of one parsed request that routing decisions use.
 
     Instants are monotonic. `deadline` is the instant by which the caller must have its answer: the
     earlier of its own deadline and the rule's timeout. `caller_deadline` is the instant at which
@@ -71,7 +71,7 @@
         self.home_regions = _home_regions_by_host(plan)
 
     def is_idempotent(self, head: RequestHead) -> bool:
-        """Tell whether the rule of the request allows running it more than once."""
+        """Return whether the rule of the request allows running it more than once."""
         rule = self._table.match(dict(head.headers).get("host", ""), head.path)
         return rule is not None and rule.idempotent
 
@@ -81,7 +81,7 @@
         rule = self._table.match(headers.get("host", ""), head.path)
         if rule is None:
             return Refusal(
-                RefusalReason.NO_SERVICE, f"no rule for {headers.get('host')}{head.path}"
+                RefusalReason.NO_SERVICE, f"no rule matches {headers.get('host')}{head.path}"
             )
         request_id = headers.get(self._headers.request_id, "")
         if not _REQUEST_ID.match(request_id):
@@ -89,10 +89,10 @@
             return Refusal(RefusalReason.BAD_REQUEST, detail)
         stated_deadline = headers.get(self._headers.deadline_ms)
         if stated_deadline is not None and not _WHOLE_NUMBER.match(stated_deadline):
-            detail = f"{self._headers.deadline_ms} is not a whole number"
+            detail = f"{self._headers.deadline_ms} must be a whole number of ms"
             return Refusal(RefusalReason.BAD_REQUEST, detail)
         if head.length is not None and head.length > self.plan.limits.body_bytes:
-            detail = f"the body is above {self.plan.limits.body_bytes} bytes"
+            detail = f"the body exceeds the limit of {self.plan.limits.body_bytes} bytes"
             return Refusal(RefusalReason.TOO_LARGE, detail)
         caller_wait = rule.timeout
         if stated_deadline is not None:
--- a/packages/gateway/src/cardamomloft/gateway/changefeed.py
+++ b/packages/gateway/src/cardamomloft/gateway/changefeed.py
@@ -23,8 +23,7 @@
 from cardamomloft.runtime.metrics import Metrics
 
 MAX_PEER_LINKS = 256
-"""Maximum number of open links to other gateways. With 1,500 gateways in 8 regions a relay has
-94 subscribers, or 187 while the region's other relay is down."""
+"""Maximum number of open links to other gateways."""
 
 
 class ChangeFeed:
@@ -42,7 +41,7 @@
     entries
         The recorded gateways.
     is_announced
-        Returns whether the other gateways should know of this one.
+        Returns whether this gateway is announced to the others.
     drain_time
         Time within which a change must be in force.
     on_notice
--- a/packages/gateway/src/cardamomloft/gateway/documents.py
+++ b/packages/gateway/src/cardamomloft/gateway/documents.py
@@ -1,4 +1,4 @@
-"""The gateway's configuration document: JSON that operators keep in version control.
+"""The gateway's configuration document, in JSON, with rules, services and limits.
 
 Rules are ordered, and the first match applies. A check reports every mistake with its path.
 """
@@ -52,11 +52,11 @@
 class RouteThen(TypedDict):
     """What a rule does with a request.
 
-    `services` share the requests by weight. `idempotent` requests may run more than once, all
-    others at most once for each id. `timeout` limits how long a caller waits, `target` is the
-    latency objective, and `attempts` the maximum number of endpoints that receive one request. A
-    lower `priority` is served first. With `keyed`, requests of one key go to the same endpoint.
-    `homes` are the regions that may serve the request; if it is missing or empty, all may.
+    The requests are divided among `services` by weight. `idempotent` requests may run more than
+    once, all others at most once for each id. `timeout` limits how long a caller waits, `target` is
+    the latency objective, and `attempts` the maximum number of endpoints that receive one request.
+    A lower `priority` is served first. With `keyed`, requests of one key go to the same endpoint.
+    Only the regions in `homes` may serve the request; if it is missing or empty, all may.
     """
 
     services: t.Annotated[list[ServiceWeight], Field(min_length=1)]
@@ -71,7 +71,7 @@
 
 @_strict
 class RouteRow(TypedDict):
-    """One when-then rule."""
+    """A rule: `then` applies to the requests that meet the conditions of `when`."""
 
     name: Name
     when: RouteWhen
@@ -80,7 +80,10 @@
 
 @_strict
 class ServiceRow(TypedDict):
-    """Capacity of a service's endpoints; `cold_per_s` requests a second during `cold_time`."""
+    """Capacity of each endpoint of a service.
+
+    During `cold_time` after its start an endpoint gets about `cold_per_s` requests per second.
+    """
 
     connections: Count
     cold_time: NotRequired[DurationText]
@@ -125,7 +128,7 @@
 
 
 def load_plan(text: str | bytes, number: int) -> Result[RoutePlan, tuple[Mistake, ...]]:
-    """Parse and check a document; return it as the configuration with this number.
+    """Parse and check a document; return it as the configuration with the revision `number`.
 
     Errors
     ------
@@ -185,10 +188,11 @@
         if covering is not None:
             yield Mistake(path, f"can never match: the rule {covering} matches all of it before")
         seen[when] = row["name"]
-        for share in row["then"]["services"]:
-            if share["service"] not in document["services"]:
+        for weighted in row["then"]["services"]:
+            if weighted["service"] not in document["services"]:
                 yield Mistake(
-                    f"{path}.then.services", f"the configuration has no service {share['service']}"
+                    f"{path}.then.services",
+                    f"the configuration has no service {weighted['service']}",
                 )
 
 
--- a/packages/gateway/src/cardamomloft/gateway/following.py
+++ b/packages/gateway/src/cardamomloft/gateway/following.py
@@ -22,9 +22,8 @@
 from twisted.internet.defer import CancelledError, Deferred, ensureDeferred
 
 _RETRY_INTERVAL = timedelta(milliseconds=500)
-"""Minimum time from the start of a failed request to the next one. It is short because changes
-made during an outage must be applied soon after it, and not shorter because requests are paid
-for."""
+"""Minimum time from the start of a failed request to the next one. It bounds both the delay of
+changes after an outage and the cost of requests."""
 
 _MIN_PAUSE = timedelta(milliseconds=50)
 """Pause after a failed request that took longer than the retry interval."""
@@ -57,7 +56,7 @@
     control
         The store.
     rng
-        Adds jitter to the interval, so that entries do not send requests in step.
+        Adds jitter to the interval, so that entries do not send requests at the same time.
     timing
         When to send requests.
     on_listing
@@ -190,7 +189,7 @@
     def _next_pause(self, answer: Listing | Changes) -> timedelta:
         """Return the pause after an answer."""
         if self._index is None:
-            # The store's history is lost: a new listing is due soon.
+            # The store's history is lost, so the next request is a listing.
             return self._retry_pause()
         pause = answer.pause if isinstance(answer, Changes) else None
         interval = (self.timing.interval if pause is None else pause) * self._rng.uniform(0.9, 1.1)
--- a/packages/gateway/src/cardamomloft/gateway/forwarding.py
+++ b/packages/gateway/src/cardamomloft/gateway/forwarding.py
@@ -15,7 +15,7 @@
 from cardamomloft.core.upstreamtable import UpstreamTable
 from cardamomloft.gateway.calls import Call
 from cardamomloft.gateway.noticehandler import NoticeHandler
-from cardamomloft.gateway.records import RequestLog, SendNote
+from cardamomloft.gateway.records import RequestLog, SendRecord
 from cardamomloft.gateway.requestrun import CallerState, RequestRun
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft.upstreams.client import UpstreamClient
@@ -110,16 +110,16 @@
         self.selector.body_sizes.record(call.rule.name, size)
         return await RequestRun(self, call, head, payload, caller).run()
 
-    def record_caller_left(self, call: Call, sends: Sequence[SendNote]) -> Answer:
+    def record_caller_left(self, call: Call, sends: Sequence[SendRecord]) -> Answer:
         """Log and count that the caller has disconnected; return an answer that nobody receives."""
         self.metrics.count("caller-left")
         self.records.write(call, "caller-left", self.clock.monotonic(), sends=sends)
-        return failed("the caller has left")
+        return failed("the caller has disconnected")
 
     async def _payload(
         self, body: RequestBody, deadline: timedelta
     ) -> bytes | RequestBody | Refusal:
-        """Buffer the body so that it can be sent again; leave a very large one to stream."""
+        """Buffer the body so that it can be sent again; a very large one is streamed instead."""
         if body.length == 0:
             return b""
         if isinstance(body.length, int) and body.length > MAX_BUFFERED_BODY_BYTES:
@@ -131,7 +131,8 @@
             outcome = await collected
         except TimeoutError:
             return Refusal(
-                RefusalReason.DEADLINE, f"{body.received} bytes of the body came in time"
+                RefusalReason.DEADLINE,
+                f"only {body.received} bytes of the body were received by the deadline",
             )
         match outcome:
             case Result(tag="ok", ok=content):
--- a/packages/gateway/src/cardamomloft/gateway/gossip.py
+++ b/packages/gateway/src/cardamomloft/gateway/gossip.py
@@ -25,12 +25,12 @@
 from twisted.internet.interfaces import IDelayedCall
 
 FANOUT = 4
-"""Number of gateways to which each pushes its new notices. Pushing reaches all but 2 % of them,
+"""Number of gateways to which each pushes its new notices. Pushing reaches nearly all of them
 in a number of rounds that grows with the logarithm of their number (Demers and others, 1987);
-comparing digests reaches the rest."""
+comparing digests reaches the remaining ones."""
 
 BATCH_WINDOW = timedelta(milliseconds=50)
-"""Time for which new notices are collected into one message: a crash concerns several requests."""
+"""Time for which new notices are collected into one message; a crash causes several of them."""
 
 COMPARE_INTERVAL = timedelta(milliseconds=500)
 """Interval at which a gateway that holds notices compares its digest with another gateway's."""
@@ -40,8 +40,8 @@
 can answer only once its record has reached them."""
 
 MAX_NOTICES_PER_MESSAGE = 500
-"""Maximum number of notices in one message, some 60 KB; the next comparison of digests finds the
-rest."""
+"""Maximum number of notices in one message, about 60 KB; the others are sent after the next
+comparison of digests."""
 
 
 class Send(t.Protocol):
@@ -176,7 +176,7 @@
                 log(
                     "notices-unreadable",
                     entry=sender.seat,
-                    detail="the message holds no configuration",
+                    detail="the message contains no valid configuration",
                 )
 
     def _digest(self, *, answers: bool) -> NoticeDigest:
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -153,7 +153,7 @@
             None, self.handle, self._on_fault, may_overlap=self._may_overlap, meter=self.metrics
         )
         self.presence = Presence(
-            self._control, own, bounds.record_life, lambda: self.follower.poll_now()
+            self._control, own, bounds.record_ttl, lambda: self.follower.poll_now()
         )
         self.view = StoreView(
             clock,
@@ -248,7 +248,7 @@
         self.lifecycle.stop()
 
     def ready(self) -> bool:
-        """Tell whether look-ups may name this entry."""
+        """Return whether look-ups may name this entry."""
         return self.lifecycle.state() == "ready"
 
     def on_ready(self) -> None:
@@ -257,7 +257,7 @@
         self._timers.every(self.presence.interval, self.presence.refresh)
 
     def on_leaving(self) -> None:
-        """Remove this entry from look-ups, and go on serving callers that know its address."""
+        """Remove this entry from look-ups, and continue to serve callers that know its address."""
         log("leaving", in_flight=self.app.in_flight)
         self.presence.withdraw()
         self.app.closing()
@@ -315,7 +315,7 @@
             return self.read(head)
         starting = self.lifecycle.state() == "starting"
         reason = RefusalReason.NOT_READY if starting else RefusalReason.STOPPING
-        return Refusal(reason, "ask another entry")
+        return Refusal(reason, "this entry is not serving requests; send it to another entry")
 
     def read(self, head: RequestHead) -> Call | Refusal:
         """Parse a request according to the configuration in force."""
@@ -338,7 +338,7 @@
         named = self._names.find(zone, region, homes, zones, with_own=ready)
         if not named:
             return Refusal(RefusalReason.NOT_READY, "no entry is ready")
-        ttl = min(MAX_LOOKUP_TTL, self._bounds.lookup_life)
+        ttl = min(MAX_LOOKUP_TTL, self._bounds.lookup_ttl)
         return LookupResult([record.address for record in named], ttl)
 
     # Changes from the store.
--- a/packages/gateway/src/cardamomloft/gateway/noticehandler.py
+++ b/packages/gateway/src/cardamomloft/gateway/noticehandler.py
@@ -40,7 +40,7 @@
     def refused_until(self, fingerprint: Callable[[], str]) -> timedelta | None:
         """Return the instant until which a request is quarantined, None if it is not.
 
-        The fingerprint is computed only if any request is under suspicion.
+        The fingerprint is computed only if any request is suspected of crashing upstreams.
         """
         if not self._quarantine:
             return None
@@ -58,7 +58,7 @@
             self.publish(self._quarantine.clearing_notices(fingerprint()))
 
     def record_leaving(self, upstream: Upstream) -> None:
-        """Publish that an upstream is about to stop, unless that is known."""
+        """Publish that an upstream is about to stop, unless it already counts as leaving."""
         if not upstream.leaving:
             self.publish([UpstreamLeaving(*upstream.incarnation)])
 
@@ -76,7 +76,7 @@
         return self._quarantine.quarantined(self._clock.monotonic())
 
     def tick(self) -> None:
-        """Discard expired entries; call it periodically."""
+        """Discard expired crashes; call it periodically."""
         self._quarantine.expire(self._clock.monotonic())
 
     def _apply_own(self, notices: Iterable[Notice]) -> None:
--- a/packages/gateway/src/cardamomloft/gateway/records.py
+++ b/packages/gateway/src/cardamomloft/gateway/records.py
@@ -1,7 +1,7 @@
 """Log lines about requests, limited in rate.
 
-Each request that was refused, failed, retried or slow is logged, and a sample of the others. Lines
-above the limit are dropped and counted.
+Every request that was refused, failed, retried or slow is logged, and a sample of the others.
+Lines in excess of the limit are dropped and counted.
 """
 
 import typing as t
@@ -26,12 +26,13 @@
 _SECOND = timedelta(seconds=1)
 
 
-class SendNote(t.NamedTuple):
+class SendRecord(t.NamedTuple):
     """One send of a request: the endpoint, the data that the choice was based on, and the outcome.
 
     `reason` is why the endpoint was chosen, and `cache_state` whether it had the key's data cached.
-    `load` is its expected load, of `slots`, based on a report of the age `report_age` (None: no
-    report). `status` is what the endpoint reported about itself with its answer.
+    `load` is the expected number of requests at the endpoint, which has `slots` slots, from a
+    report of the age `report_age`, None without a report. `status` is what the endpoint reported
+    about itself with its answer.
     """
 
     endpoint: str
@@ -40,7 +41,7 @@
     load: float
     slots: int
     report_age: timedelta | None
-    took: timedelta
+    duration: timedelta
     outcome: t.NamedTuple
     status: EndpointStatus
 
@@ -52,7 +53,7 @@
             "touch": str(self.cache_state),
             "load": f"{self.load:.1f}/{self.slots}",
             "report_age_ms": None if self.report_age is None else _ms(self.report_age),
-            "ms": _ms(self.took),
+            "ms": _ms(self.duration),
             "outcome": type(self.outcome).__name__.lower(),
             "detail": getattr(self.outcome, "detail", ""),
             **({"cut": True} if getattr(self.outcome, "cut", False) else {}),
@@ -66,18 +67,18 @@
     Parameters
     ----------
     version
-        Returns the number of the configuration in force.
+        Returns the revision of the configuration in force.
     """
 
     def __init__(self, version: t.Callable[[], int]) -> None:
         self._version = version
-        self._window = timedelta(0)
+        self._window_start = timedelta(0)
         self._lines = 0
         self._suppressed = 0
         self._served_count = 0
 
     def served(
-        self, call: Call, status: int, sends: Sequence[SendNote], now: timedelta, **fields: t.Any
+        self, call: Call, status: int, sends: Sequence[SendRecord], now: timedelta, **fields: t.Any
     ) -> None:
         """Log an answered request if it was slow, retried, a 5xx, or is in the sample."""
         self._served_count += 1
@@ -93,7 +94,7 @@
         if isinstance(upstream, Upstream):
             fields["endpoint"] = upstream.id
         if "sends" in fields:
-            fields["sends"] = [note.fields() for note in fields["sends"]]
+            fields["sends"] = [send_record.fields() for send_record in fields["sends"]]
         log(
             "request",
             id=call.id,
@@ -124,10 +125,10 @@
             )
 
     def _within_line_limit(self, now: timedelta) -> bool:
-        if now - self._window >= _SECOND:
+        if now - self._window_start >= _SECOND:
             if self._suppressed:
                 log("requests-not-logged", count=self._suppressed)
-            self._window, self._lines, self._suppressed = now, 0, 0
+            self._window_start, self._lines, self._suppressed = now, 0, 0
         self._lines += 1
         if self._lines <= MAX_LINES_PER_S:
             return True
--- a/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
@@ -21,9 +21,9 @@
 class RelayedControl:
     """A :class:`~cardamomloft.gateway.control.Control` that requests changes from relays.
 
-    A relay that does not answer, or knows no more than this gateway, costs time but never hides a
-    change: the same request then goes to the store itself. All calls other than `changes` go to the
-    store.
+    If a relay does not answer, or its data is older than this gateway's, the same request goes to
+    the store, so that a failed relay delays changes but never hides them. All calls other than
+    `changes` go to the store.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
     port
         Sends requests to relays, and answers held requests when the table has changed.
     records
-        Returns the recorded gateways, including this one if the others should know of it.
+        Returns the recorded gateways, including this one if it is announced to the others.
     metrics
         Counts which source has answered.
     """
@@ -75,8 +75,8 @@
     ) -> "Deferred[Result[Changes, StoreFailure]]":
         """Return what has changed after the position `after`.
 
-        A request without a wait follows a failure: the store is then asked for an immediate answer,
-        or a relay whether the store has recovered.
+        A request without a wait follows a failure. It either goes to the store for an immediate
+        answer, or to a relay, to find out whether the store has recovered.
         """
         return ensureDeferred(self._changes(after, wait))
 
@@ -111,13 +111,13 @@
         return await self._from_relay(request.relay, request, after)
 
     async def _changes_while_failing(self, after: Position) -> Result[Changes, StoreFailure]:
-        """Let a relay check whether the store has recovered; ask the store if it may have."""
+        """Learn from a relay if the store may have recovered; if so, request from the store."""
         request = self._sources.next_while_failing(self._records(), self._clock.monotonic())
         if request.relay is None:
             return await self._from_store_without_wait(after)
         wait = request.wait or timedelta(0)
         match await self._port.request_changes(request.relay, after, wait, self._sources.patience):
-            case Result(tag="ok", ok=relayed) if self._is_store_still_away(relayed, after):
+            case Result(tag="ok", ok=relayed) if self._is_store_still_unavailable(relayed, after):
                 delegated = StoreFailure(
                     False, f"relay {request.relay.name} checks whether the store has recovered"
                 )
@@ -129,7 +129,7 @@
         return await self._from_store_without_wait(after)
 
     async def _from_store_without_wait(self, after: Position) -> Result[Changes, StoreFailure]:
-        """Ask the store, which has failed before; if it fails again, take what a relay knows."""
+        """Request from the store after a failure; if it fails again, take a relay's changes."""
         outcome = await self._from_store(after, timedelta(0), None)
         if outcome.is_ok() or self._stopped:
             return outcome
@@ -169,17 +169,17 @@
         self._record_changes(relayed.facts, index)
         return Changes(relayed.facts, index, pause=pause)
 
-    def _is_store_still_away(self, relayed: RelayedChanges, after: Position) -> bool:
+    def _is_store_still_unavailable(self, relayed: RelayedChanges, after: Position) -> bool:
         return not self._sources.is_back(relayed.complete_at) and self._is_current(relayed, after)
 
     def _is_current(self, relayed: RelayedChanges, after: Position) -> bool:
-        """Tell whether a relay's answer is no older than what is known here."""
+        """Return whether a relay's answer is no older than the data of this gateway."""
         if relayed.whole:
             return relayed.index >= after
         return relayed.index.era == after.era and not self._revision_decreased(relayed, after)
 
     def _revision_decreased(self, relayed: RelayedChanges, after: Position) -> bool:
-        """Tell whether a relay saw a lower revision later, so the store has reset its revisions."""
+        """Return whether a relay saw a lower revision later: the store has reset its revisions."""
         own = self._sources.known_at
         return relayed.index < after and own is not None and relayed.complete_at > own
 
--- a/packages/gateway/src/cardamomloft/gateway/relaying.py
+++ b/packages/gateway/src/cardamomloft/gateway/relaying.py
@@ -1,7 +1,7 @@
 """Requests for changes between gateways: sending them to relays, and answering them.
 
 Every gateway answers from its own data, whether it is a relay or not, and states the age of that
-data; the requester decides whether that is recent enough.
+data, so that the requester can decide whether it is recent enough.
 """
 
 import itertools
@@ -24,14 +24,13 @@
 from twisted.internet.interfaces import IDelayedCall
 
 MAX_HELD_REQUESTS = 1_000
-"""Maximum number of requests that wait for a change; more are answered at once. With 1,500
-gateways in 8 regions a region has 190, half of them at each of two relays."""
+"""Maximum number of requests that wait for a change; further ones are answered at once."""
 
 MAX_HOLD_MS = 30_000
-"""Maximum time for which a request is held, whatever wait it states, in milliseconds."""
+"""Maximum time for which a request is held, in milliseconds, even if it states a longer wait."""
 
 MAX_AGE_MS = 3_600_000
-"""Upper bound of the age that an answer may state, in milliseconds; it exceeds any drain time."""
+"""Upper bound of the age that an answer may state, in milliseconds; larger ages are reduced."""
 
 _MS = timedelta(milliseconds=1)
 
@@ -51,8 +50,9 @@
 class RelayedChanges(t.NamedTuple):
     """Changes received from a relay.
 
-    `facts` are all changes up to the position `index`, complete until the instant `complete_at` of
-    this process's clock. If `whole`, they are the complete content of the store at that instant.
+    `facts` are all changes up to the position `index`, and include every change made before the
+    instant `complete_at` of this process's clock. If `whole` is set, they are the complete content
+    of the store at that instant.
     """
 
     facts: tuple[Fact, ...]
@@ -100,7 +100,7 @@
     clock
         Source of time.
     table
-        The changes that this gateway knows.
+        The changes that this gateway has received.
     age
         Returns the age of that data, None before there is any.
     address_of
@@ -154,12 +154,15 @@
             lambda _: self._finish(number, Error(RelayFailure("cancelled", cancelled=True)))
         )
         timer = self._reactor.callLater(
-            (wait + timeout).total_seconds(), self._finish, number, Error(RelayFailure("no answer"))
+            (wait + timeout).total_seconds(),
+            self._finish,
+            number,
+            Error(RelayFailure("no answer in time")),
         )
         self._pending[number] = _PendingRequest(relay, self._clock.monotonic(), done, timer)
         request = ChangesRequest(number, after.era, after.revision, wait // _MS)
         if self.peers is None or not self.peers.send(relay.peers, request):
-            self._finish(number, Error(RelayFailure("not sent")))
+            self._finish(number, Error(RelayFailure("request dropped before it was sent")))
         return done
 
     def receive(self, sender: Incarnation, message: Message) -> None:
@@ -174,7 +177,9 @@
         """Answer all held requests, cancel the pending ones and close the links."""
         self._release(list(self._held))
         for number in list(self._pending):
-            self._finish(number, Error(RelayFailure("closed", cancelled=True)))
+            self._finish(
+                number, Error(RelayFailure("cancelled: this gateway is stopping", cancelled=True))
+            )
         if self.peers is not None:
             self.peers.close()
             self.peers = None
@@ -187,7 +192,7 @@
     def _(self, message: ChangesRequest, sender: Incarnation) -> None:
         address = self._address_of(sender.seat)
         if address is None:
-            # The requester is not recorded here yet; without an answer it asks the store.
+            # The requester is not recorded here yet; without an answer it goes to the store.
             self._metrics.count("changes_questions_of_unknown")
             return
         self._metrics.count("changes_questions")
@@ -206,9 +211,9 @@
         if pending is None or pending.relay.name != sender.seat:
             self._metrics.count("changes_answers_late")
             return
-        self._finish(message.number, self._read(message, pending))
+        self._finish(message.number, self._decode(message, pending))
 
-    def _read(self, message: ChangesResponse, pending: _PendingRequest) -> Outcome:
+    def _decode(self, message: ChangesResponse, pending: _PendingRequest) -> Outcome:
         if message.facts is None:
             return Error(RelayFailure("the relay has no data yet"))
         match decode_facts(message.facts):
@@ -218,7 +223,7 @@
                 pass
         now = self._clock.monotonic()
         elapsed = now - pending.requested_at
-        # The hold time that a relay states is limited to the time since the request was sent.
+        # A relay cannot have held the request for longer than the time since it was sent.
         transit_time = elapsed - min(elapsed, min(message.held_ms, MAX_HOLD_MS) * _MS)
         age = min(message.age_ms, MAX_AGE_MS) * _MS
         position = Position(message.era, message.index)
@@ -240,12 +245,12 @@
             [held for held in self._held if (held.request, held.requester) == (request, requester)]
         )
 
-    def _release(self, held: list[_HeldRequest]) -> None:
-        for one in held:
-            self._held.remove(one)
-            if one.timer.active():
-                one.timer.cancel()
-            self._send_answer(one)
+    def _release(self, requests: list[_HeldRequest]) -> None:
+        for held in requests:
+            self._held.remove(held)
+            if held.timer.active():
+                held.timer.cancel()
+            self._send_answer(held)
 
     def _send_answer(self, held: _HeldRequest) -> None:
         age, table, request = self._age(), self._table, held.request
@@ -261,6 +266,6 @@
             (self._clock.monotonic() - held.arrived) // _MS,
         )
         if self.peers is None or not self.peers.send(held.address, answer, held.requester):
-            # Too large, or the send queue is full; without an answer the requester asks the store.
+            # Too large, or the send queue is full; the requester will go to the store.
             self._metrics.count("changes_answers_dropped")
             log("answer-dropped", entry=held.requester.seat, facts=len(facts))
--- a/packages/gateway/src/cardamomloft/gateway/requestrun.py
+++ b/packages/gateway/src/cardamomloft/gateway/requestrun.py
@@ -27,7 +27,7 @@
     endpoint_status,
     read_outcome,
 )
-from cardamomloft.gateway.records import SendNote
+from cardamomloft.gateway.records import SendRecord
 from cardamomloft.upstreams.client import SendFailure, UpstreamAnswer, UpstreamRequest
 from expression import Result
 
@@ -38,8 +38,8 @@
 """Maximum number of endpoints tried for one request, including failed connections."""
 
 MIN_TIME_LEFT = timedelta(milliseconds=5)
-"""With less time left nothing is sent, since the deadline would pass while the connection is
-opened."""
+"""Minimum time to the deadline for sending a request; with less, the deadline would pass while the
+connection is opened."""
 
 
 class CallerState:
@@ -50,7 +50,7 @@
 
 
 class RequestRun:
-    """Handles one request, and tracks whether any endpoint can have run it."""
+    """Sends one request to endpoints, and tracks whether any of them may have run it."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._head = head
         self._payload = payload
         self._caller = caller
-        self._sends: list[SendNote] = []
+        self._sends: list[SendRecord] = []
         self._tried: list[str] = []
         self._deliveries = 0
         self._may_have_run = False
@@ -102,10 +102,10 @@
     def _choose(self) -> Choice | Refusal:
         call, now = self._call, self._now()
         if call.deadline - now < MIN_TIME_LEFT:
-            return Refusal(RefusalReason.DEADLINE, "no time is left")
+            return Refusal(RefusalReason.DEADLINE, "the deadline is too close to send the request")
         refused_until = self._forwarder.notice_handler.refused_until(self._get_fingerprint)
         if refused_until is not None:
-            detail = "upstreams crash under this request"
+            detail = "the request is quarantined because upstreams have crashed while running it"
             return Refusal(RefusalReason.QUARANTINED, detail, refused_until - now)
         return self._selector.choose(
             call.rule, call.service, call.key, self._tried, call.deadline, now
@@ -131,13 +131,13 @@
         finally:
             selector.record_end(upstream)
         self._record_outcome(upstream, outcome, now, load)
-        took = self._now() - now
-        self._record_cache_outcome(upstream, cache_state, outcome, took)
+        duration = self._now() - now
+        self._record_cache_outcome(upstream, cache_state, outcome, duration)
         slots = upstream.registration.slots
-        note = SendNote(
-            upstream.id, reason, cache_state, load, slots, report_age, took, outcome, status
+        send_record = SendRecord(
+            upstream.id, reason, cache_state, load, slots, report_age, duration, outcome, status
         )
-        self._sends.append(note)
+        self._sends.append(send_record)
         return outcome
 
     def _record_cache_access(self, upstream: Upstream, reason: Reason) -> CacheState:
@@ -151,11 +151,11 @@
         return cache_state
 
     def _record_cache_outcome(
-        self, upstream: Upstream, cache_state: CacheState, outcome: Outcome, took: timedelta
+        self, upstream: Upstream, cache_state: CacheState, outcome: Outcome, duration: timedelta
     ) -> None:
         forwarder, call = self._forwarder, self._call
         if isinstance(outcome, Served):
-            forwarder.metrics.observe(f"{call.service}.{cache_state}", took)
+            forwarder.metrics.observe(f"{call.service}.{cache_state}", duration)
         if cache_state is CacheState.NONE:
             return
         if isinstance(outcome, Served):
@@ -183,12 +183,12 @@
     def _is_late(self) -> bool:
         return self._call.deadline - self._now() < MIN_TIME_LEFT
 
-    # Evaluation of answers.
+    # Recording of outcomes.
 
     def _apply_status(
         self, upstream: Upstream, result: Result[UpstreamAnswer, SendFailure]
     ) -> EndpointStatus:
-        """Apply what an endpoint reports about itself, before the rest of its answer is read."""
+        """Apply what an endpoint reports about itself, before the body of its answer is read."""
         if result.is_error():
             return EndpointStatus()
         status = endpoint_status(result.ok, self._dialect)
@@ -224,7 +224,7 @@
                 )
                 self._selector.record_refusal(upstream, now, had_room=had_room)
             case Failed() if self._caller.disconnected:
-                # The send was cancelled here, which says nothing about the endpoint.
+                # The send was cancelled here, so the failure is not the endpoint's.
                 self._may_have_run = True
             case Failed():
                 self._connection_lost = self._connection_lost or outcome.cut
@@ -271,8 +271,10 @@
         outcome = "refused"
         if self._may_have_run:
             outcome = "late" if isinstance(last, Failed) and last.late else "failed"
-        about = self._cut_request_fields()
-        forwarder.records.write(self._call, outcome, now, detail=detail, sends=self._sends, **about)
+        cut_fields = self._cut_request_fields()
+        forwarder.records.write(
+            self._call, outcome, now, detail=detail, sends=self._sends, **cut_fields
+        )
         if not self._may_have_run:
             refusal = refusal or Refusal(RefusalReason.SHED, detail)
             return forwarder.refuse(refusal, forwarder.retry_after_for(self._call, now))
--- a/packages/gateway/src/cardamomloft/gateway/settings.py
+++ b/packages/gateway/src/cardamomloft/gateway/settings.py
@@ -35,7 +35,10 @@
 
 @_strict
 class ColdSettings(TypedDict):
-    """A cold endpoint takes its service's rate times `overage`, plus `slack`, each second."""
+    """Limit on the requests per second that all entries together send to a cold endpoint.
+
+    It is `overage` times the cold rate of its service, plus `slack`.
+    """
 
     overage: Ratio
     slack: t.Annotated[float, Field(ge=0)]
@@ -76,14 +79,14 @@
 
     stop_time: timedelta
     drain_time: timedelta
-    lookup_life: timedelta
-    record_life: timedelta
+    lookup_ttl: timedelta
+    record_ttl: timedelta
     retry_window: timedelta
 
 
 DEFAULT_RECORD_TTL = "3s"
-"""Default of `record_life`. Look-ups go on naming a failed entry for that long, and half of it
-is the time between two renewals."""
+"""Default of `record_life`. Look-ups may name a failed entry for that long. Records are renewed
+twice within it."""
 
 RESTART_SETTINGS = (
     "name",
@@ -116,7 +119,7 @@
     return Bounds(
         stop_time=parse_duration(cfg["stop_time"]),
         drain_time=parse_duration(cfg["drain_time"]),
-        lookup_life=parse_duration(cfg["lookup_life"]),
-        record_life=parse_duration(cfg.get("record_life", DEFAULT_RECORD_TTL)),
+        lookup_ttl=parse_duration(cfg["lookup_life"]),
+        record_ttl=parse_duration(cfg.get("record_life", DEFAULT_RECORD_TTL)),
         retry_window=parse_duration(cfg["retries"]["window"]),
     )
--- a/packages/gateway/src/cardamomloft/gateway/status.py
+++ b/packages/gateway/src/cardamomloft/gateway/status.py
@@ -23,7 +23,7 @@
         self._gateway = gateway
 
     def ready(self) -> bool:
-        """Tell whether look-ups may name this entry."""
+        """Return whether look-ups may name this entry."""
         return self._gateway.ready()
 
     def metrics_text(self) -> str:
--- a/packages/gateway/src/cardamomloft/gateway/storeview.py
+++ b/packages/gateway/src/cardamomloft/gateway/storeview.py
@@ -1,7 +1,7 @@
 """Applies facts from the control store to the gateway's tables.
 
-After the store was restored from an older copy, facts older than what is known here are applied
-only after a time for confirmation.
+After the store was restored from an older copy, facts older than this gateway's data are applied
+only after the confirmation timeout.
 """
 
 import typing as t
@@ -52,7 +52,7 @@
     clock
         Source of time.
     upstream_table, entries
-        The known upstream endpoints and entries.
+        The registered upstream endpoints and the recorded entries.
     selector
         Divides limits among the entries.
     close_idle
@@ -94,7 +94,9 @@
         """Apply a complete listing: what it does not contain has been removed from the store."""
         now = self._clock.monotonic()
         restored = self._is_restored(listing.index)
-        facts = self._sift(listing) if restored else self._without_unconfirmed(listing.facts)
+        facts = (
+            self._accept_restored(listing) if restored else self._without_unconfirmed(listing.facts)
+        )
         self.apply_changes(facts)
         upstreams = _listed_upstreams(listing.facts)
         entries = {fact.record.name for fact in facts if isinstance(fact, EntryRecorded)}
@@ -110,15 +112,16 @@
         before, self._era = self._era, index.era
         return before not in (None, index.era)
 
-    def _sift(self, listing: Listing) -> tuple[Fact, ...]:
+    def _accept_restored(self, listing: Listing) -> tuple[Fact, ...]:
         """Return the facts of a restored store that can be applied; keep the others as unconfirmed.
 
-        Records that the copy lacks are kept for a time, since their owners may write them again.
+        Records that the copy lacks are kept for the grace period, in which their owners may write
+        them again.
         """
         now = self._clock.monotonic()
         self._upstream_table.start_grace_period(now)
         self._entries.start_grace_period(now)
-        taken, unconfirmed = classify_facts(listing.facts, self._upstream_table, self._entries)
+        accepted, unconfirmed = classify_facts(listing.facts, self._upstream_table, self._entries)
         drains = missing_drains(listing.facts, self._upstream_table)
         unconfirmed = (*unconfirmed, *map(ZoneRestored, sorted(drains)))
         self._unconfirmed = {
@@ -133,7 +136,7 @@
             doubted=[str(fact) for fact in unconfirmed[:MAX_UNCONFIRMED_LOGGED]],
             doubted_ms=CONFIRMATION_TIMEOUT // timedelta(milliseconds=1),
         )
-        return taken
+        return accepted
 
     def _without_unconfirmed(self, facts: tuple[Fact, ...]) -> tuple[Fact, ...]:
         """Return the facts of a listing except those still unconfirmed with the same content.
@@ -175,7 +178,7 @@
         self._update_selector_entries()
 
     def _apply_confirmed(self, now: timedelta) -> None:
-        """Apply the unconfirmed facts whose time for confirmation is over."""
+        """Apply the unconfirmed facts whose confirmation timeout is over."""
         for key, unconfirmed in list(self._unconfirmed.items()):
             if unconfirmed.until <= now:
                 del self._unconfirmed[key]
