--- a/packages/core/src/cardamomloft/core/entrytable.py
+++ b/packages/core/src/cardamomloft/core/entrytable.py
@@ -16,7 +16,7 @@
     Parameters
     ----------
     own
-        This entry, which counts as present whatever the store holds.
+        This entry, which counts as present even if its record is not in the store.
     count_window
         How long a withdrawn entry still counts for `max_recent_count`. It is the length of
         the longest sliding window of a budget, within which the entry may have spent its share.
@@ -64,7 +64,7 @@
     def withdraw(self, name: str, now: timedelta) -> bool:
         """Remove an entry and return whether it is removed now.
 
-        In the grace period after the store's return the entry is only marked as missing.
+        In the grace period after a store outage the entry is only marked as missing.
         """
         if name not in self._records:
             return False
@@ -84,7 +84,7 @@
         ]
 
     def start_grace_period(self, now: timedelta) -> None:
-        """Start the grace period after the store's return, for entries to renew lapsed records."""
+        """Start the grace period after a store outage, for entries to renew lapsed records."""
         self._grace_until = now + RENEWAL_GRACE
 
     def tick(self, now: timedelta) -> list[str]:
--- a/packages/core/src/cardamomloft/core/estimates.py
+++ b/packages/core/src/cardamomloft/core/estimates.py
@@ -54,9 +54,7 @@
 def describe_load(upstream: Upstream, now: timedelta) -> str:
     """Return an endpoint's expected load and the age of its last report, for a log line."""
     report = upstream.report
-    known = (
+    report_age = (
         "no report" if report is None else f"report {(now - report.at).total_seconds():.3f} s old"
     )
-    return (
-        f"{upstream.id} {expected_load(upstream, now):.1f}/{upstream.registration.slots} ({known})"
-    )
+    return f"{upstream.id} {expected_load(upstream, now):.1f}/{upstream.registration.slots} ({report_age})"
--- a/packages/core/src/cardamomloft/core/ledger.py
+++ b/packages/core/src/cardamomloft/core/ledger.py
@@ -178,7 +178,7 @@
         Parameters
         ----------
         operation
-            The whole id.
+            The complete id.
         fingerprint
             Digest of the request, which must be equal each time the id is presented.
         expires
@@ -228,7 +228,7 @@
         """Store the answer of an operation that has completed.
 
         An answer may also arrive after :meth:`unknown`. One above the size limit is passed to the
-        joined callers only, and later repeats get :class:`AnswerNotKept`.
+        joined callers only, and later requests with the id get :class:`AnswerNotKept`.
 
         Returns
         -------
--- a/packages/core/src/cardamomloft/core/membership.py
+++ b/packages/core/src/cardamomloft/core/membership.py
@@ -241,8 +241,8 @@
         members = [
             seat for seat, location in self._locations.items() if location.region == here.region
         ]
-        likely = sorted(seat for seat in members if not self._is_unavailable(seat))
-        return self._me.seat in likely[:standbys], len(members)
+        standby_candidates = sorted(seat for seat in members if not self._is_unavailable(seat))
+        return self._me.seat in standby_candidates[:standbys], len(members)
 
     def _record(self, sender: Incarnation, digest: Digest) -> None:
         before = self._peer_states.get(sender.seat)
@@ -261,8 +261,8 @@
         """Return whether a digest comes from the seat's present VM.
 
         A different process in a seat listed as gone has taken the seat over. Late digests of the
-        known process are dropped for a while; if it still sends after that, the list referred to
-        an earlier VM.
+        known process are dropped for `max_digest_age`; if it still sends after that, the list
+        referred to an earlier VM.
         """
         gone = self._gone.get(sender.seat)
         if gone is None:
@@ -289,8 +289,8 @@
             return False
         now = self._clock.utcnow()
         location = self._locations[seat]
-        mine = {("entry", seat), ("zone", location.zone), ("region", location.region)}
-        return any((kind, name) in mine and since <= now for kind, name, since in self._drains)
+        scopes = {("entry", seat), ("zone", location.zone), ("region", location.region)}
+        return any((kind, name) in scopes and since <= now for kind, name, since in self._drains)
 
     def _neighbours(self) -> tuple[tuple[str, ...], frozenset[str]]:
         """Return this entry's successors and predecessors on the ring of its zone.
@@ -388,7 +388,7 @@
         return distance
 
     def _groups_for(self, site: str | None) -> list[list[str]]:
-        """Return the recommendable seats grouped by distance from `site`, cached for a moment."""
+        """Return the recommendable seats grouped by distance from `site`, nearest first."""
         now = self._clock.monotonic()
         if now >= self._groups_expire_at:
             self._groups.clear()
--- a/packages/core/src/cardamomloft/core/places.py
+++ b/packages/core/src/cardamomloft/core/places.py
@@ -89,7 +89,7 @@
     ) -> EndpointState | None:
         """Return the endpoint that this request should probe, if a probe of the dead zone is due.
 
-        Probes use idempotent requests; others serve only after a grace period without one.
+        Only idempotent requests are used as probes until `PROBE_GRACE` after the probe is due.
         """
         grace = _ZERO if req.idempotent else PROBE_GRACE
         if self._next_probe_at is None or now < self._next_probe_at + grace or not self.eligible:
@@ -105,7 +105,7 @@
         """Return whether a request should wait here although no slot is free.
 
         An entry without a share of the zone borrows one only for requests that wait, so one request
-        per interval is let through.
+        per interval may wait.
         """
         if now < self._next_share_request_at:
             return False
@@ -120,7 +120,7 @@
             self._next_probe_at = now + _INITIAL_PROBE_INTERVAL
 
     def _rotated(self) -> list[EndpointState]:
-        """Return the eligible endpoints, starting one further at each call."""
+        """Return the eligible endpoints, starting with the next one at each call."""
         self._rotation += 1
         first = self._rotation % len(self.eligible) if self.eligible else 0
         return self.eligible[first:] + self.eligible[:first]
@@ -328,8 +328,8 @@
 def _zone_drain_start(states: t.Iterable[EndpointState], schedule: Schedule) -> datetime | None:
     """Return when the last of the endpoints is drained, if a drain covers each of them."""
     instants = [schedule.drain_start(state.endpoint.name) for state in states]
-    known = [instant for instant in instants if instant is not None]
-    return max(known) if known and len(known) == len(instants) else None
+    starts = [instant for instant in instants if instant is not None]
+    return max(starts) if starts and len(starts) == len(instants) else None
 
 
 def _put_trial_first(ranked: list[Candidate], req: Request) -> None:
--- a/packages/core/src/cardamomloft/core/replication.py
+++ b/packages/core/src/cardamomloft/core/replication.py
@@ -3,7 +3,7 @@
 The revision of a replica never decreases. An entry with a new revision announces it to a few
 peers, which pull it and announce it in turn; the periodic digests repair what this misses. After
 the process was paused, and at a start without the store, the replica is not served until peers or
-the store have confirmed it.
+the store have confirmed that it is current.
 """
 
 import json
@@ -39,14 +39,14 @@
     Attributes
     ----------
     pull_timeout
-        How long a document may take before another peer is asked.
+        Time to wait for a requested document before it is requested from another peer.
     max_tick_gap
         Time between ticks above which the process counts as paused.
     settle_time
         How long answers are ignored after a pause, since they may have been waiting in the socket
         buffer during it.
     confirmation_timeout
-        How long to wait for peers that don't answer; then the answers of some are enough.
+        Time to wait for all peers to answer; after it the answers of some are enough.
     probe_interval
         Time between two rounds of requests for confirmation.
     correction_interval
@@ -100,7 +100,7 @@
         self.next_probe = accepts_from
 
     def probe_at(self, now: timedelta) -> None:
-        """Make the next probe due at once, since the peers to ask have changed."""
+        """Make the next probe due at once, because the set of peers has changed."""
         self.next_probe = max(now, self.accepts_from)
 
 
@@ -118,8 +118,8 @@
     check
         Validates a document; one with an error is not adopted.
     seeds
-        Seats or addresses to ask while no roster is known. Until then messages must go to all
-        seeds: a seat known only as the sender of an answer has no address yet.
+        Seats or addresses to send requests to while no roster is known. Until then messages must go
+        to all seeds: a seat known only as the sender of an answer has no address yet.
     times
         Durations of the protocol.
     """
@@ -257,7 +257,7 @@
         return self._flush() + self._pull_best()
 
     def tick(self) -> list[Outgoing]:
-        """Detect pauses and repeat unanswered requests; to be called every 20 to 50 ms."""
+        """Detect pauses and resend unanswered requests; to be called every 20 to 50 ms."""
         self._detect_pause()
         now = self._clock.monotonic()
         self._last_tick, self._last_wall = now, self._clock.utcnow()
@@ -334,14 +334,14 @@
         holders = sorted(seat for seat, n in self._higher_revisions.items() if n == highest)
         seat = self._rng.choice(holders)
         self._pull = _Pull(seat, now + self._times.pull_timeout, attempt)
-        # Without a roster no seat has an address, so all seeds are asked.
+        # Without a roster no seat has an address, so the request goes to all seeds.
         targets = [seat] if self._held else sorted(self._seeds)
         return [Outgoing(target, DocumentRequest(self.number)) for target in targets]
 
     def _end_unanswered_pull(self) -> int:
         """End an unanswered pull and return the number of the next attempt.
 
-        The peer is dropped as a source, unless it is the only one and has attempts left.
+        The peer is dropped as a source, unless it is the only one and may be tried again.
         """
         pull, self._pull = self._pull, None
         if pull is None:
--- a/packages/core/src/cardamomloft/core/shifting.py
+++ b/packages/core/src/cardamomloft/core/shifting.py
@@ -74,7 +74,7 @@
 ) -> TargetDistribution:
     """Run all stages for one rule; `rate` is the cap as a fraction of traffic per second.
 
-    Moves are applied before drains: what was moved off a place stays where it went.
+    Moves are applied before drains, so traffic that was moved off a place stays at its target.
     """
     unavailable = snapshot.drained | snapshot.dead
     weights = expand_places(directive.places, snapshot)
@@ -227,12 +227,12 @@
 
 def _split_by_slots(zones: Iterable[str], slots: Mapping[str, int]) -> Fractions:
     """Divide 1 among the zones that have endpoints, by their open slots."""
-    known = {zone: slots[zone] for zone in zones if zone in slots}
-    total = sum(known.values())
+    open_slots = {zone: slots[zone] for zone in zones if zone in slots}
+    total = sum(open_slots.values())
     if total == 0:
         # All are drained: equal fractions let later stages redistribute them.
-        return dict.fromkeys(known, 1 / len(known)) if known else {}
-    return {zone: count / total for zone, count in known.items()}
+        return dict.fromkeys(open_slots, 1 / len(open_slots)) if open_slots else {}
+    return {zone: count / total for zone, count in open_slots.items()}
 
 
 def _normalized(weights: Fractions) -> Fractions:
--- a/packages/core/src/cardamomloft/core/stewardship.py
+++ b/packages/core/src/cardamomloft/core/stewardship.py
@@ -83,7 +83,7 @@
         self._standby = False
         self._region_size = 1
         self._holder: str | None = None
-        self._holder_heard_at: timedelta | None = None
+        self._last_holder_message_at: timedelta | None = None
         self._failures = 0
         self._next_step_at = clock.monotonic() + self._with_jitter(MIN_RETRY_DELAY)
         self._step_started_at = clock.monotonic()
@@ -171,7 +171,7 @@
         self._failures = 0
         if holder != self._holder:
             self._holder = holder
-            self._holder_heard_at = self._clock.monotonic()
+            self._last_holder_message_at = self._clock.monotonic()
         self._next_step_at = self._clock.monotonic() + self._read_interval()
 
     @_machine.output()
@@ -236,7 +236,7 @@
         Another incarnation of the holder's seat has no lease and does not count as the holder.
         """
         if process == self._holder:
-            self._holder_heard_at = self._clock.monotonic()
+            self._last_holder_message_at = self._clock.monotonic()
 
     def peer_to_probe(self) -> str | None:
         """Return the holder's seat if a digest should be requested from it now, else None."""
@@ -261,9 +261,9 @@
         self._step_started_at = self._clock.monotonic()
 
     def _holder_silent(self) -> bool:
-        if self._holder is None or self._holder_heard_at is None:
+        if self._holder is None or self._last_holder_message_at is None:
             return False
-        return self._clock.monotonic() - self._holder_heard_at > HOLDER_SILENCE_TIMEOUT
+        return self._clock.monotonic() - self._last_holder_message_at > HOLDER_SILENCE_TIMEOUT
 
     def _read_interval(self) -> timedelta:
         if self._standby:
--- a/packages/core/src/cardamomloft/core/suspicion.py
+++ b/packages/core/src/cardamomloft/core/suspicion.py
@@ -101,13 +101,15 @@
         if entry in before.others:
             return
         others = before.others if entry == self._own else before.others | {entry}
-        found = _Suspect(others, before.count + 1, max(at, before.failed_at), before.ejected_until)
-        if found.count >= FAILURES_TO_EJECT:
-            found = found._replace(
-                others=frozenset(), ejected_until=now + _ejection_after(found.count)
+        updated = _Suspect(
+            others, before.count + 1, max(at, before.failed_at), before.ejected_until
+        )
+        if updated.count >= FAILURES_TO_EJECT:
+            updated = updated._replace(
+                others=frozenset(), ejected_until=now + _ejection_after(updated.count)
             )
         self._suspects.pop(incarnation, None)
-        self._suspects[incarnation] = found
+        self._suspects[incarnation] = updated
         if len(self._suspects) > MAX_SUSPECTS:
             self._suspects.popitem(last=False)
 
--- a/packages/core/src/cardamomloft/core/upstreamtable.py
+++ b/packages/core/src/cardamomloft/core/upstreamtable.py
@@ -50,7 +50,7 @@
     cold_sends
         Monotonic instants of the requests sent to it while it was cold.
     joined_at
-        Monotonic instant at which it was first seen; None if it was in the first list.
+        Monotonic instant of its first registration; None if it was in the first listing.
     failures
         Number of this entry's consecutive failed requests.
     ejected_until
@@ -180,7 +180,7 @@
         A new incarnation starts with fresh state, since it shares only the id with the old one. A
         registration of an earlier incarnation, written late, is ignored.
         """
-        if not self._starts.note(registration):
+        if not self._starts.record(registration):
             return False
         self._gone.discard(registration.incarnation)
         known = self._by_id.get(registration.id)
@@ -337,7 +337,7 @@
     def __init__(self) -> None:
         self._latest: dict[str, int] = {}
 
-    def note(self, registration: Registration) -> bool:
+    def record(self, registration: Registration) -> bool:
         """Record a registration; return False if a later incarnation is known."""
         latest = self._latest.pop(registration.id, 0)
         if registration.started_ms or latest:
--- a/packages/core/tests/test_admission.py
+++ b/packages/core/tests/test_admission.py
@@ -21,7 +21,7 @@
 
 
 class Bench:
-    """One queue whose requests take 20 ms each; `observed` if this was observed."""
+    """A queue of a service with observed durations of 20 ms, or without observations."""
 
     def __init__(self, max_queued=64, observed=True):
         self.clock = ManualClock()
@@ -97,14 +97,14 @@
 
 
 class Trace:
-    """A seeded arrival trace at `load` times the capacity of one queue with its slots."""
+    """A seeded arrival trace at `load` times the capacity of one queue with `SLOTS` slots."""
 
     def __init__(self, load, count=8000):
         self.rng = random.Random(11)
         self.clock = ManualClock()
         self.admission = Admission(self.clock)
         self.running, self.queue = [], []
-        self.good = self.fifo = 0
+        self.in_time = self.fifo = 0
         self.started, self.refused, self.offered = Counter(), Counter(), Counter()
         at = 0.0
         self.arrivals = []
@@ -114,14 +114,14 @@
             self.arrivals.append((at, self.rng.choices(list(Priority), [2, 5, 3])[0], duration))
 
     def goodput(self):
-        return self.good / (SLOTS * self.arrivals[-1][0] / MEAN)
+        return self.in_time / (SLOTS * self.arrivals[-1][0] / MEAN)
 
     def play(self, arrive, fill):
         for number, (at, priority, _) in enumerate(self.arrivals):
             while self.running and self.running[0][0] <= at:
                 end, done, duration = heapq.heappop(self.running)
                 self.advance(end)
-                self.good += end <= self.arrivals[done][0] + 5 * MEAN
+                self.in_time += end <= self.arrivals[done][0] + 5 * MEAN
                 self.admission.observe("s", ms(duration))
                 fill()
             self.advance(at)
--- a/packages/core/tests/test_comeback.py
+++ b/packages/core/tests/test_comeback.py
@@ -47,7 +47,7 @@
 def _retry_success_rate(adaptive: bool, seed: int) -> float:
     """Simulate a ten-second overload; return the fraction of refused callers served on retry.
 
-    100 callers arrive per second. There is room for 60 per second, and for 140 after four seconds;
+    100 callers arrive per second. The service accepts 60 per second, and 140 after four seconds;
     each refused caller retries once.
     """
     rng, policy = random.Random(seed), RetryAfterPolicy(RetryAfterBounds())
--- a/packages/core/tests/test_selection.py
+++ b/packages/core/tests/test_selection.py
@@ -111,7 +111,7 @@
 
 
 def test_a_key_is_refused_when_both_its_endpoints_are_too_full():
-    """At a third endpoint it would be a cache miss and evict that endpoint's own keys."""
+    """At a third endpoint the key would be a cache miss and evict keys of that endpoint."""
     selector = _selector()
     primary = _choose(selector)
     _fill(primary, 9)
@@ -121,7 +121,7 @@
 
 
 def test_an_endpoint_that_refused_counts_as_full_for_a_short_time():
-    """Its keys use their secondary endpoint up to the overflow bound, and return after 60 ms."""
+    """Its keys go to their secondary endpoints up to the overflow bound, and return after 60 ms."""
     selector = _selector()
     primary = _choose(selector)
     selector.record_refusal(primary, NOW, had_room=False)
--- a/packages/core/tests/test_shares.py
+++ b/packages/core/tests/test_shares.py
@@ -79,7 +79,7 @@
 
 
 def borrow(fleet: Fleet) -> tuple[Entry, Entry, LoanRequest, LoanGrant]:
-    """Let a request b's unit; return the request and the undelivered grant."""
+    """Let entry a request the unit of b; return the request and the undelivered grant."""
     a, b = fleet["a"], fleet["b"]
     assert a.take()
     a.shares.want(KEY, 1)
@@ -127,7 +127,7 @@
     assert a.take() and c.take() is None
 
 
-def test_a_new_division_settles_when_what_is_in_use_fits(fleet: Fleet) -> None:
+def test_a_new_division_settles_when_the_units_in_use_fit(fleet: Fleet) -> None:
     a = fleet["a"]
     hold = a.take()
     fleet["b"].shares.configure(2, limits("a", capacity=2))
@@ -316,8 +316,8 @@
     assert result.is_error() and result.error.reason is RefusalReason.DEADLINE
 
 
-def test_entry_with_all_the_demand_gets_the_whole_limit() -> None:
-    """One of twelve entries uses nearly the whole limit, with few messages, after warm-up."""
+def test_entry_with_all_the_demand_gets_nearly_the_full_limit() -> None:
+    """One of twelve entries uses nearly the full limit, with few messages, after warm-up."""
     fleet = Fleet("abcdefghijkl", capacity=36)
     a = fleet["a"]
     running: list[Hold] = []
--- a/packages/core/tests/test_shifting.py
+++ b/packages/core/tests/test_shifting.py
@@ -270,7 +270,7 @@
 
 
 def test_region_is_split_by_the_base_slots_of_this_entry():
-    """Otherwise requests wait in a full zone while this entry's own slots stay idle."""
+    """Requests must not wait in a full zone while this entry's own slots are idle."""
     snapshot = SNAPSHOT._replace(base_slots={"a1": 3, "b1": 1, "a2": 0, "b2": 0, "a3": 0})
     assert expand_places(rule(("r1", 1)).places, snapshot) == {"a1": 0.75, "b1": 0.25}
     assert expand_places(rule(("r2", 1)).places, snapshot) == {"a2": 0.5, "b2": 0.5}
--- a/packages/core/tests/test_stewardship.py
+++ b/packages/core/tests/test_stewardship.py
@@ -144,7 +144,7 @@
 
 
 def test_a_new_incarnation_of_the_stewards_seat_does_not_count_as_the_steward():
-    """Its messages must not keep the standbys from watching, since it has no lease."""
+    """It has no lease, so its messages must not keep the standbys from watching."""
     clock = ManualClock()
     standby = Stewardship("r", clock, random.Random(1))
     standby.set_role(standby=True, size=4)
--- a/packages/core/tests/test_upstreambook.py
+++ b/packages/core/tests/test_upstreambook.py
@@ -41,7 +41,7 @@
 
 
 def test_an_endpoint_withdrawn_and_registered_again_makes_a_new_version():
-    """Otherwise a cached ranking would keep an `Upstream` that gets no more updates."""
+    """A cached ranking must not keep an `Upstream` that gets no more updates."""
     table = UpstreamTable(REGIONS)
     table.register(_row(), ZERO)
     version, (before,) = table.version("menus"), table.of_service("menus")
@@ -52,7 +52,7 @@
 
 
 def test_a_long_list_is_divided_by_service_once(monkeypatch):
-    """Dividing at each registration would take quadratic time."""
+    """Rebuilding the lists by service at each registration would take quadratic time."""
     rebuilds = []
     candidates = upstreamtable._candidates
     monkeypatch.setattr(
--- a/packages/core/tests/test_zones.py
+++ b/packages/core/tests/test_zones.py
@@ -17,7 +17,7 @@
 
 @given(_slots)
 def test_equal_demand_loads_no_zone_beyond_its_slots(slots):
-    """No zone gets more than the fraction of its slots in all slots."""
+    """No zone gets a larger fraction of the requests than its fraction of all slots."""
     if not sum(slots.values()):
         return
     load = dict.fromkeys(slots, 0.0)
