--- a/packages/core/src/cardamomloft/core/estimates.py
+++ b/packages/core/src/cardamomloft/core/estimates.py
@@ -54,7 +54,5 @@
 def describe_load(upstream: Upstream, now: timedelta) -> str:
     """Return an endpoint's expected load and the age of its last report, for a log line."""
     report = upstream.report
-    report_age = (
-        "no report" if report is None else f"report {(now - report.at).total_seconds():.3f} s old"
-    )
-    return f"{upstream.id} {expected_load(upstream, now):.1f}/{upstream.registration.slots} ({report_age})"
+    age = "no report" if report is None else f"report {(now - report.at).total_seconds():.3f} s old"
+    return f"{upstream.id} {expected_load(upstream, now):.1f}/{upstream.registration.slots} ({age})"
