--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -203,12 +203,14 @@
 
     def reconfigure(self, cfg: GatewaySettings) -> None:
         """Apply changed settings; log the names of those that need a restart to take effect."""
-        fixed = [name for name in RESTART_SETTINGS if cfg.get(name) != self._cfg.get(name)]
-        if fixed:
-            log("restart-needed", settings=fixed)
+        needing_restart = [
+            name for name in RESTART_SETTINGS if cfg.get(name) != self._cfg.get(name)
+        ]
+        if needing_restart:
+            log("restart-needed", settings=needing_restart)
         kept = {name: self._cfg[name] for name in RESTART_SETTINGS if name in self._cfg}
-        free = {name: value for name, value in cfg.items() if name not in RESTART_SETTINGS}
-        self._cfg = t.cast(GatewaySettings, {**free, **kept})
+        changeable = {name: value for name, value in cfg.items() if name not in RESTART_SETTINGS}
+        self._cfg = t.cast(GatewaySettings, {**changeable, **kept})
         self._bounds = parse_bounds(self._cfg)
         self.selector.cold_limit = _cold_limit(self._cfg)
         for budget in self._budgets.values():
@@ -217,7 +219,7 @@
         self.follower.timing = _poll_timing(self._bounds)
         self.feed.set_drain_time(self._bounds.drain_time)
         self.upstream_table.use_regions(self._cfg["zones"])
-        log("reloaded", changed_fixed=bool(fixed))
+        log("reloaded", changed_fixed=bool(needing_restart))
 
     # Life cycle.
 
--- a/packages/gateway/src/cardamomloft/gateway/outcomes.py
+++ b/packages/gateway/src/cardamomloft/gateway/outcomes.py
@@ -39,7 +39,7 @@
 class EndpointStatus(t.NamedTuple):
     """What an endpoint reports about itself with an answer.
 
-    `leaving` means that it is about to stop; `pause` is the time for which it wants no more
+    `leaving` means that it is about to stop; `pause` is the time for which it accepts no more
     requests.
     """
 
@@ -65,7 +65,7 @@
 class Refused(t.NamedTuple):
     """The endpoint definitely refused the request, which was not run.
 
-    `had_room`: it reported a free slot together with the refusal.
+    `had_room` is set if it reported a free slot together with the refusal.
     """
 
     detail: str
@@ -76,7 +76,7 @@
 class Failed(t.NamedTuple):
     """There is no complete answer; `not_run` only if nothing was sent.
 
-    `cut`: the connection ended before an answer began, as when the endpoint crashes.
+    `cut` is set if the connection ended before an answer began, as when the endpoint crashes.
     """
 
     not_run: bool
@@ -92,7 +92,7 @@
     """Return what an endpoint reports about itself with `answer`."""
     headers = dict(reversed(answer.headers))
     if answer.status == dialect.misdirected:
-        # The answer comes from another endpoint, so only its load is of use.
+        # The answer comes from another endpoint than the one meant; only its load is used.
         return EndpointStatus(parse_header_load(headers.get(dialect.load or "")))
     rejecting = answer.status in _RETRY_AFTER_STATUSES
     return EndpointStatus(
--- a/packages/gateway/src/cardamomloft/gateway/storecontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/storecontrol.py
@@ -60,7 +60,7 @@
         self._index: Position | None = None
 
     def read(self) -> "Deferred[Result[Listing, StoreFailure]]":
-        """List everything."""
+        """List everything that the store holds."""
         self._known = {}
         return ensureDeferred(self._read())
 
