--- a/packages/callers/src/cardamomloft/callers/app.py
+++ b/packages/callers/src/cardamomloft/callers/app.py
@@ -123,17 +123,17 @@
             self._factory.closing = self._closing
         return self._factory
 
-    def keep_idle(self, duration: timedelta) -> None:
+    def set_idle_timeout(self, duration: timedelta) -> None:
         """Keep idle connections for `duration` from now on; callers may count on it."""
         if self._factory is not None:
             self._factory.timeOut = duration.total_seconds()
 
-    def bound_heads(self, size: int, duration: timedelta) -> None:
+    def set_head_limits(self, size: int, duration: timedelta) -> None:
         """Hold heads on new connections to `size` bytes of header lines and to `duration`."""
         if self._factory is not None:
             self._factory.head_limits = HeadLimits(size, duration.total_seconds())
 
-    def closing(self) -> None:
+    def start_closing(self) -> None:
         """Answer with ``Connection: close`` from now on."""
         self._closing = True
         if self._factory is not None:
@@ -185,7 +185,7 @@
         answered.addErrback(self._fault)
         answered.addCallback(self._respond_in_turn, request)
         answered.addErrback(request.processingFailed)
-        answered.addBoth(lambda _: self._finished())
+        answered.addBoth(lambda _: self._request_finished())
 
     def _fault(self, failure: Failure) -> Answer:
         self._on_fault(failure)
@@ -206,7 +206,7 @@
         request.answer_at_once(answer)
         return None
 
-    def _finished(self) -> None:
+    def _request_finished(self) -> None:
         self.in_flight -= 1
         self._drained.check()
 
--- a/packages/callers/src/cardamomloft/callers/body.py
+++ b/packages/callers/src/cardamomloft/callers/body.py
@@ -78,7 +78,7 @@
         self._discarding = False
 
     @property
-    def untouched(self) -> bool:
+    def unconsumed(self) -> bool:
         """Whether nothing has been taken yet, so that it can still be sent to any upstream."""
         return not self._taken
 
--- a/packages/callers/src/cardamomloft/callers/channel.py
+++ b/packages/callers/src/cardamomloft/callers/channel.py
@@ -98,7 +98,7 @@
 
     # The head.
 
-    def bound_heads(self, limits: HeadLimits) -> None:
+    def set_head_limits(self, limits: HeadLimits) -> None:
         """Hold the heads that are still to come to `limits`."""
         self.head_limits = limits
         self.totalHeadersSize = _PARSER_ROOM * limits.size
--- a/packages/callers/src/cardamomloft/callers/exchange.py
+++ b/packages/callers/src/cardamomloft/callers/exchange.py
@@ -124,12 +124,12 @@
     return _explain(HTTPStatus.INTERNAL_SERVER_ERROR, UNKNOWN, "internal-error", detail)
 
 
-def late(detail: str) -> Answer:
+def deadline_exceeded(detail: str) -> Answer:
     """Return 504 for a request whose time is over; it may have run."""
     return _explain(HTTPStatus.GATEWAY_TIMEOUT, UNKNOWN, "deadline-passed", detail)
 
 
-def with_fractions(answer: Answer) -> Answer:
+def with_fractional_retry_after(answer: Answer) -> Answer:
     """Return `answer` with a Retry-After in fractions of a second, for callers that read them."""
     wait_ms = next((value for name, value in answer.headers if name == RETRY_MS_HEADER), None)
     if wait_ms is None:
--- a/packages/callers/src/cardamomloft/callers/factory.py
+++ b/packages/callers/src/cardamomloft/callers/factory.py
@@ -62,7 +62,7 @@
         """Make the channel of a new connection."""
         channel = super().buildProtocol(addr)
         channel.requestFactory = CallerRequest
-        channel.bound_heads(self.head_limits)
+        channel.set_head_limits(self.head_limits)
         return channel
 
     def count(self, name: str) -> None:
--- a/packages/callers/tests/test_callers_body.py
+++ b/packages/callers/tests/test_callers_body.py
@@ -49,7 +49,7 @@
     body.data_received(b"x" * (HIGH_WATER - 1))
     assert not flow.paused
     body.data_received(b"x")
-    assert flow.paused and body.untouched
+    assert flow.paused and body.unconsumed
 
 
 def test_a_consumer_learns_that_the_caller_broke_off_even_while_it_is_paused():
@@ -70,7 +70,7 @@
     body.collect(10).addCallback(results.append)
     body.data_received(b"x" * 11)
     assert results[0].is_error()
-    assert body.untouched == (announced is not None)
+    assert body.unconsumed == (announced is not None)
 
 
 def test_collect_returns_the_whole_body_or_says_what_is_missing():
--- a/packages/callers/tests/test_callers_channel.py
+++ b/packages/callers/tests/test_callers_channel.py
@@ -296,7 +296,7 @@
 def test_closing_ends_connections_with_their_answers_and_drained_waits_for_them():
     harness = Harness()
     harness.receive(GET)
-    harness.app.closing()
+    harness.app.start_closing()
     drained = harness.app.drained()
     assert not drained.called and harness.app.in_flight == 1
     harness.answers[0].callback(text(b"ok"))
@@ -346,7 +346,7 @@
 
 def test_heads_are_held_to_the_size_that_was_set_the_request_line_apart():
     harness = Harness()
-    harness.channel.bound_heads(HeadLimits(64, 1))
+    harness.channel.set_head_limits(HeadLimits(64, 1))
     harness.receive(b"GET /" + b"x" * 100 + b" HTTP/1.1\r\nHost: a\r\n\r\n")
     assert len(harness.calls) == 1
     harness.answers[0].callback(text(b"ok"))
@@ -357,7 +357,7 @@
 
 def test_a_head_may_be_larger_than_usual_where_that_was_set():
     harness = Harness()
-    harness.channel.bound_heads(HeadLimits(64 * 1024, 1))
+    harness.channel.set_head_limits(HeadLimits(64 * 1024, 1))
     harness.receive(b"GET / HTTP/1.1\r\nHost: a\r\nB: " + b"x" * 30_000 + b"\r\n\r\n")
     assert len(harness.calls) == 1
 
--- a/packages/callers/tests/test_pipelining.py
+++ b/packages/callers/tests/test_pipelining.py
@@ -159,7 +159,7 @@
 def test_only_the_last_answer_closes_when_the_process_stops():
     conn = Connection()
     conn.receive(get(1) + get(2))
-    conn.app.closing()
+    conn.app.start_closing()
     conn.receive(get(3))
     conn.answer(2)
     conn.answer(1)
@@ -438,7 +438,7 @@
         arrived = self.arrived(2)
         self.peer.transport.write(get(1) + get(2))
         yield arrived
-        self.app.closing()
+        self.app.start_closing()
         for name in (2, 1):
             self.answer(name)
         yield self.peer.lost
--- a/packages/entry/src/cardamomloft/entry/forwarding.py
+++ b/packages/entry/src/cardamomloft/entry/forwarding.py
@@ -59,7 +59,7 @@
     @property
     def resendable(self) -> bool:
         """Whether the body can be sent again."""
-        return self.buffered is not None or (self.stream is not None and self.stream.untouched)
+        return self.buffered is not None or (self.stream is not None and self.stream.unconsumed)
 
 
 class Caller:
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -210,11 +210,11 @@
         """Withdraw from look-ups; keep serving callers that have a cached look-up."""
         log("leaving")
         self.gossip.announce()
-        self.app.closing()
+        self.app.start_closing()
         hard = self._cfg.get("hard_stop_ms")
         if hard is not None:
             self._reactor.callLater(hard / 1000, force_stop, self)
-        self._reactor.callLater(LEAVING_TIME.total_seconds(), self.lifecycle.lingered)
+        self._reactor.callLater(LEAVING_TIME.total_seconds(), self.lifecycle.lookups_expired)
 
     def on_closing(self) -> None:
         """Refuse new requests, finish those in flight and hand the shares over."""
--- a/packages/entry/src/cardamomloft/entry/steward.py
+++ b/packages/entry/src/cardamomloft/entry/steward.py
@@ -11,7 +11,7 @@
 from cardamomloft.core.replication import Replica, pack
 from cardamomloft.core.stewardship import ReadLease, Renew, Step, Stewardship, TryLease, WatchLease
 from cardamomloft.runtime.logs import log
-from cardamomloft.store.keyvalue import Record, Store, Watched
+from cardamomloft.store.keyvalue import Record, Store, WatchResult
 from expression import Result
 from twisted.internet.defer import ensureDeferred
 from twisted.python.failure import Failure
@@ -145,9 +145,9 @@
                 return self.stewardship.lease_lost()
         return self.stewardship.store_failed()
 
-    def _on_lease_read(self, result: Result[Watched, t.Any]) -> list[Step]:
+    def _on_lease_read(self, result: Result[WatchResult, t.Any]) -> list[Step]:
         match result:
-            case Result(tag="ok", ok=Watched(record, index)):
+            case Result(tag="ok", ok=WatchResult(record, index)):
                 self._lease_index = index
             case _:
                 self._lease_index = 0
@@ -160,7 +160,7 @@
         while self.stewardship.watches_configuration:
             result = await self._store.watch(CONFIGURATION_KEY, self._config_index, WATCH_TIMEOUT)
             match result:
-                case Result(tag="ok", ok=Watched(record, index)):
+                case Result(tag="ok", ok=WatchResult(record, index)):
                     self._config_index = index
                     self._offer(record)
                     self._failures = 0
--- a/packages/entry/tests/test_node.py
+++ b/packages/entry/tests/test_node.py
@@ -289,7 +289,7 @@
     bench.pass_time(60)
     assert bench.ended == [] and bench.node.lifecycle.state() == "closing"
     assert not bench.seat_row()["stopped"]
-    bench.node.app._finished()
+    bench.node.app._request_finished()
     bench.pass_time(5)
     assert bench.ended == [None] and bench.seat_row()["stopped"]
 
--- a/packages/entry/tests/test_steward.py
+++ b/packages/entry/tests/test_steward.py
@@ -11,7 +11,7 @@
 from cardamomloft.core.stewardship import Stewardship
 from cardamomloft.entry.steward import CONFIGURATION_KEY, StewardRunner, offer_record
 from cardamomloft.store.failures import StoreFailure
-from cardamomloft.store.keyvalue import Record, Watched
+from cardamomloft.store.keyvalue import Record, WatchResult
 from expression import Error, Ok
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
@@ -72,13 +72,13 @@
     def watch(self, key, index, wait):
         if key == CONFIGURATION_KEY:
             if self.away or index == 0:
-                return self.answer("config", lambda: Ok(Watched(self.config, 1)))
+                return self.answer("config", lambda: Ok(WatchResult(self.config, 1)))
             self.watches.append(Deferred())
             return self.watches[-1]
 
         def read_lease():
             held = None if self.holder is None else Record(self.holder[0].encode(), 1)
-            return Ok(Watched(held, 1))
+            return Ok(WatchResult(held, 1))
 
         return self.answer("read_lease", read_lease)
 
@@ -142,7 +142,7 @@
 
 
 def test_a_steward_offers_the_records_of_its_watch(steward):
-    steward.store.watches[-1].callback(Ok(Watched(record(4), 2)))
+    steward.store.watches[-1].callback(Ok(WatchResult(record(4), 2)))
     assert steward.replica.offers == [3, 4] and steward.offered == 2
     assert len(steward.store.watches) == 2
 
@@ -161,7 +161,7 @@
     """The replica, not the lease, prevents copies from going back to an older revision."""
     steward.store.expire()
     steward.clock.advance(timedelta(seconds=30))
-    steward.store.watches[-1].callback(Ok(Watched(record(2), 2)))
+    steward.store.watches[-1].callback(Ok(WatchResult(record(2), 2)))
     assert steward.replica.offers == [3, 2]
     steward.run(10)
     assert not steward.faults
@@ -206,7 +206,7 @@
 def test_an_exception_in_the_watch_is_reported_and_the_watch_continues(steward):
     steward.store.config = record(4)
     steward.replica.offer = lambda number, packed: 1 / 0
-    steward.store.watches[-1].callback(Ok(Watched(record(4), 2)))
+    steward.store.watches[-1].callback(Ok(WatchResult(record(4), 2)))
     assert [fault.type for fault in steward.faults] == [ZeroDivisionError]
     del steward.replica.offer
     steward.run(5)
--- a/packages/feed/src/cardamomloft/feed/changetable.py
+++ b/packages/feed/src/cardamomloft/feed/changetable.py
@@ -69,22 +69,22 @@
     def __len__(self) -> int:
         return len(self._rows) - len(self._removed)
 
-    def listed(self, facts: Iterable[Fact], index: Position) -> None:
+    def apply_listing(self, facts: Iterable[Fact], index: Position) -> None:
         """Take a list of all that the store held at the position `index`."""
         if index < self.index or index.era != self.index.era or self.index == BEGINNING:
             self._begin(index)
         given = {key_of(fact): fact for fact in facts}
         gone = (row.fact for key, row in self._rows.items() if key not in given)
         removals = [removal for removal in map(_removal, gone) if removal is not None]
-        self.changed([*removals, *given.values()], index)
+        self.apply_changes([*removals, *given.values()], index)
 
-    def changed(self, facts: Iterable[Fact], index: Position) -> None:
+    def apply_changes(self, facts: Iterable[Fact], index: Position) -> None:
         """Take what has changed up to the position `index`, in order."""
         self.index = max(self.index, index)
         for fact in facts:
             self._set(fact, self.index)
 
-    def since(self, after: Position) -> tuple[Fact, ...] | None:
+    def changes_since(self, after: Position) -> tuple[Fact, ...] | None:
         """Return the facts of all keys that have changed after the position `after`.
 
         Returns
@@ -102,7 +102,7 @@
             found.append(row.fact)
         return tuple(reversed(found))
 
-    def whole(self) -> tuple[Fact, ...]:
+    def all_facts(self) -> tuple[Fact, ...]:
         """Return the facts of all keys that are there, as a list of the store would show them."""
         return tuple(row.fact for key, row in self._rows.items() if key not in self._removed)
 
@@ -115,7 +115,9 @@
     def _set(self, fact: Fact, index: Position) -> None:
         key = key_of(fact)
         before = self._rows.get(key)
-        if before is not None and (is_same(before.fact, fact) or _supersedes(before.fact, fact)):
+        if before is not None and (
+            is_same_fact(before.fact, fact) or _supersedes(before.fact, fact)
+        ):
             return
         self._rows.pop(key, None)
         self._rows[key] = _Row(index, fact)
@@ -132,7 +134,7 @@
             self._floor = max(self._floor, self._rows.pop(key).index)
 
 
-def is_same(held: Fact, told: Fact) -> bool:
+def is_same_fact(held: Fact, told: Fact) -> bool:
     """Tell whether two facts say the same: as tuples a drained and a restored zone are equal."""
     return type(held) is type(told) and held == told
 
--- a/packages/feed/src/cardamomloft/feed/sources.py
+++ b/packages/feed/src/cardamomloft/feed/sources.py
@@ -50,7 +50,7 @@
 """Part of the drain time for which a relay may wait for a change while the store does not answer:
 0.5 s of 2.5 s, as often as a relay asks the store."""
 
-FAILURES_UNTIL_AWAY = 2
+FAILURES_UNTIL_UNAVAILABLE = 2
 """Failed calls in a row after which the store counts as away; one may be a lost packet."""
 
 SUSPECT_PARTS = 2.0
@@ -59,7 +59,7 @@
 _NEVER = timedelta(0)
 
 
-class Question(t.NamedTuple):
+class SourceChoice(t.NamedTuple):
     """Whom to ask for changes, and how.
 
     Attributes
@@ -77,7 +77,7 @@
     pause: timedelta | None = None
 
 
-class Sources:
+class SourceSelector:
     """Chooses the source of the next question.
 
     Parameters
@@ -89,24 +89,24 @@
 
     Attributes
     ----------
-    known_at
+    complete_until
         Instant until which all changes are known; None before anything is.
     """
 
     def __init__(self, own: EntryRecord, drain_time: timedelta) -> None:
         self._own = own
         self.drain_time = drain_time
-        self.known_at: timedelta | None = None
+        self.complete_until: timedelta | None = None
         self._suspects: dict[str, timedelta] = {}
         self._failures = 0
         self._failed_at = timedelta(0)
 
     @property
-    def patience(self) -> timedelta:
+    def relay_timeout(self) -> timedelta:
         """How much longer than it was told to wait a relay may take for its answer."""
         return self.drain_time * ANSWER_PART
 
-    def next(self, records: Iterable[EntryRecord], now: timedelta) -> Question:
+    def next_source(self, records: Iterable[EntryRecord], now: timedelta) -> SourceChoice:
         """Return the next question, given the gateways that are recorded.
 
         A relay answers only whom it knows, so a gateway that starts or leaves asks the store.
@@ -116,21 +116,23 @@
             return self._as_relay(now)
         relay = self._nearest(relays, now)
         if relay is None:
-            return Question(None)
+            return SourceChoice(None)
         pause = self.drain_time * LISTENER_PAUSE_PART
         left = self._time_left(OLDEST_PART, now)
         if not left:
-            return Question(None, timedelta(0), pause)
-        return Question(relay, min(left, self.drain_time * QUESTION_PART), pause)
+            return SourceChoice(None, timedelta(0), pause)
+        return SourceChoice(relay, min(left, self.drain_time * QUESTION_PART), pause)
 
-    def relay(self, records: Iterable[EntryRecord], now: timedelta) -> EntryRecord | None:
+    def usable_relay(self, records: Iterable[EntryRecord], now: timedelta) -> EntryRecord | None:
         """Return the relay that may know what the store does not tell this gateway, or None.
 
         A relay may ask the other one.
         """
         return self._nearest(self._relays(records), now)
 
-    def next_while_failing(self, records: Iterable[EntryRecord], now: timedelta) -> Question:
+    def next_source_during_outage(
+        self, records: Iterable[EntryRecord], now: timedelta
+    ) -> SourceChoice:
         """Return the next question after the store has failed to answer one."""
         relays = self._relays(records)
         relay = self._nearest(relays, now)
@@ -139,34 +141,34 @@
         if (
             relay is None
             or relaying
-            or self._failures < FAILURES_UNTIL_AWAY
+            or self._failures < FAILURES_UNTIL_UNAVAILABLE
             or left <= timedelta(0)
         ):
-            return Question(None, timedelta(0))
-        return Question(relay, min(left, self.drain_time * AWAY_QUESTION_PART))
+            return SourceChoice(None, timedelta(0))
+        return SourceChoice(relay, min(left, self.drain_time * AWAY_QUESTION_PART))
 
-    def store_failed(self, asked_at: timedelta) -> None:
+    def record_store_failure(self, asked_at: timedelta) -> None:
         """Note that a question of that instant got no answer from the store."""
         self._failures += 1
         self._failed_at = asked_at
 
-    def store_answered(self) -> None:
+    def record_store_answer(self) -> None:
         """Note that the store answers this gateway."""
         self._failures = 0
 
-    def is_back(self, complete_at: timedelta) -> bool:
+    def shows_recovery(self, complete_at: timedelta) -> bool:
         """Tell whether knowledge complete then shows that the store has answered another since."""
         return complete_at > self._failed_at
 
-    def complete(self, at: timedelta) -> None:
+    def record_complete(self, at: timedelta) -> None:
         """Note that everything is known that had changed until the instant `at`."""
-        self.known_at = at if self.known_at is None else max(self.known_at, at)
+        self.complete_until = at if self.complete_until is None else max(self.complete_until, at)
 
     def age(self, now: timedelta) -> timedelta | None:
         """Return how old the knowledge is; None before anything is known."""
-        return None if self.known_at is None else now - self.known_at
+        return None if self.complete_until is None else now - self.complete_until
 
-    def silent(self, name: str, now: timedelta) -> None:
+    def record_relay_timeout(self, name: str, now: timedelta) -> None:
         """Note that a relay did not answer."""
         self._suspects[name] = now + self.drain_time * SUSPECT_PARTS
 
@@ -181,15 +183,15 @@
         heard = (row for row in by_nearness(self._own, others) if self._trusted(row, now))
         return next(heard, None)
 
-    def _as_relay(self, now: timedelta) -> Question:
+    def _as_relay(self, now: timedelta) -> SourceChoice:
         wait = self._time_left(RELAY_AGE_PART, now)
-        return Question(None, wait, self.drain_time * RELAY_PAUSE_PART)
+        return SourceChoice(None, wait, self.drain_time * RELAY_PAUSE_PART)
 
     def _time_left(self, part: float, now: timedelta) -> timedelta:
         """Return the time until the knowledge is as old as this part of the drain time."""
-        if self.known_at is None:
+        if self.complete_until is None:
             return timedelta(0)
-        return max(timedelta(0), self.known_at + self.drain_time * part - now)
+        return max(timedelta(0), self.complete_until + self.drain_time * part - now)
 
     def _trusted(self, row: EntryRecord, now: timedelta) -> bool:
         if self._suspects.get(row.name, _NEVER) > now:
--- a/packages/gateway/src/cardamomloft/gateway/changefeed.py
+++ b/packages/gateway/src/cardamomloft/gateway/changefeed.py
@@ -14,7 +14,7 @@
 from cardamomloft.core.registrations import EntryRecord
 from cardamomloft.feed.changetable import ChangeTable
 from cardamomloft.feed.relays import relays_of
-from cardamomloft.feed.sources import Sources
+from cardamomloft.feed.sources import SourceSelector
 from cardamomloft.gateway.control import Control
 from cardamomloft.gateway.gossip import Gossip
 from cardamomloft.gateway.relayedcontrol import RelayedControl
@@ -79,7 +79,7 @@
         self._own = own
         self._entries = entries
         self._is_announced = is_announced
-        self._sources = Sources(own, drain_time)
+        self._sources = SourceSelector(own, drain_time)
         table = ChangeTable()
         self.port = RelayPort(reactor, clock, table, self._age, self._address_of, metrics)
         self.control = RelayedControl(
--- a/packages/gateway/src/cardamomloft/gateway/following.py
+++ b/packages/gateway/src/cardamomloft/gateway/following.py
@@ -14,7 +14,7 @@
 from cardamomloft.core.clock import Clock
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import Fact
-from cardamomloft.feed.sources import FAILURES_UNTIL_AWAY
+from cardamomloft.feed.sources import FAILURES_UNTIL_UNAVAILABLE
 from cardamomloft.gateway.control import Changes, Control, Listing
 from cardamomloft.runtime.logs import log
 from cardamomloft.store.failures import StoreFailure
@@ -103,7 +103,7 @@
     @property
     def store_unavailable(self) -> bool:
         """Whether the store counts as unavailable, after repeated failures."""
-        return self._failures >= FAILURES_UNTIL_AWAY
+        return self._failures >= FAILURES_UNTIL_UNAVAILABLE
 
     def start(self, on_fault: Callable[[t.Any], None]) -> None:
         """Start following; an unexpected exception ends it and is passed to `on_fault`."""
@@ -178,7 +178,7 @@
 
     def _record_failure(self, failure: StoreFailure) -> None:
         self._failures += 1
-        if self._failures == FAILURES_UNTIL_AWAY:
+        if self._failures == FAILURES_UNTIL_UNAVAILABLE:
             log("store-away", detail=failure.detail)
 
     def _record_success(self) -> None:
--- a/packages/gateway/src/cardamomloft/gateway/forwarding.py
+++ b/packages/gateway/src/cardamomloft/gateway/forwarding.py
@@ -6,7 +6,13 @@
 from datetime import timedelta
 
 from cardamomloft.callers.body import RequestBody
-from cardamomloft.callers.exchange import Answer, RequestHead, failed, to_answer, with_fractions
+from cardamomloft.callers.exchange import (
+    Answer,
+    RequestHead,
+    failed,
+    to_answer,
+    with_fractional_retry_after,
+)
 from cardamomloft.core.budgets import RetryBudget
 from cardamomloft.core.clock import Clock
 from cardamomloft.core.model import Refusal, RefusalReason
@@ -152,7 +158,7 @@
                     self.rng.random(), _DEFAULT_CALLER_WAIT
                 )
             refusal = refusal._replace(retry_after=wait)
-        return with_fractions(to_answer(refusal))
+        return with_fractional_retry_after(to_answer(refusal))
 
     def retry_after_for(self, call: Call, now: timedelta) -> timedelta:
         """Return how long the caller of a refused request should wait before it retries."""
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -262,9 +262,9 @@
         """Remove this entry from look-ups, and continue to serve callers that know its address."""
         log("leaving", in_flight=self.app.in_flight)
         self.presence.withdraw()
-        self.app.closing()
+        self.app.start_closing()
         stop_time = self._bounds.stop_time.total_seconds()
-        self._reactor.callLater(stop_time * LINGER_FRACTION, self.lifecycle.lingered)
+        self._reactor.callLater(stop_time * LINGER_FRACTION, self.lifecycle.lookups_expired)
         self._hard_stop = self._reactor.callLater(
             stop_time * HARD_STOP_FRACTION, self.lifecycle.drained
         )
@@ -360,8 +360,8 @@
             return
         self._reader = RequestReader(plan, self.headers, self._rng)
         self.selector.policies = plan.services
-        self.app.keep_idle(plan.limits.idle_timeout)
-        self.app.bound_heads(plan.limits.head_bytes, plan.limits.head_timeout)
+        self.app.set_idle_timeout(plan.limits.idle_timeout)
+        self.app.set_head_limits(plan.limits.head_bytes, plan.limits.head_timeout)
         log("in-force", configuration=plan.number, rules=len(plan.rules))
         self._check_prepared()
 
--- a/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/relayedcontrol.py
@@ -8,7 +8,7 @@
 from cardamomloft.core.positions import Position
 from cardamomloft.core.registrations import EntryRecord
 from cardamomloft.feed.changetable import ChangeTable
-from cardamomloft.feed.sources import Question, Sources
+from cardamomloft.feed.sources import SourceChoice, SourceSelector
 from cardamomloft.gateway.control import Changes, Control, Listing
 from cardamomloft.gateway.relaying import RelayedChanges, RelayFailure, RelayPort
 from cardamomloft.runtime.logs import log
@@ -48,7 +48,7 @@
         control: Control,
         clock: Clock,
         table: ChangeTable,
-        sources: Sources,
+        sources: SourceSelector,
         port: RelayPort,
         records: Callable[[], list[EntryRecord]],
         metrics: Metrics,
@@ -96,15 +96,15 @@
         requested_at = self._clock.monotonic()
         outcome = await self._control.read()
         if outcome.is_ok():
-            self._table.listed(outcome.ok.facts, outcome.ok.index)
-            self._sources.complete(requested_at)
+            self._table.apply_listing(outcome.ok.facts, outcome.ok.index)
+            self._sources.record_complete(requested_at)
             self._port.answer_held_requests()
         return outcome
 
     async def _changes(self, after: Position, wait: timedelta) -> Result[Changes, StoreFailure]:
         if not wait:
             return await self._changes_while_failing(after)
-        request = self._sources.next(self._records(), self._clock.monotonic())
+        request = self._sources.next_source(self._records(), self._clock.monotonic())
         if request.relay is None:
             max_wait = wait if request.wait is None else request.wait
             return await self._from_store(after, max_wait, request.pause)
@@ -112,11 +112,13 @@
 
     async def _changes_while_failing(self, after: Position) -> Result[Changes, StoreFailure]:
         """Learn from a relay if the store may have recovered; if so, request from the store."""
-        request = self._sources.next_while_failing(self._records(), self._clock.monotonic())
+        request = self._sources.next_source_during_outage(self._records(), self._clock.monotonic())
         if request.relay is None:
             return await self._from_store_without_wait(after)
         wait = request.wait or timedelta(0)
-        match await self._port.request_changes(request.relay, after, wait, self._sources.patience):
+        match await self._port.request_changes(
+            request.relay, after, wait, self._sources.relay_timeout
+        ):
             case Result(tag="ok", ok=relayed) if self._is_store_still_unavailable(relayed, after):
                 delegated = StoreFailure(
                     False, f"relay {request.relay.name} checks whether the store has recovered"
@@ -133,10 +135,12 @@
         outcome = await self._from_store(after, timedelta(0), None)
         if outcome.is_ok() or self._stopped:
             return outcome
-        relay = self._sources.relay(self._records(), self._clock.monotonic())
+        relay = self._sources.usable_relay(self._records(), self._clock.monotonic())
         if relay is None:
             return outcome
-        match await self._port.request_changes(relay, after, timedelta(0), self._sources.patience):
+        match await self._port.request_changes(
+            relay, after, timedelta(0), self._sources.relay_timeout
+        ):
             case Result(tag="ok", ok=relayed) if self._is_current(relayed, after):
                 return Ok(self._apply_relayed(relayed, after, None)._replace(failure=outcome.error))
             case Result(tag="error", error=failure) if not failure.cancelled:
@@ -144,10 +148,10 @@
         return outcome
 
     async def _from_relay(
-        self, relay: EntryRecord, request: Question, after: Position
+        self, relay: EntryRecord, request: SourceChoice, after: Position
     ) -> Result[Changes, StoreFailure]:
         wait = request.wait or timedelta(0)
-        match await self._port.request_changes(relay, after, wait, self._sources.patience):
+        match await self._port.request_changes(relay, after, wait, self._sources.relay_timeout):
             case Result(tag="ok", ok=relayed) if self._is_current(relayed, after):
                 return Ok(self._apply_relayed(relayed, after, request.pause))
             case Result(tag="error", error=RelayFailure(cancelled=True, detail=detail)):
@@ -160,9 +164,9 @@
         self, relayed: RelayedChanges, after: Position, pause: timedelta | None
     ) -> Changes:
         self._metrics.count("changes_from_relay")
-        self._sources.complete(relayed.complete_at)
+        self._sources.record_complete(relayed.complete_at)
         if relayed.whole:
-            self._table.listed(relayed.facts, relayed.index)
+            self._table.apply_listing(relayed.facts, relayed.index)
             self._port.answer_held_requests()
             return Changes(relayed.facts, relayed.index, whole=True, pause=pause)
         index = max(after, relayed.index)
@@ -170,7 +174,9 @@
         return Changes(relayed.facts, index, pause=pause)
 
     def _is_store_still_unavailable(self, relayed: RelayedChanges, after: Position) -> bool:
-        return not self._sources.is_back(relayed.complete_at) and self._is_current(relayed, after)
+        return not self._sources.shows_recovery(relayed.complete_at) and self._is_current(
+            relayed, after
+        )
 
     def _is_current(self, relayed: RelayedChanges, after: Position) -> bool:
         """Return whether a relay's answer is no older than the data of this gateway."""
@@ -180,13 +186,13 @@
 
     def _revision_decreased(self, relayed: RelayedChanges, after: Position) -> bool:
         """Return whether a relay saw a lower revision later: the store has reset its revisions."""
-        own = self._sources.known_at
+        own = self._sources.complete_until
         return relayed.index < after and own is not None and relayed.complete_at > own
 
     def _record_relay_failure(self, relay: EntryRecord, failure: RelayFailure) -> None:
         self._metrics.count("relay_silent")
         log("relay-silent", relay=relay.name, detail=failure.detail)
-        self._sources.silent(relay.name, self._clock.monotonic())
+        self._sources.record_relay_timeout(relay.name, self._clock.monotonic())
 
     async def _from_store(
         self, after: Position, wait: timedelta, pause: timedelta | None
@@ -195,16 +201,16 @@
         requested_at = self._clock.monotonic()
         outcome = await self._control.changes(after, wait)
         if outcome.is_error():
-            self._sources.store_failed(requested_at)
+            self._sources.record_store_failure(requested_at)
             return outcome
-        self._sources.store_answered()
+        self._sources.record_store_answer()
         if outcome.ok.lost:
             return outcome
         # After a wait the answer is current; without one it may be as old as the request.
-        self._sources.complete(self._clock.monotonic() if wait else requested_at)
+        self._sources.record_complete(self._clock.monotonic() if wait else requested_at)
         self._record_changes(outcome.ok.facts, outcome.ok.index)
         return Ok(outcome.ok._replace(pause=pause))
 
     def _record_changes(self, facts: t.Iterable[t.Any], index: int) -> None:
-        self._table.changed(facts, index)
+        self._table.apply_changes(facts, index)
         self._port.answer_held_requests()
--- a/packages/gateway/src/cardamomloft/gateway/relaying.py
+++ b/packages/gateway/src/cardamomloft/gateway/relaying.py
@@ -238,7 +238,7 @@
         pending.done.callback(outcome)
 
     def _has_changes(self, request: ChangesRequest) -> bool:
-        return self._table.since(Position(request.era, request.after)) != ()
+        return self._table.changes_since(Position(request.era, request.after)) != ()
 
     def _on_hold_timeout(self, request: ChangesRequest, requester: Incarnation) -> None:
         self._release(
@@ -254,8 +254,8 @@
 
     def _send_answer(self, held: _HeldRequest) -> None:
         age, table, request = self._age(), self._table, held.request
-        changed = table.since(Position(request.era, request.after))
-        facts = table.whole() if changed is None else changed
+        changed = table.changes_since(Position(request.era, request.after))
+        facts = table.all_facts() if changed is None else changed
         answer = ChangesResponse(
             request.number,
             table.index.era,
--- a/packages/gateway/src/cardamomloft/gateway/requestrun.py
+++ b/packages/gateway/src/cardamomloft/gateway/requestrun.py
@@ -9,7 +9,7 @@
 from functools import cached_property
 
 from cardamomloft.callers.body import RequestBody
-from cardamomloft.callers.exchange import Answer, RequestHead, failed, late
+from cardamomloft.callers.exchange import Answer, RequestHead, deadline_exceeded, failed
 from cardamomloft.core.cachestate import CacheState
 from cardamomloft.core.estimates import expected_load
 from cardamomloft.core.fingerprints import fingerprint
@@ -236,7 +236,7 @@
 
     def _may_retry(self, outcome: Outcome) -> bool:
         not_run = isinstance(outcome, Refused) or (isinstance(outcome, Failed) and outcome.not_run)
-        if not isinstance(self._payload, bytes) and not self._payload.untouched:
+        if not isinstance(self._payload, bytes) and not self._payload.unconsumed:
             return False
         call, now = self._call, self._now()
         attempts = min(call.rule.attempts - self._deliveries, MAX_SENDS - len(self._tried))
@@ -279,7 +279,7 @@
             refusal = refusal or Refusal(RefusalReason.SHED, detail)
             return forwarder.refuse(refusal, forwarder.retry_after_for(self._call, now))
         forwarder.metrics.count(outcome)
-        return late(detail) if outcome == "late" else failed(detail)
+        return deadline_exceeded(detail) if outcome == "late" else failed(detail)
 
     def _cut_request_fields(self) -> dict[str, str]:
         """Return log fields that identify a request whose connection was cut."""
--- a/packages/gateway/src/cardamomloft/gateway/storecontrol.py
+++ b/packages/gateway/src/cardamomloft/gateway/storecontrol.py
@@ -28,7 +28,7 @@
 from cardamomloft.gateway.documents import load_plan, load_registration
 from cardamomloft.gateway.entryrecords import encode_entry, read_entry
 from cardamomloft.store.failures import StoreFailure
-from cardamomloft.store.keyvalue import Listed, Record, Store
+from cardamomloft.store.keyvalue import ListResult, Record, Store
 from expression import Error, Ok, Result
 from twisted.internet.defer import Deferred, ensureDeferred, succeed
 
@@ -80,7 +80,7 @@
         listed = await self._store.list(self._prefix)
         return listed.map(lambda found: Changes(self._differences(found), _position(found)))
 
-    def _differences(self, listed: Listed) -> tuple[Fact, ...]:
+    def _differences(self, listed: ListResult) -> tuple[Fact, ...]:
         records = {key.removeprefix(self._prefix): row for key, row in listed.records.items()}
         facts = [_removed(key) for key in self._known if key not in records]
         facts += [
@@ -119,7 +119,7 @@
         return self._store.release(lease)
 
 
-def _position(listed: Listed) -> Position:
+def _position(listed: ListResult) -> Position:
     # The key-value interface has no eras.
     return Position(0, listed.index)
 
--- a/packages/gateway/src/cardamomloft/gateway/storeview.py
+++ b/packages/gateway/src/cardamomloft/gateway/storeview.py
@@ -28,7 +28,7 @@
 from cardamomloft.core.routes import RoutePlan
 from cardamomloft.core.selection import Selector
 from cardamomloft.core.upstreamtable import UpstreamTable
-from cardamomloft.feed.changetable import FactKey, is_same, key_of
+from cardamomloft.feed.changetable import FactKey, is_same_fact, key_of
 from cardamomloft.gateway.control import Listing
 from cardamomloft.runtime.logs import ReportedProblems, log
 from cardamomloft.runtime.metrics import Metrics
@@ -151,7 +151,7 @@
 
     def _is_unconfirmed(self, fact: Fact) -> bool:
         unconfirmed = self._unconfirmed.get(key_of(fact))
-        return unconfirmed is not None and is_same(unconfirmed.fact, fact)
+        return unconfirmed is not None and is_same_fact(unconfirmed.fact, fact)
 
     def apply_changes(self, facts: tuple[Fact, ...]) -> None:
         """Apply facts that have changed, in order."""
--- a/packages/gateway/tests/test_crashing_requests.py
+++ b/packages/gateway/tests/test_crashing_requests.py
@@ -62,7 +62,7 @@
 def crash_three(fleet, gateways) -> None:
     """Send the poison request to these gateways in turn until three endpoints have ended."""
     for number in range(50):
-        endpoints.ask(gateways[number % len(gateways)]["callers"], POISON)
+        endpoints.send_request(gateways[number % len(gateways)]["callers"], POISON)
         if len({arrival.endpoint for arrival in fleet.arrivals}) >= ENDED:
             return
         time.sleep(0.4)
@@ -77,7 +77,7 @@
     crash_three(fleet, fleet.settings[:1] if seen_by == "one gateway" else fleet.settings[-3:])
     time.sleep(CONTACT_S)
     before = fleet.poison()
-    answers = [endpoints.ask(cfg["callers"], POISON) for cfg in fleet.settings * 2]
+    answers = [endpoints.send_request(cfg["callers"], POISON) for cfg in fleet.settings * 2]
     assert fleet.poison() == before
     assert {answer.status for answer in answers} == {503}
     assert all(float(answer.headers["Retry-After"]) > 0 for answer in answers)
@@ -86,7 +86,7 @@
 def test_other_requests_for_the_same_object_are_served_on(fleet):
     crash_three(fleet, fleet.settings)
     time.sleep(CONTACT_S)
-    answers = [endpoints.ask(cfg["callers"], "/menus/17") for cfg in fleet.settings]
+    answers = [endpoints.send_request(cfg["callers"], "/menus/17") for cfg in fleet.settings]
     assert {answer.status for answer in answers} == {200}
 
 
@@ -96,5 +96,5 @@
     assert processes.eventually(fleet.know_each_other, 60)
     time.sleep(CONTACT_S)
     before = fleet.poison()
-    assert endpoints.ask(late["callers"], POISON).status == 503
+    assert endpoints.send_request(late["callers"], POISON).status == 503
     assert fleet.poison() == before
--- a/packages/gateway/tests/test_following.py
+++ b/packages/gateway/tests/test_following.py
@@ -33,7 +33,7 @@
 
 def _listed() -> kit.FakeControl:
     control = kit.FakeControl(Ok(kit.listing(index=10)))
-    control.next = kit.no_changes()
+    control.next_changes = kit.no_changes()
     return control
 
 
@@ -49,7 +49,7 @@
 def test_changes_are_passed_on_and_the_index_moves():
     run = Run(_listed())
     fact = UpstreamWithdrawn("i-1")
-    run.control.next = Ok(Changes((fact,), kit.at(14)))
+    run.control.next_changes = Ok(Changes((fact,), kit.position(14)))
     run.time.advance(2 * INTERVAL)
     assert run.changes[0] == (fact,)
     assert run.control.calls[-1] == "changes 14"
@@ -57,9 +57,9 @@
 
 def test_a_lost_history_leads_to_a_new_list_soon():
     run = Run(_listed())
-    run.control.next = Ok(Changes((), kit.at(10), lost=True))
+    run.control.next_changes = Ok(Changes((), kit.position(10), lost=True))
     run.time.advance(INTERVAL + 100 * MS)
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
     run.time.advance(600 * MS)
     assert run.control.calls.count("read") == 2
     assert len(run.listings) == 2
@@ -73,20 +73,20 @@
 
 def test_one_failure_is_no_outage():
     run = Run(_listed())
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(INTERVAL + 100 * MS)
     assert not run.follower.store_unavailable
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
     run.time.advance(INTERVAL)
     assert run.returned == []
 
 
 def test_the_return_after_an_outage_is_told_once():
     run = Run(_listed())
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(5 * INTERVAL)
     assert run.follower.store_unavailable
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
     run.time.advance(3 * INTERVAL)
     assert run.returned == [()]
 
@@ -108,7 +108,7 @@
     run.control.pending = Deferred()
     run.time.advance(1500 * MS)
     answered, run.control.pending = run.control.pending, Deferred()
-    answered.callback(Ok(Changes((UpstreamWithdrawn("i-1"),), kit.at(11))))
+    answered.callback(Ok(Changes((UpstreamWithdrawn("i-1"),), kit.position(11))))
     assert run.changes == [(UpstreamWithdrawn("i-1"),)]
     run.time.advance(0.8 * INTERVAL)
     assert run.control.calls == ["read", "changes 10"]
@@ -119,10 +119,10 @@
 def test_after_a_failure_the_store_is_not_to_wait():
     run = Run(_listed())
     run.time.advance(INTERVAL)
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(3 * INTERVAL)
     asked = len(run.control.waits)
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
     run.time.advance(2 * INTERVAL)
     assert run.control.waits[asked - 1] == run.control.waits[asked] == 0 * MS
     assert run.control.waits[-1] == WAIT
@@ -130,7 +130,7 @@
 
 def test_a_question_that_waits_is_asked_anew_when_another_call_has_failed():
     run = Run(_listed())
-    run.control.pending = Deferred(lambda asked: asked.callback(kit.AWAY))
+    run.control.pending = Deferred(lambda asked: asked.callback(kit.STORE_UNAVAILABLE))
     run.time.advance(1500 * MS)
     run.control.pending = None
     run.follower.poll_now()
@@ -141,7 +141,7 @@
 
 def test_a_doubt_changes_nothing_while_the_store_fails_anyway_or_nothing_is_asked():
     run = Run(_listed())
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(3 * INTERVAL)
     asked = len(run.control.calls)
     run.follower.poll_now()
@@ -160,7 +160,7 @@
 
 def test_an_end_while_the_store_waits_is_final_too():
     run = Run(_listed())
-    run.control.pending = Deferred(lambda asked: asked.callback(kit.AWAY))
+    run.control.pending = Deferred(lambda asked: asked.callback(kit.STORE_UNAVAILABLE))
     run.time.advance(1500 * MS)
     run.follower.stop()
     assert run.time.reactor.getDelayedCalls() == []
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -5,76 +5,78 @@
 from cardamomloft.gateway import records
 from cardamomloft.gateway.status import GatewayStatus
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.assembled import MS, Run
+from cardamomloft_standins.gatewayharness import MS, GatewayHarness
 from expression import Ok
 from twisted.internet.defer import Deferred
 
 
 def test_it_serves_once_it_has_a_configuration_and_the_list():
     control = kit.FakeControl()
-    run = Run(control)
+    run = GatewayHarness(control)
     assert not run.gateway.ready()
-    assert run.ask().status == 503
+    assert run.send_request().status == 503
     control.listing = Ok(kit.listing(kit.registration(1)))
     run.time.advance(1000 * MS)
     assert run.gateway.ready()
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
 
 
 def test_a_request_without_a_rule_is_not_found_only_once_rules_are_known():
     control = kit.FakeControl()
-    run = Run(control)
-    assert run.ask(host="unknown.example").status == 503
-    assert Run().ask(host="unknown.example").status == 404
+    run = GatewayHarness(control)
+    assert run.send_request(host="unknown.example").status == 503
+    assert GatewayHarness().send_request(host="unknown.example").status == 404
 
 
 def test_it_is_recorded_when_ready_and_not_before():
-    assert "record e-1" in Run().control.calls
-    assert "record e-1" not in Run(kit.FakeControl()).control.calls
+    assert "record e-1" in GatewayHarness().control.calls
+    assert "record e-1" not in GatewayHarness(kit.FakeControl()).control.calls
 
 
 def test_a_newer_configuration_is_in_force_and_an_older_one_never():
-    run = Run()
-    run.change(PlanRead(kit.plan(5, rules=[kit.RULE])))
-    assert run.ask("/orders/1").status == 404
-    run.change(PlanRead(kit.plan(4)))
-    assert run.ask("/orders/1").status == 404
-    run.change(PlanRead(kit.plan(6)))
-    assert run.ask("/orders/1").status == 200
+    run = GatewayHarness()
+    run.deliver_changes(PlanRead(kit.plan(5, rules=[kit.RULE])))
+    assert run.send_request("/orders/1").status == 404
+    run.deliver_changes(PlanRead(kit.plan(4)))
+    assert run.send_request("/orders/1").status == 404
+    run.deliver_changes(PlanRead(kit.plan(6)))
+    assert run.send_request("/orders/1").status == 200
 
 
 def test_look_ups_name_the_recorded_entries_of_the_region():
-    run = Run()
+    run = GatewayHarness()
     for number, zone, region in ((2, "a", "east"), (3, "b", "west")):
-        run.change(EntryRecorded(EntryRecord(f"e-{number}", f"10.0.0.{number}:80", zone, region)))
+        run.deliver_changes(
+            EntryRecorded(EntryRecord(f"e-{number}", f"10.0.0.{number}:80", zone, region))
+        )
     assert run.lookup().addresses == ["127.0.0.1:7101", "10.0.0.2:80"]
     assert run.lookup("b", "west").addresses == ["10.0.0.3:80"]
-    run.change(EntryWithdrawn("e-2"))
+    run.deliver_changes(EntryWithdrawn("e-2"))
     assert run.lookup().addresses == ["127.0.0.1:7101"]
 
 
 def test_without_a_configuration_look_ups_are_refused():
-    assert isinstance(Run(kit.FakeControl()).lookup(), Refusal)
+    assert isinstance(GatewayHarness(kit.FakeControl()).lookup(), Refusal)
 
 
 def test_a_planned_stop_leaves_the_look_ups_at_once_and_serves_on():
-    run = Run()
-    run.change(EntryRecorded(EntryRecord("e-2", "10.0.0.2:80", "a", "east")))
+    run = GatewayHarness()
+    run.deliver_changes(EntryRecorded(EntryRecord("e-2", "10.0.0.2:80", "a", "east")))
     run.gateway.stop()
     run.time.advance(20 * MS)
     assert not run.gateway.ready()
     assert run.control.calls[-1] == "withdraw 7"
     assert run.lookup().addresses == ["10.0.0.2:80"]
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
     assert not run.gateway.stopped.called
 
 
 def test_a_planned_stop_waits_for_requests_in_flight_and_ends_in_time():
-    run = Run()
+    run = GatewayHarness()
     run.gateway.app.in_flight = 1
     run.gateway.stop()
     run.time.advance(4000 * MS)
-    assert run.ask().status == 503
+    assert run.send_request().status == 503
     assert not run.gateway.stopped.called
     run.gateway.app.in_flight = 0
     run.gateway.app._drained.check()
@@ -83,7 +85,7 @@
 
 
 def test_a_planned_stop_ends_before_it_would_be_killed():
-    run = Run()
+    run = GatewayHarness()
     run.gateway.app.in_flight = 1
     run.gateway.stop()
     run.time.advance(5900 * MS)
@@ -91,7 +93,7 @@
 
 
 def test_a_process_that_has_stopped_asks_nothing_more():
-    run = Run()
+    run = GatewayHarness()
     run.gateway.stop()
     run.time.advance(6000 * MS)
     asked = len(run.control.calls)
@@ -100,9 +102,9 @@
 
 
 def test_the_operators_pages_show_the_state():
-    run = Run()
+    run = GatewayHarness()
     status = GatewayStatus(run.gateway)
-    run.ask()
+    run.send_request()
     assert status.ready()
     page = status.status()
     assert (page["state"], page["configuration"], page["upstreams"]) == ("ready", 1, 1)
@@ -111,7 +113,7 @@
 
 
 def test_a_request_is_explained():
-    status = GatewayStatus(Run().gateway)
+    status = GatewayStatus(GatewayHarness().gateway)
     assert status.explain({"host": "a.example", "path": "/menus/7"})["rule"] == "menus"
     assert status.explain({"host": "x.example"})["refused"] == "no-such-service"
 
@@ -119,11 +121,11 @@
 def test_each_refused_request_has_a_log_line_with_its_id_and_the_configuration(monkeypatch):
     lines = []
     monkeypatch.setattr(records, "log", lambda event, **fields: lines.append((event, fields)))
-    run = Run()
-    run.ask(host="unknown.example")
+    run = GatewayHarness()
+    run.send_request(host="unknown.example")
     run.gateway.stop()
     run.time.advance(4000 * MS)
-    run.ask()
+    run.send_request()
     (_, unknown), (_, stopping) = lines
     assert (unknown["id"], unknown["configuration"]) == ("id-1", 1)
     assert unknown["reason"] == "no-such-service"
@@ -133,12 +135,12 @@
 def test_log_lines_of_requests_are_bounded_and_counted(monkeypatch):
     lines = []
     monkeypatch.setattr(records, "log", lambda event, **fields: lines.append((event, fields)))
-    run = Run()
+    run = GatewayHarness()
     for _ in range(records.MAX_LINES_PER_S + 40):
-        run.ask(host="unknown.example")
+        run.send_request(host="unknown.example")
     assert len(lines) == records.MAX_LINES_PER_S
     run.time.advance(1500 * MS)
-    run.ask(host="unknown.example")
+    run.send_request(host="unknown.example")
     assert ("requests-not-logged", {"count": 40}) in lines
 
 
@@ -148,10 +150,10 @@
     The store did not answer, so a relay was to be asked, in the middle of the last step of the
     stop, where the state of the life cycle can't be read.
     """
-    run = Run()
-    run.control.next = kit.AWAY
+    run = GatewayHarness()
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(3000 * MS)
-    run.control.pending = Deferred(lambda asked: asked.callback(kit.AWAY))
+    run.control.pending = Deferred(lambda asked: asked.callback(kit.STORE_UNAVAILABLE))
     run.time.advance(600 * MS)
     run.gateway.stop()
     run.time.advance(6000 * MS)
--- a/packages/gateway/tests/test_gateway_forwarding.py
+++ b/packages/gateway/tests/test_gateway_forwarding.py
@@ -2,20 +2,20 @@
 
 import pytest
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.carrying import (
+from cardamomloft_standins.forwarderharness import (
     CUT_SHORT,
     MISDIRECTED,
     MS,
     NOT_CONNECTED,
     RESET,
     SHED,
-    Bench,
+    ForwarderHarness,
     header,
 )
 
 
 def test_an_answer_is_passed_on_unchanged():
-    bench = Bench(kit.answer(207, b"whole", x_stamp="s-1", connection="close"))
+    bench = ForwarderHarness(kit.answer(207, b"whole", x_stamp="s-1", connection="close"))
     answer = bench.answer()
     assert (answer.status, answer.body) == (207, b"whole")
     assert header(answer, "x-stamp") == "s-1"
@@ -23,7 +23,7 @@
 
 
 def test_the_endpoint_gets_the_request_as_it_was_and_the_time_left():
-    bench = Bench(kit.answer())
+    bench = ForwarderHarness(kit.answer())
     bench.answer("/orders/1", b"two boxes")
     (sent,) = bench.client.sent
     assert (sent.method, sent.path, sent.body) == ("GET", "/orders/1", b"two boxes")
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("path", ["/menus/7", "/orders/1"])
 @pytest.mark.parametrize("first", [SHED, MISDIRECTED, NOT_CONNECTED])
 def test_what_was_not_run_goes_to_another_endpoint(path, first):
-    bench = Bench(first, kit.answer())
+    bench = ForwarderHarness(first, kit.answer())
     assert bench.answer(path, b"two boxes").status == 200
     first_sent, second_sent = bench.client.sent
     assert first_sent.endpoint.name != second_sent.endpoint.name
@@ -44,14 +44,14 @@
 
 @pytest.mark.parametrize("first", [RESET, CUT_SHORT])
 def test_an_idempotent_request_is_repeated_after_a_failure(first):
-    bench = Bench(first, kit.answer())
+    bench = ForwarderHarness(first, kit.answer())
     assert bench.answer().status == 200
     assert len(bench.client.sent) == 2
 
 
 @pytest.mark.parametrize("first", [RESET, CUT_SHORT])
 def test_a_request_that_may_have_run_is_never_sent_again_nor_called_not_run(first):
-    bench = Bench(first, kit.answer())
+    bench = ForwarderHarness(first, kit.answer())
     answer = bench.answer("/orders/1")
     assert answer.status == 502
     assert header(answer, "retry-after") is None
@@ -59,48 +59,48 @@
 
 
 def test_a_failure_after_a_refusal_is_not_called_not_run():
-    bench = Bench(SHED, RESET)
+    bench = ForwarderHarness(SHED, RESET)
     assert bench.answer("/orders/1").status == 502
 
 
 def test_a_refusal_after_a_failure_is_not_called_not_run():
-    bench = Bench(RESET, SHED)
+    bench = ForwarderHarness(RESET, SHED)
     assert bench.answer().status == 502
 
 
 def test_no_more_endpoints_get_it_than_the_rule_allows():
-    bench = Bench(SHED)
+    bench = ForwarderHarness(SHED)
     answer = bench.answer()
     assert answer.status == 503
     assert len(bench.client.sent) == kit.RULE.attempts
 
 
 def test_connections_that_failed_do_not_count_as_attempts_but_are_bounded():
-    bench = Bench(NOT_CONNECTED, endpoints=8)
+    bench = ForwarderHarness(NOT_CONNECTED, endpoints=8)
     assert bench.answer().status == 503
     assert len(bench.client.sent) <= 4
 
 
 def test_without_budget_nothing_is_repeated_after_an_arrival():
-    bench = Bench(SHED, kit.answer(), slack=0)
+    bench = ForwarderHarness(SHED, kit.answer(), slack=0)
     assert bench.answer().status == 503
     assert len(bench.client.sent) == 1
 
 
 def test_a_failed_connection_needs_no_budget():
-    bench = Bench(NOT_CONNECTED, kit.answer(), slack=0)
+    bench = ForwarderHarness(NOT_CONNECTED, kit.answer(), slack=0)
     assert bench.answer().status == 200
 
 
 def test_refused_callers_are_told_when_to_come_back_in_fractions():
-    waits = {float(header(Bench(SHED).answer(), "retry-after")) for _ in range(3)}
+    waits = {float(header(ForwarderHarness(SHED).answer(), "retry-after")) for _ in range(3)}
     assert all(0.1 < wait < 1 for wait in waits)
 
 
 @pytest.mark.parametrize(("load", "keeps"), [("1,0,4", True), ("4,3,4", False), ("3,1,4", False)])
 def test_a_refusing_endpoint_keeps_its_keys_if_it_reports_a_free_slot(load, keeps):
     shed = kit.answer(503, b"", not_run=True, x_load=load)
-    bench = Bench(shed, kit.answer())
+    bench = ForwarderHarness(shed, kit.answer())
     bench.answer()
     first, _ = bench.client.sent
     bench.answer()
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
 def test_a_refusal_without_its_mark_is_not_passed_on_as_not_run(status):
     """Callers would repeat an order that may have run."""
-    bench = Bench(kit.answer(status, b"busy", x_stamp="s-1"))
+    bench = ForwarderHarness(kit.answer(status, b"busy", x_stamp="s-1"))
     answer = bench.answer("/orders/1")
     assert answer.status == 502
     assert header(answer, "x-stamp") is None
@@ -118,12 +118,12 @@
 
 
 def test_an_idempotent_request_refused_without_a_mark_goes_to_another():
-    bench = Bench(kit.answer(503, b"busy"), kit.answer())
+    bench = ForwarderHarness(kit.answer(503, b"busy"), kit.answer())
     assert bench.answer().status == 200
 
 
 def test_a_body_that_does_not_come_in_time_is_refused_as_not_run():
-    bench = Bench(kit.answer())
+    bench = ForwarderHarness(kit.answer())
     results = []
     bench.start("/orders/1", b"two boxes", whole=False).addBoth(results.append)
     bench.time.advance(990 * MS)
@@ -134,49 +134,49 @@
 
 
 def test_a_failed_endpoints_own_status_is_passed_on():
-    bench = Bench(kit.answer(500, b"broken"))
+    bench = ForwarderHarness(kit.answer(500, b"broken"))
     answer = bench.answer("/orders/1")
     assert (answer.status, answer.body) == (500, b"broken")
     assert len(bench.client.sent) == 1
 
 
 def test_an_idempotent_request_that_an_endpoint_failed_goes_to_another():
-    bench = Bench(kit.answer(500, b"broken"), kit.answer())
+    bench = ForwarderHarness(kit.answer(500, b"broken"), kit.answer())
     assert bench.answer().status == 200
     assert len(bench.client.sent) == 2
 
 
 @pytest.mark.parametrize("second", [SHED, RESET, NOT_CONNECTED])
 def test_the_status_of_a_failed_endpoint_stands_if_nothing_better_comes(second):
-    bench = Bench(kit.answer(500, b"broken"), second)
+    bench = ForwarderHarness(kit.answer(500, b"broken"), second)
     answer = bench.answer()
     assert (answer.status, answer.body) == (500, b"broken")
 
 
 def test_an_endpoint_that_fails_again_and_again_rests():
-    bench = Bench(kit.answer(500, b"broken"), endpoints=1)
+    bench = ForwarderHarness(kit.answer(500, b"broken"), endpoints=1)
     for _ in range(2):
         bench.answer("/orders/1")
-    (upstream,) = bench.book.of_service("menus")
+    (upstream,) = bench.table.of_service("menus")
     assert upstream.ejected_until > bench.time.clock.monotonic()
 
 
 def test_when_the_caller_leaves_its_work_is_given_up():
-    bench = Bench(None)
+    bench = ForwarderHarness(None)
     done = bench.start()
     bench.gone.callback(None)
     assert bench.client.cancelled == 1
-    assert all(up.in_flight == 0 for up in bench.book.of_service("menus"))
+    assert all(up.in_flight == 0 for up in bench.table.of_service("menus"))
     results = []
     done.addBoth(results.append)
     assert results
     assert len(bench.client.sent) == 1
     assert bench.metrics.counters["caller-left"] == 1
-    assert not any(up.failures for up in bench.book.of_service("menus"))
+    assert not any(up.failures for up in bench.table.of_service("menus"))
 
 
 def test_log_lines_of_a_request_say_where_it_went_and_by_what_knowledge():
-    bench = Bench(SHED, RESET)
+    bench = ForwarderHarness(SHED, RESET)
     lines = []
     bench.forwarder.records.write = lambda call, outcome, now, **fields: lines.append(fields)
     bench.answer("/orders/1")
@@ -188,28 +188,28 @@
 
 
 def test_a_misdirected_endpoint_gets_nothing_more():
-    bench = Bench(MISDIRECTED, kit.answer())
+    bench = ForwarderHarness(MISDIRECTED, kit.answer())
     bench.answer()
     refused = bench.client.sent[0].endpoint.name
-    assert refused not in [up.id for up in bench.book.of_service("menus")]
+    assert refused not in [up.id for up in bench.table.of_service("menus")]
 
 
 def test_a_load_report_is_kept_without_the_request_that_brought_it():
-    bench = Bench(kit.answer(x_load="3,2,4"))
+    bench = ForwarderHarness(kit.answer(x_load="3,2,4"))
     bench.answer()
     name = bench.client.sent[0].endpoint.name
-    report = bench.book.get(name).report
+    report = bench.table.get(name).report
     assert (report.running, report.waiting, report.slots, report.own) == (3, 2, 4, 0)
 
 
 @pytest.mark.parametrize("text", ["3,2", "a,b,c", "", "3,2,4,5"])
 def test_an_odd_load_report_is_ignored(text):
-    bench = Bench(kit.answer(x_load=text))
+    bench = ForwarderHarness(kit.answer(x_load=text))
     assert bench.answer().status == 200
-    assert bench.book.get(bench.client.sent[0].endpoint.name).report is None
+    assert bench.table.get(bench.client.sent[0].endpoint.name).report is None
 
 
 def test_without_endpoints_it_is_refused_as_not_run():
-    bench = Bench(kit.answer(), endpoints=0)
+    bench = ForwarderHarness(kit.answer(), endpoints=0)
     assert bench.answer().status == 503
     assert bench.client.sent == []
--- a/packages/gateway/tests/test_gateway_store.py
+++ b/packages/gateway/tests/test_gateway_store.py
@@ -11,7 +11,7 @@
 )
 from cardamomloft.gateway.control import Changes
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.assembled import MS, Run
+from cardamomloft_standins.gatewayharness import MS, GatewayHarness
 from expression import Ok
 from twisted.internet.defer import Deferred
 
@@ -19,34 +19,36 @@
 
 
 def listed(run, *facts):
-    run.control.next = Ok(Changes((), kit.at(10), lost=True))
+    run.control.next_changes = Ok(Changes((), kit.position(10), lost=True))
     run.control.listing = Ok(kit.listing()._replace(facts=facts))
     run.time.advance(2000 * MS)
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
 
 
 def test_an_unreadable_item_leaves_the_last_good_state():
-    run = Run()
-    run.change(Unreadable("config", "no rules"), Unreadable("upstreams/i-1", "no slots"))
-    assert run.ask().status == 200
+    run = GatewayHarness()
+    run.deliver_changes(Unreadable("config", "no rules"), Unreadable("upstreams/i-1", "no slots"))
+    assert run.send_request().status == 200
 
 
 def test_a_list_with_an_unreadable_registration_names_no_endpoint_there_and_keeps_the_others():
-    run = Run()
-    run.change(UpstreamRegistered(kit.registration(2)), UpstreamRegistered(kit.registration(3)))
+    run = GatewayHarness()
+    run.deliver_changes(
+        UpstreamRegistered(kit.registration(2)), UpstreamRegistered(kit.registration(3))
+    )
     listed(run, UNREADABLE, UpstreamRegistered(kit.registration(2)))
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
     assert {request.endpoint.name for request in run.client.sent} == {"i-2"}
 
 
 def test_an_unreadable_registration_is_not_used_until_it_is_readable_again():
-    run = Run()
-    run.change(UNREADABLE)
-    assert run.ask().status == 503 and run.client.sent == []
-    run.change(UpstreamRegistered(kit.registration(1)), index=12)
-    assert run.ask().status == 200
+    run = GatewayHarness()
+    run.deliver_changes(UNREADABLE)
+    assert run.send_request().status == 503 and run.client.sent == []
+    run.deliver_changes(UpstreamRegistered(kit.registration(1)), index=12)
+    assert run.send_request().status == 200
     listed(run, UNREADABLE)
-    assert run.ask().status == 503
+    assert run.send_request().status == 503
 
 
 def test_what_is_unreadable_is_logged_once_and_again_when_it_was_mended(monkeypatch):
@@ -54,25 +56,29 @@
     monkeypatch.setattr(
         "cardamomloft.gateway.storeview.log", lambda name, **row: lines.append(name)
     )
-    run = Run()
+    run = GatewayHarness()
     for index in (11, 12, 13):
-        run.change(UNREADABLE, Unreadable("entries/e-9", "no address"), index=index)
+        run.deliver_changes(UNREADABLE, Unreadable("entries/e-9", "no address"), index=index)
     assert lines.count("unreadable") == 2
-    run.change(UpstreamRegistered(kit.registration(1)), index=14)
-    run.change(UNREADABLE, index=15)
+    run.deliver_changes(UpstreamRegistered(kit.registration(1)), index=14)
+    run.deliver_changes(UNREADABLE, index=15)
     assert lines.count("unreadable") == 3
 
 
 def test_a_new_life_under_an_old_id_gets_no_kept_connection_of_the_one_before():
-    run = Run()
-    run.change(UpstreamRegistered(kit.registration(1, started_ms=5)))
-    run.change(UpstreamRegistered(kit.registration(1, started_ms=5, draining=True)), index=12)
-    assert run.client.forgotten == ["10.0.0.1:80"]
-    run.change(UpstreamRegistered(kit.registration(1, started_ms=9)), index=13)
-    assert run.client.forgotten == ["10.0.0.1:80"] * 2
-    assert run.ask().status == 200
-    run.change(UpstreamRegistered(kit.registration(1, started_ms=5, draining=True)), index=14)
-    assert run.ask().status == 200
+    run = GatewayHarness()
+    run.deliver_changes(UpstreamRegistered(kit.registration(1, started_ms=5)))
+    run.deliver_changes(
+        UpstreamRegistered(kit.registration(1, started_ms=5, draining=True)), index=12
+    )
+    assert run.client.forgotten_addresses == ["10.0.0.1:80"]
+    run.deliver_changes(UpstreamRegistered(kit.registration(1, started_ms=9)), index=13)
+    assert run.client.forgotten_addresses == ["10.0.0.1:80"] * 2
+    assert run.send_request().status == 200
+    run.deliver_changes(
+        UpstreamRegistered(kit.registration(1, started_ms=5, draining=True)), index=14
+    )
+    assert run.send_request().status == 200
 
 
 @pytest.mark.parametrize(
@@ -84,31 +90,31 @@
     ],
 )
 def test_what_leaves_gets_nothing_more(fact):
-    run = Run()
-    run.change(fact)
-    assert run.ask().status == 503
+    run = GatewayHarness()
+    run.deliver_changes(fact)
+    assert run.send_request().status == 503
     assert run.client.sent == []
 
 
 def _outage(run, *facts):
     """Play an outage of the store of 4 s, after which `facts` are what has changed."""
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(4000 * MS)
-    run.control.next = Ok(Changes(facts, kit.at(20)))
+    run.control.next_changes = Ok(Changes(facts, kit.position(20)))
     run.time.advance(600 * MS)
-    run.control.next = kit.no_changes(20)
+    run.control.next_changes = kit.no_changes(20)
 
 
 def _run_with(count):
     rows = [kit.registration(number) for number in range(1, count + 1)]
-    return Run(kit.FakeControl(Ok(kit.listing(*rows))))
+    return GatewayHarness(kit.FakeControl(Ok(kit.listing(*rows))))
 
 
 def test_registrations_that_lapsed_in_an_outage_for_all_serve_until_they_are_back():
     run = _run_with(4)
     _outage(run, *(UpstreamWithdrawn(f"i-{number}") for number in (1, 2, 3, 4)))
-    assert run.ask().status == 200
-    run.change(UpstreamRegistered(kit.registration(2)), index=21)
+    assert run.send_request().status == 200
+    run.deliver_changes(UpstreamRegistered(kit.registration(2)), index=21)
     run.time.advance(2000 * MS)
     assert [up.id for up in run.gateway.upstream_table.all()] == ["i-2"]
 
@@ -116,15 +122,15 @@
 def test_lapses_are_no_sign_that_the_store_was_there():
     """Registrations come by the dozen at a start, later nothing changes, then all of them lapse."""
     run = _run_with(40)
-    run.control.next = kit.no_changes(80)
+    run.control.next_changes = kit.no_changes(80)
     run.time.advance(10_000 * MS)
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(4000 * MS)
     lapsed = tuple(UpstreamWithdrawn(f"i-{number}") for number in range(1, 41))
-    run.control.next = Ok(Changes(lapsed, kit.at(120)))
+    run.control.next_changes = Ok(Changes(lapsed, kit.position(120)))
     run.time.advance(600 * MS)
-    run.control.next = kit.no_changes(120)
-    assert run.ask().status == 200
+    run.control.next_changes = kit.no_changes(120)
+    assert run.send_request().status == 200
 
 
 def test_what_left_while_this_entry_was_cut_off_alone_gets_nothing_more():
@@ -142,20 +148,20 @@
 
 
 def test_a_restored_zone_is_used_again_as_cold():
-    run = Run()
-    run.change(ZoneDrained("a"))
-    run.change(ZoneRestored("a"))
+    run = GatewayHarness()
+    run.deliver_changes(ZoneDrained("a"))
+    run.deliver_changes(ZoneRestored("a"))
     (upstream,) = run.gateway.upstream_table.of_service("menus")
     assert upstream.cold_until > run.time.clock.monotonic()
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
 
 
 def test_a_zone_drained_no_longer_in_a_new_list_is_restored():
-    run = Run()
-    run.change(ZoneDrained("a"))
-    run.control.next = Ok(Changes((), kit.at(11), lost=True))
+    run = GatewayHarness()
+    run.deliver_changes(ZoneDrained("a"))
+    run.control.next_changes = Ok(Changes((), kit.position(11), lost=True))
     run.time.advance(2000 * MS)
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
 
 
 class DeafControl(kit.FakeControl):
@@ -184,7 +190,7 @@
     from that; a play with each answer logged did not hit it again.
     """
     control = DeafControl(Ok(kit.listing(kit.registration(1))))
-    run = Run(control, start=False)
+    run = GatewayHarness(control, start=False)
     control.reactor = run.time.reactor
     run.start()
     control.listing = Ok(kit.listing(kit.registration(1), number=7))
--- a/packages/gateway/tests/test_heeding.py
+++ b/packages/gateway/tests/test_heeding.py
@@ -6,20 +6,20 @@
 from cardamomloft.core.notices import CRASH_RETENTION
 from cardamomloft.core.quarantine import RESTART_TIME
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.carrying import (
+from cardamomloft_standins.forwarderharness import (
     CRASH,
     CUT_SHORT,
     MS,
     NOT_CONNECTED,
     RESET,
     SHED,
-    Bench,
+    ForwarderHarness,
     header,
 )
 
 
 def test_a_request_is_sent_to_no_more_endpoints_after_three_have_crashed_under_it():
-    bench = Bench(CRASH, endpoints=8)
+    bench = ForwarderHarness(CRASH, endpoints=8)
     for sent in (2, 3):
         assert bench.answer().status == 502
         assert len(bench.client.sent) == sent
@@ -32,9 +32,9 @@
     assert len(bench.client.sent) == 3
 
 
-def quarantined(*outcomes) -> Bench:
+def quarantined(*outcomes) -> ForwarderHarness:
     """Return a bench where a request has met three crashes, and then `outcomes`."""
-    bench = Bench(CRASH, endpoints=8)
+    bench = ForwarderHarness(CRASH, endpoints=8)
     for _ in range(2):
         bench.answer()
         bench.time.advance(RESTART_TIME)
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("answered", [kit.answer(), kit.answer(404, b"none"), kit.answer(500, b"")])
 def test_a_request_that_got_an_answer_is_not_the_cause_of_crashes_before(answered):
-    bench = Bench(CRASH, CRASH, answered, CRASH, CRASH, kit.answer(), endpoints=8)
+    bench = ForwarderHarness(CRASH, CRASH, answered, CRASH, CRASH, kit.answer(), endpoints=8)
     for _ in range(3):
         bench.answer()
         bench.time.advance(RESTART_TIME)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("outcome", [RESET, NOT_CONNECTED, SHED, CUT_SHORT])
 def test_what_is_no_crash_is_never_taken_for_one(outcome):
-    bench = Bench(outcome, endpoints=8)
+    bench = ForwarderHarness(outcome, endpoints=8)
     for _ in range(10):
         bench.answer()
         bench.time.advance(RESTART_TIME)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("status", [200, 404, 500])
 def test_an_endpoint_whose_answer_says_that_it_leaves_gets_nothing_more(status):
-    bench = Bench(kit.answer(status, b"last", x_leaving="1"), kit.answer(), endpoints=2)
+    bench = ForwarderHarness(kit.answer(status, b"last", x_leaving="1"), kit.answer(), endpoints=2)
     bench.answer()
     leaving = bench.client.sent[0].endpoint.name
     for _ in range(5):
@@ -93,14 +93,14 @@
 
 def test_a_refusal_that_says_that_its_endpoint_leaves_counts_as_well():
     shed = kit.answer(503, b"", not_run=True, x_leaving="1")
-    bench = Bench(shed, kit.answer(), endpoints=2)
+    bench = ForwarderHarness(shed, kit.answer(), endpoints=2)
     assert bench.answer().status == 200
     leaving = bench.client.sent[0].endpoint.name
-    assert leaving not in [up.id for up in bench.book.of_service("menus")]
+    assert leaving not in [up.id for up in bench.table.of_service("menus")]
 
 
 def test_what_another_endpoint_at_the_address_says_of_its_leaving_does_not_count():
-    bench = Bench(kit.answer(421, b"", not_run=True, x_leaving="1"), kit.answer())
+    bench = ForwarderHarness(kit.answer(421, b"", not_run=True, x_leaving="1"), kit.answer())
     told = []
     bench.forwarder.notice_handler.publish = told.extend
     bench.answer()
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("marked", [True, False])
 def test_an_endpoint_that_wants_nothing_for_a_time_gets_nothing_for_so_long(marked):
     shed = kit.answer(503, b"", not_run=marked, retry_after="2.5")
-    bench = Bench(shed, kit.answer(), endpoints=2)
+    bench = ForwarderHarness(shed, kit.answer(), endpoints=2)
     bench.answer()
     full = bench.client.sent[0].endpoint.name
     bench.client.sent.clear()
@@ -125,7 +125,7 @@
 
 def test_when_all_want_nothing_callers_are_told_when_the_first_wants_something_again():
     shed = kit.answer(503, b"", not_run=True, retry_after="2.5")
-    bench = Bench(shed, endpoints=2)
+    bench = ForwarderHarness(shed, endpoints=2)
     assert bench.answer().status == 503
     assert len(bench.client.sent) == 2
     bench.time.advance(500 * MS)
@@ -136,6 +136,6 @@
 
 
 def test_a_time_in_any_other_answer_is_the_callers_matter():
-    bench = Bench(kit.answer(200, retry_after="2.5"), endpoints=1)
+    bench = ForwarderHarness(kit.answer(200, retry_after="2.5"), endpoints=1)
     for _ in range(2):
         assert bench.answer().status == 200
--- a/packages/gateway/tests/test_presence.py
+++ b/packages/gateway/tests/test_presence.py
@@ -32,11 +32,11 @@
 
 def test_a_failed_renewal_keeps_the_lease_and_a_failed_record_is_tried_again():
     control, presence = _presence()
-    control.lease = kit.AWAY
+    control.lease = kit.STORE_UNAVAILABLE
     presence.refresh()
     control.lease = Ok("7")
     presence.refresh()
-    control.renewed = kit.AWAY
+    control.renewed = kit.STORE_UNAVAILABLE
     presence.refresh()
     presence.refresh()
     assert control.calls == ["record e-1", "record e-1", *["renew 7"] * 4]
@@ -46,14 +46,14 @@
     """A lease must bear two lost calls: the next regular renewal would come too late after one."""
     control, presence = _presence()
     presence.refresh()
-    control.renewed = kit.AWAY
+    control.renewed = kit.STORE_UNAVAILABLE
     presence.refresh()
     assert control.calls == ["record e-1", "renew 7", "renew 7"]
 
 
 def test_a_lease_that_lapsed_meanwhile_is_replaced_after_the_second_try():
     control, presence = _presence()
-    answers = [kit.AWAY, Ok(False)]
+    answers = [kit.STORE_UNAVAILABLE, Ok(False)]
     control.renew = lambda lease: succeed(answers.pop(0))
     presence.refresh()
     presence.refresh()
@@ -68,7 +68,7 @@
     control.renewed = Ok(False)
     presence.refresh()
     assert told == []
-    control.renewed = kit.AWAY
+    control.renewed = kit.STORE_UNAVAILABLE
     presence.refresh()
     assert told == ["failed"]
 
--- a/packages/gateway/tests/test_relayed_changes.py
+++ b/packages/gateway/tests/test_relayed_changes.py
@@ -23,7 +23,13 @@
 from cardamomloft.gateway.relaying import RelayPort
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.relayed import DRAIN, ENTRIES, Deployment, Gateway, counted
+from cardamomloft_standins.relayharness import (
+    DRAIN_TIME,
+    ENTRY_COUNT,
+    Deployment,
+    Gateway,
+    counter_total,
+)
 from expression import Ok
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -37,11 +43,11 @@
 
 def test_only_relays_ask_the_store_once_all_know_each_other():
     run = Deployment()
-    before = counted(run.listeners(), "changes_from_store")
+    before = counter_total(run.subscribers(), "changes_from_store")
     run.run(20_000 * MS)
-    assert counted(run.listeners(), "changes_from_store") == before
-    assert counted(run.gateways, "relay_silent") == 0
-    for gateway in run.listeners():
+    assert counter_total(run.subscribers(), "changes_from_store") == before
+    assert counter_total(run.gateways, "relay_silent") == 0
+    for gateway in run.subscribers():
         assert gateway.feed.status()["relays"] == run.relays
 
 
@@ -49,16 +55,16 @@
     run = Deployment()
     run.run(5000 * MS)
     run.configure()
-    run.run(20 * MS + DRAIN * 0.05)
-    assert run.late() == []
+    run.run(20 * MS + DRAIN_TIME * 0.05)
+    assert run.outdated_gateways() == []
 
 
 def test_changes_in_series_are_in_force_within_half_of_the_drain_time():
     run = Deployment()
     for _ in range(20):
         run.configure()
-        run.run(DRAIN * 0.5)
-        assert run.late() == []
+        run.run(DRAIN_TIME * 0.5)
+        assert run.outdated_gateways() == []
 
 
 @pytest.mark.parametrize("fault", ["cut", "refused", "silenced", "both"])
@@ -73,9 +79,9 @@
         if fault in ("silenced", "both"):
             run.network.silenced.add(name)
     run.configure()
-    run.run(DRAIN)
-    others = {gateway.name for gateway in run.listeners()}
-    assert others.isdisjoint(run.late())
+    run.run(DRAIN_TIME)
+    others = {gateway.name for gateway in run.subscribers()}
+    assert others.isdisjoint(run.outdated_gateways())
 
 
 def test_relays_that_stop_hand_over_at_once():
@@ -84,26 +90,26 @@
         run.by_name(name).stop()
         run.store.write(("entry", name), EntryWithdrawn(name), removes=True)
     run.configure()
-    run.run(DRAIN)
-    others = {gateway.name for gateway in run.listeners()}
-    assert others.isdisjoint(run.late())
-    before = counted(run.listeners(), "changes_from_store")
+    run.run(DRAIN_TIME)
+    others = {gateway.name for gateway in run.subscribers()}
+    assert others.isdisjoint(run.outdated_gateways())
+    before = counter_total(run.subscribers(), "changes_from_store")
     run.run(10_000 * MS)
-    asked = counted(run.listeners(), "changes_from_store") - before
-    assert asked < 2 * 10_000 * MS / (DRAIN * 0.35) + 2
+    asked = counter_total(run.subscribers(), "changes_from_store") - before
+    assert asked < 2 * 10_000 * MS / (DRAIN_TIME * 0.35) + 2
 
 
 def test_a_gateway_that_leaves_hears_of_changes_from_the_store():
     """Its record is gone, so no relay answers it; it still serves those who asked before."""
     run = Deployment()
-    leaving = run.listeners()[0]
+    leaving = run.subscribers()[0]
     run.store.write(("entry", leaving.name), EntryWithdrawn(leaving.name), removes=True)
     leaving.present = False
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     for _ in range(3):
         run.configure()
-        run.run(DRAIN)
-        assert run.late() == []
+        run.run(DRAIN_TIME)
+        assert run.outdated_gateways() == []
     assert leaving.metrics.counters["relay_silent"] <= 1
 
 
@@ -115,14 +121,14 @@
     was asking, and asked the store, in vain; its relay would have answered.
     """
     run = Deployment()
-    alone = run.listeners()[0]
+    alone = run.subscribers()[0]
     getattr(run.store, fault).add(alone.name)
     for _ in range(6):
         run.configure()
         for _ in range(2):
             alone.follower.poll_now()
             run.run(1500 * MS)
-        assert run.late() == []
+        assert run.outdated_gateways() == []
     assert alone.follower.store_unavailable
     getattr(run.store, fault).clear()
     run.run(2000 * MS)
@@ -142,11 +148,11 @@
 def test_while_the_store_is_away_listeners_leave_it_to_relays_to_ask():
     """Each gateway asked twice a second: most of a day's calls fell into outages of 8 s."""
     run = Deployment()
-    before = counted(run.listeners(), "changes_from_store")
+    before = counter_total(run.subscribers(), "changes_from_store")
     _away(run, 8000 * MS)
-    asked = counted(run.listeners(), "changes_from_store") - before
+    asked = counter_total(run.subscribers(), "changes_from_store") - before
     # Two until it counts as away, one each 0.7 of the drain time, and one when it is back.
-    assert asked <= len(run.listeners()) * (2 + 8000 * MS / (DRAIN * 0.7) + 1)
+    assert asked <= len(run.subscribers()) * (2 + 8000 * MS / (DRAIN_TIME * 0.7) + 1)
 
 
 @pytest.mark.parametrize("relays", ["well", "cut", "silenced"])
@@ -158,14 +164,14 @@
         run.store.cut |= set(run.relays)
     if relays == "silenced":
         run.network.silenced |= set(run.relays)
-    run.run(DRAIN)
-    for gateway in run.listeners():
-        (noticed,) = gateway.returns
-        assert noticed - back_at <= (600 * MS if relays == "well" else DRAIN * 0.9)
-        assert gateway.entries_gone and gateway.entries_gone[0] >= noticed
+    run.run(DRAIN_TIME)
+    for gateway in run.subscribers():
+        (noticed,) = gateway.recoveries
+        assert noticed - back_at <= (600 * MS if relays == "well" else DRAIN_TIME * 0.9)
+        assert gateway.withdrawals and gateway.withdrawals[0] >= noticed
     run.configure()
-    run.run(DRAIN)
-    assert {row.name for row in run.listeners()}.isdisjoint(run.late())
+    run.run(DRAIN_TIME)
+    assert {row.name for row in run.subscribers()}.isdisjoint(run.outdated_gateways())
 
 
 def _away(run: Deployment, duration: timedelta, *, lapses: bool = False) -> timedelta:
@@ -181,36 +187,36 @@
 def test_a_history_that_is_forgotten_hides_nothing():
     run = Deployment()
     run.store.write(("zone", "b"), ZoneDrained("b"))
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     run.store.write(("zone", "b"), ZoneRestored("b"), removes=True)
     run.configure()
-    run.store.forget()
-    run.run(DRAIN)
-    assert run.late() == []
+    run.store.discard_history()
+    run.run(DRAIN_TIME)
+    assert run.outdated_gateways() == []
     assert [row.name for row in run.gateways if row.drained] == []
 
 
 def test_a_gateway_that_restarts_is_answered_though_it_has_an_old_relay():
     run = Deployment()
-    old = run.listeners()[0]
+    old = run.subscribers()[0]
     old.stop()
     new = Gateway(old.record, run.store, run.network, run.time, 99)
     run.gateways = [new if row is old else row for row in run.gateways]
     new.start()
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     before = new.metrics.counters["changes_from_store"]
-    run.run(3 * DRAIN)
+    run.run(3 * DRAIN_TIME)
     assert new.metrics.counters["changes_from_store"] == before
     run.configure()
-    run.run(DRAIN)
-    assert run.late() == []
+    run.run(DRAIN_TIME)
+    assert run.outdated_gateways() == []
 
 
 def test_a_doubted_question_to_a_relay_leads_to_the_store():
     run = Deployment()
-    listener = run.listeners()[0]
+    listener = run.subscribers()[0]
     before = listener.metrics.counters["changes_from_store"]
-    run.run(DRAIN * 0.2)
+    run.run(DRAIN_TIME * 0.2)
     listener.follower.poll_now()
     run.run(700 * MS)
     assert listener.metrics.counters["changes_from_store"] == before + 1
@@ -218,12 +224,12 @@
 
 def test_numbers_beyond_all_bounds_raise_nothing():
     run = Deployment()
-    listener, relay = run.listeners()[0], run.by_name(run.relays[0])
+    listener, relay = run.subscribers()[0], run.by_name(run.relays[0])
     relay.receive(listener.me, ChangesRequest(10**6, run.store.era, run.store.revision, 2**61))
     assert relay.feed.port.held > 0
     run.run(31_000 * MS)
     assert all(gateway.faults == [] for gateway in run.gateways)
-    assert run.late() == []
+    assert run.outdated_gateways() == []
 
 
 @pytest.mark.parametrize(("age_ms", "held_ms"), [(0, 2**61), (2**61, 0), (2**61, 2**61)])
@@ -237,7 +243,9 @@
     port.peers = SimpleNamespace(send=lambda *message: sent.append(message) or True)
     relay = kit.entry_records(1)[0]
     outcomes = []
-    port.request_changes(relay, kit.at(5), DRAIN, DRAIN).addCallback(outcomes.append)
+    port.request_changes(relay, kit.position(5), DRAIN_TIME, DRAIN_TIME).addCallback(
+        outcomes.append
+    )
     time.advance(40 * MS)
     asked = sent[0][1]
     port.receive(
@@ -249,7 +257,7 @@
 
 def test_answers_that_nobody_asked_for_change_nothing():
     run = Deployment()
-    listener, stranger = run.listeners()[0], Incarnation("stranger", "1")
+    listener, stranger = run.subscribers()[0], Incarnation("stranger", "1")
     for number in range(200):
         listener.receive(stranger, ChangesResponse(number, 1, 10**9, b"", False, 0, 0))
         listener.receive(
@@ -257,8 +265,8 @@
         )
     listener.receive(stranger, ChangesRequest(1, 0, 0, 10**9))
     run.configure()
-    run.run(DRAIN)
-    assert run.late() == []
+    run.run(DRAIN_TIME)
+    assert run.outdated_gateways() == []
     assert listener.faults == []
 
 
@@ -267,7 +275,7 @@
         st.sampled_from(
             ["cut", "refused", "silenced", "loss", "forget", "restart", "stop", "zone", "heal"]
         ),
-        st.integers(0, ENTRIES - 1),
+        st.integers(0, ENTRY_COUNT - 1),
         st.integers(0, 40),
     ),
     max_size=12,
@@ -292,7 +300,7 @@
             case "loss":
                 run.network.loss = 0.3
             case "forget":
-                run.store.forget()
+                run.store.discard_history()
                 for name in self.disturbed_at:
                     self._disturb(name)
             case "restart" | "stop":
@@ -313,7 +321,7 @@
         if gateway.stopped or gateway.name in self.run.store.cut | self.run.store.refused:
             return False
         now = self.run.time.clock.monotonic()
-        return now - self.disturbed_at[gateway.name] >= IN_TOUCH + DRAIN
+        return now - self.disturbed_at[gateway.name] >= IN_TOUCH + DRAIN_TIME
 
     def _disturb(self, name: str) -> None:
         self.disturbed_at[name] = self.run.time.clock.monotonic()
@@ -347,14 +355,14 @@
         run.run(pause * 100 * MS)
         _check(run)
         run.configure()
-        run.run(DRAIN)
+        run.run(DRAIN_TIME)
         held_back = [row.name for row in run.gateways if troubles.in_touch(row)]
-        assert set(held_back).isdisjoint(run.late())
+        assert set(held_back).isdisjoint(run.outdated_gateways())
     troubles.bring("heal", 0)
-    run.run(IN_TOUCH + DRAIN)
+    run.run(IN_TOUCH + DRAIN_TIME)
     live = [row for row in run.gateways if not row.stopped]
     drained = {fact.zone for fact in run.store.held.values() if isinstance(fact, ZoneDrained)}
-    assert {row.name for row in live}.isdisjoint(run.late())
+    assert {row.name for row in live}.isdisjoint(run.outdated_gateways())
     assert [row.name for row in live if row.drained != drained] == []
     _check(run)
 
@@ -369,14 +377,14 @@
     run = Deployment()
     same = UpstreamRegistered(kit.registration(1))
     run.store.write("i-1", same)
-    run.run(DRAIN)
-    answered = counted(run.listeners(), "changes_from_relay")
+    run.run(DRAIN_TIME)
+    answered = counter_total(run.subscribers(), "changes_from_relay")
     for _ in range(100):
         run.store.write("i-1", same)
         run.run(25 * MS)
     # 2.5 s pass, and a question without news lasts 0.3 of the drain time at most; a listener that
     # got each report would have asked some 20 times.
-    assert counted(run.listeners(), "changes_from_relay") - answered <= 8 * 6
+    assert counter_total(run.subscribers(), "changes_from_relay") - answered <= 8 * 6
 
 
 def test_records_and_leases_are_left_to_the_store():
@@ -391,13 +399,13 @@
         record,
         book,
         lambda: True,
-        DRAIN,
+        DRAIN_TIME,
         lambda notice: None,
         kit.rng(),
         Metrics(),
     )
     results = []
-    feed.control.record(record, DRAIN).addCallback(results.append)
+    feed.control.record(record, DRAIN_TIME).addCallback(results.append)
     feed.control.renew("7").addCallback(results.append)
     feed.control.withdraw("7").addCallback(results.append)
     assert control.calls == ["record east-1", "renew 7", "withdraw 7"]
--- a/packages/gateway/tests/test_storecontrol.py
+++ b/packages/gateway/tests/test_storecontrol.py
@@ -21,7 +21,7 @@
 from cardamomloft.gateway.pages import GatewayPages, listen_pages
 from cardamomloft.gateway.process import CALLER_HEADERS, UPSTREAM_DIALECT
 from cardamomloft.gateway.storecontrol import StoreControl
-from cardamomloft.store.keyvalue import HttpStore, Listed, Record
+from cardamomloft.store.keyvalue import HttpStore, ListResult, Record
 from cardamomloft.upstreams.client import UpstreamClient
 from cardamomloft_standins import gateway as kit
 from cardamomloft_standins.store import Store as StandinStore
@@ -73,7 +73,7 @@
             self.values["g/" + key.replace("__", "/").replace("_", "-")] = Record(raw, self.index)
 
     def list(self, prefix):
-        return succeed(Ok(Listed(dict(self.values), self.index)))
+        return succeed(Ok(ListResult(dict(self.values), self.index)))
 
     def create_lease(self, ttl):
         return succeed(Ok("s-1"))
@@ -94,7 +94,7 @@
 
 
 def _facts(control, after=1):
-    return set(_result(control.changes(kit.at(after), timedelta(0))).ok.facts)
+    return set(_result(control.changes(kit.position(after), timedelta(0))).ok.facts)
 
 
 class Asker:
@@ -128,7 +128,7 @@
     """An endpoint came by a relay and has gone since: no list of this process shows either."""
     store = ListStore(routes__current=DOCUMENT)
     asker = Asker(StoreControl(store, "g/"))
-    asker.index = kit.at(asker.index.revision + 5)
+    asker.index = kit.position(asker.index.revision + 5)
     found = _result(asker.control.changes(asker.index, timedelta(0))).ok
     assert found.lost and found.facts == ()
     relisted = Asker(asker.control)
--- a/packages/runtime/src/cardamomloft/runtime/lifecycle.py
+++ b/packages/runtime/src/cardamomloft/runtime/lifecycle.py
@@ -18,7 +18,7 @@
     def stop(self) -> None:
         """Start a graceful stop; further calls have no effect."""
 
-    def lingered(self) -> None:
+    def lookups_expired(self) -> None:
         """Report that callers' cached look-ups have expired."""
 
     def drained(self) -> None:
@@ -66,7 +66,7 @@
     actions.on_leaving()
 
 
-@_leaving.upon(Lifecycle.lingered).to(_closing)
+@_leaving.upon(Lifecycle.lookups_expired).to(_closing)
 def _start_closing(lifecycle: Lifecycle, actions: LifecycleActions) -> None:
     actions.on_closing()
 
@@ -81,7 +81,7 @@
 _IGNORED = {
     Lifecycle.prepared: (_ready, _leaving, _closing, _stopped),
     Lifecycle.stop: (_leaving, _closing, _stopped),
-    Lifecycle.lingered: (_starting, _ready, _closing, _stopped),
+    Lifecycle.lookups_expired: (_starting, _ready, _closing, _stopped),
     Lifecycle.drained: (_starting, _ready, _stopped),
 }
 for _input, _states in _IGNORED.items():
--- a/packages/runtime/tests/test_lifecycle.py
+++ b/packages/runtime/tests/test_lifecycle.py
@@ -5,7 +5,7 @@
 import pytest
 from cardamomloft.runtime.lifecycle import make_lifecycle
 
-INPUTS = ("prepared", "stop", "lingered", "drained")
+INPUTS = ("prepared", "stop", "lookups_expired", "drained")
 ORDER = ("starting", "ready", "leaving", "closing", "stopped")
 
 
@@ -26,7 +26,7 @@
 
 
 def test_a_planned_stop_goes_through_every_state():
-    lifecycle, done = play("prepared", "stop", "lingered", "drained")
+    lifecycle, done = play("prepared", "stop", "lookups_expired", "drained")
     assert lifecycle.state() == "stopped"
     assert done == ["on_ready", "on_leaving", "on_closing", "on_stopped"]
 
@@ -37,7 +37,7 @@
         ((), "starting", False),
         (("prepared",), "ready", True),
         (("prepared", "stop"), "leaving", True),
-        (("prepared", "stop", "lingered"), "closing", False),
+        (("prepared", "stop", "lookups_expired"), "closing", False),
         (("prepared", "stop", "drained"), "stopped", False),
         (("stop",), "leaving", True),
         (("stop", "prepared"), "leaving", True),
--- a/packages/store/src/cardamomloft/store/keyvalue.py
+++ b/packages/store/src/cardamomloft/store/keyvalue.py
@@ -48,14 +48,14 @@
     version: int
 
 
-class Watched(t.NamedTuple):
+class WatchResult(t.NamedTuple):
     """The outcome of a watch: the record, None if the key is absent, and where to go on."""
 
     record: Record | None
     index: int
 
 
-class Listed(t.NamedTuple):
+class ListResult(t.NamedTuple):
     """All records below a prefix, by their whole keys, as of one index of the store."""
 
     records: dict[str, Record]
@@ -69,7 +69,7 @@
         """Read one key."""
         ...
 
-    def list(self, prefix: str) -> "defer.Deferred[Result[Listed, StoreFailure]]":
+    def list(self, prefix: str) -> "defer.Deferred[Result[ListResult, StoreFailure]]":
         """Read all records whose keys begin with `prefix`."""
         ...
 
@@ -81,7 +81,7 @@
 
     def watch(
         self, key: str, after_index: int, wait: timedelta
-    ) -> "defer.Deferred[Result[Watched, StoreFailure]]":
+    ) -> "defer.Deferred[Result[WatchResult, StoreFailure]]":
         """Read one key once it has changed after `after_index`, or once `wait` is over.
 
         Start with index 0, which reads at once, and go on with the index returned. After a
@@ -153,7 +153,7 @@
         """Read one key."""
         return self._call(CallKind.GET, "GET", _key_path(key), _read_record)
 
-    def list(self, prefix: str) -> "defer.Deferred[Result[Listed, StoreFailure]]":
+    def list(self, prefix: str) -> "defer.Deferred[Result[ListResult, StoreFailure]]":
         """Read all records whose keys begin with `prefix`."""
         params = {"recurse": "true"}
         return self._call(CallKind.LIST, "GET", _key_path(prefix), _read_listed, params=params)
@@ -166,10 +166,10 @@
 
     def watch(
         self, key: str, after_index: int, wait: timedelta
-    ) -> "defer.Deferred[Result[Watched, StoreFailure]]":
+    ) -> "defer.Deferred[Result[WatchResult, StoreFailure]]":
         """Read one key once it has changed after `after_index`, or once `wait` is over."""
 
-        def read(answer: Answer) -> Result[Watched, StoreFailure]:
+        def read(answer: Answer) -> Result[WatchResult, StoreFailure]:
             return _read_watched(answer, after_index)
 
         if after_index == 0:
@@ -271,9 +271,9 @@
     return Ok(Record(value, version))
 
 
-def _read_listed(answer: Answer) -> Result[Listed, StoreFailure]:
+def _read_listed(answer: Answer) -> Result[ListResult, StoreFailure]:
     if answer.status == 404:
-        return Ok(Listed({}, answer.index or 0))
+        return Ok(ListResult({}, answer.index or 0))
     if answer.status != 200:
         return Error(status_failure(answer.status, answer.body, write=False))
     records: dict[str, Record] = {}
@@ -287,15 +287,15 @@
                 return Error(failure)
             case Result(ok=record):
                 records[key] = record
-    return Ok(Listed(records, answer.index or 0))
+    return Ok(ListResult(records, answer.index or 0))
 
 
-def _read_watched(answer: Answer, after_index: int) -> Result[Watched, StoreFailure]:
+def _read_watched(answer: Answer, after_index: int) -> Result[WatchResult, StoreFailure]:
     if not answer.index and answer.status in (200, 404):
         return Error(StoreFailure(False, "the answer has no index"))
     # An index that went back belongs to another life of the store: start from a plain read.
     index = 0 if (answer.index or 0) < after_index else answer.index or 0
-    return _read_record(answer).map(lambda record: Watched(record, index))
+    return _read_record(answer).map(lambda record: WatchResult(record, index))
 
 
 def _read_written(answer: Answer) -> Result[bool, StoreFailure]:
--- a/packages/store/tests/test_http_store.py
+++ b/packages/store/tests/test_http_store.py
@@ -4,7 +4,7 @@
 
 import pytest
 from cardamomloft.store.failures import StoreFailure
-from cardamomloft.store.keyvalue import MAX_VALUE_BYTES, CallKind, HttpStore, Record, Watched
+from cardamomloft.store.keyvalue import MAX_VALUE_BYTES, CallKind, HttpStore, Record, WatchResult
 from cardamomloft_standins.keyvalue import KeyValues
 from cardamomloft_standins.listener import Listener
 from cardamomloft_standins.store import Store
@@ -191,7 +191,7 @@
         self.clock.advance(0.2)
         await waiting
         version = first.record.version + 1
-        self.assertEqual(outcomes, [Ok(Watched(Record(b"2", version), version))])
+        self.assertEqual(outcomes, [Ok(WatchResult(Record(b"2", version), version))])
 
     async def test_a_watch_without_change_returns_after_its_wait_and_may_go_on(self):
         await self.store.compare_and_swap(KEY, b"1", 0)
@@ -206,7 +206,7 @@
         await self.arrived("watch", 1)
         await self.store.compare_and_swap(KEY, b"new life", 0)
         self.clock.advance(30)
-        self.assertEqual(await waiting, Ok(Watched(Record(b"new life", 2), 0)))
+        self.assertEqual(await waiting, Ok(WatchResult(Record(b"new life", 2), 0)))
 
     async def test_cancelling_a_watch_drops_its_connection(self):
         waiting = self.store.watch(KEY, 1, WAIT)
--- a/packages/store/tests/test_listing.py
+++ b/packages/store/tests/test_listing.py
@@ -2,7 +2,7 @@
 
 import pytest
 from cardamomloft.store.exchange import Answer
-from cardamomloft.store.keyvalue import HttpStore, Listed, Record
+from cardamomloft.store.keyvalue import HttpStore, ListResult, Record
 from cardamomloft_standins.keyvalue import KeyValues
 from cardamomloft_standins.store import Store
 from expression import Ok
@@ -30,8 +30,8 @@
         listed = yield client.list("g/")
         versions = {key: values.get(key).modify_index for key in ("g/a", "g/b/c")}
         records = {key: Record(key.encode(), version) for key, version in versions.items()}
-        assert listed == Ok(Listed(records, values.last_index))
-        assert (yield client.list("none/")) == Ok(Listed({}, values.last_index))
+        assert listed == Ok(ListResult(records, values.last_index))
+        assert (yield client.list("none/")) == Ok(ListResult({}, values.last_index))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -176,8 +176,8 @@
 
 def test_the_readme_explains_every_field_of_the_demos_last_line() -> None:
     tree = ast.parse((ROOT / "scripts" / "demo.py").read_text())
-    combine = next(n for n in ast.walk(tree) if getattr(n, "name", "") == "combine")
-    last = next(n.value for n in ast.walk(combine) if isinstance(n, ast.Return))
+    summarize = next(n for n in ast.walk(tree) if getattr(n, "name", "") == "summarize")
+    last = next(n.value for n in ast.walk(summarize) if isinstance(n, ast.Return))
     fields = [ast.literal_eval(key) for key in last.keys]
     explained = re.findall(r"^\| (`.+?`) \| ", (ROOT / "README.md").read_text(), re.MULTILINE)
     assert [name for cell in explained for name in _CODE.findall(cell)] == fields
