--- a/packages/core/src/cardamomloft/core/membership.py
+++ b/packages/core/src/cardamomloft/core/membership.py
@@ -145,7 +145,7 @@
     def on_vm_list(self, rows: Iterable[VmRow]) -> None:
         """Apply the platform's VM list; pass all of its rows at each fetch.
 
-        The list lags, so "gone" counts only if the seat's last known process is silent too.
+        The list lags, so "gone" takes effect only if the seat's last known process is silent too.
         """
         for row in rows:
             before = self._vm_rows.get(row.name)
@@ -205,8 +205,8 @@
         if known is None or not known.digest.prefix:
             return None
         age = self._clock.monotonic() - known.received_at
-        left = timedelta(milliseconds=known.digest.prefix_left_ms) - age
-        return (known.digest.prefix, left) if left > timedelta(0) else None
+        remaining = timedelta(milliseconds=known.digest.prefix_left_ms) - age
+        return (known.digest.prefix, remaining) if remaining > timedelta(0) else None
 
     def revision_of(self, seat: str) -> int | None:
         """Return the revision that the seat last reported as in force."""
@@ -241,8 +241,8 @@
         members = [
             seat for seat, location in self._locations.items() if location.region == here.region
         ]
-        likely = sorted(seat for seat in members if not self._is_unavailable(seat))
-        return self._me.seat in likely[:standbys], len(members)
+        standby_candidates = sorted(seat for seat in members if not self._is_unavailable(seat))
+        return self._me.seat in standby_candidates[:standbys], len(members)
 
     def _record(self, sender: Incarnation, digest: Digest) -> None:
         before = self._peer_states.get(sender.seat)
@@ -261,8 +261,8 @@
         """Return whether a digest comes from the seat's present VM.
 
         A different process in a seat listed as gone has taken the seat over. Late digests of the
-        known process are dropped for a while; if it still sends after that, the list referred to
-        an earlier VM.
+        known process are dropped for `max_digest_age`; if it still sends after that, the list
+        referred to an earlier VM.
         """
         gone = self._gone.get(sender.seat)
         if gone is None:
@@ -289,8 +289,8 @@
             return False
         now = self._clock.utcnow()
         location = self._locations[seat]
-        mine = {("entry", seat), ("zone", location.zone), ("region", location.region)}
-        return any((kind, name) in mine and since <= now for kind, name, since in self._drains)
+        scopes = {("entry", seat), ("zone", location.zone), ("region", location.region)}
+        return any((kind, name) in scopes and since <= now for kind, name, since in self._drains)
 
     def _neighbours(self) -> tuple[tuple[str, ...], frozenset[str]]:
         """Return this entry's successors and predecessors on the ring of its zone.
@@ -313,12 +313,12 @@
         return ring[at + 1 :] + ring[:at]
 
     def _rotate_holders(self, n: int, chosen: Sequence[str]) -> list[str]:
-        left = [seat for seat in self._holders if seat not in chosen]
-        if not left:
+        remaining = [seat for seat in self._holders if seat not in chosen]
+        if not remaining:
             return []
-        start = self._next_holder % len(left)
+        start = self._next_holder % len(remaining)
         self._next_holder += n
-        return (left[start:] + left[:start])[:n]
+        return (remaining[start:] + remaining[:start])[:n]
 
     def _pick_partners(
         self, rng: random.Random, n: int, reachable: Sequence[str], chosen: Sequence[str]
@@ -388,7 +388,7 @@
         return distance
 
     def _groups_for(self, site: str | None) -> list[list[str]]:
-        """Return the recommendable seats grouped by distance from `site`, cached for a moment."""
+        """Return the recommendable seats grouped by distance from `site`, nearest first."""
         now = self._clock.monotonic()
         if now >= self._groups_expire_at:
             self._groups.clear()
--- a/packages/core/src/cardamomloft/core/upstreamtable.py
+++ b/packages/core/src/cardamomloft/core/upstreamtable.py
@@ -23,7 +23,7 @@
 """Maximum number of endpoints whose latest start is kept; the least recently seen are evicted."""
 
 MAX_LEAVING = 10_000
-"""Maximum number of incarnations remembered as leaving, and of those remembered as gone."""
+"""Maximum number of incarnations kept as leaving, and of those kept as gone."""
 
 
 class LoadReport(t.NamedTuple):
@@ -50,7 +50,7 @@
     cold_sends
         Monotonic instants of the requests sent to it while it was cold.
     joined_at
-        Monotonic instant at which it was first seen; None if it was in the first list.
+        Monotonic instant of its first registration; None if it was in the first listing.
     failures
         Number of this entry's consecutive failed requests.
     ejected_until
@@ -58,7 +58,7 @@
     full_until
         Monotonic instant until which it counts as full after a refusal.
     paused_until
-        Monotonic instant until which the endpoint asked this entry, with a refusal, to pause.
+        Monotonic instant until which this entry sends nothing, as a refusal of the endpoint asks.
     leaving
         Whether it gets no new requests because it is leaving.
     missing
@@ -180,7 +180,7 @@
         A new incarnation starts with fresh state, since it shares only the id with the old one. A
         registration of an earlier incarnation, written late, is ignored.
         """
-        if not self._starts.note(registration):
+        if not self._starts.record(registration):
             return False
         self._gone.discard(registration.incarnation)
         known = self._by_id.get(registration.id)
@@ -287,7 +287,7 @@
         return True
 
     def leave(self, incarnation: UpstreamIncarnation) -> bool:
-        """Exclude an incarnation, registered or not, because it leaves; return whether new."""
+        """Exclude a leaving incarnation, registered or not; return whether this is new."""
         if incarnation in self._leaving:
             return False
         self._leaving.add(incarnation)
@@ -337,7 +337,7 @@
     def __init__(self) -> None:
         self._latest: dict[str, int] = {}
 
-    def note(self, registration: Registration) -> bool:
+    def record(self, registration: Registration) -> bool:
         """Record a registration; return False if a later incarnation is known."""
         latest = self._latest.pop(registration.id, 0)
         if registration.started_ms or latest:
@@ -348,7 +348,10 @@
 
 
 class _Candidate(t.NamedTuple):
-    """The properties by which keys are assigned; two `Upstream` objects never compare equal."""
+    """An endpoint and its properties that determine the assignment of keys.
+
+    Candidates are compared to detect changes; an `Upstream` is equal only to itself.
+    """
 
     upstream: Upstream
     zone: str
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -153,7 +153,7 @@
             None, self.handle, self._on_fault, may_overlap=self._may_overlap, meter=self.metrics
         )
         self.presence = Presence(
-            self._control, own, bounds.record_life, lambda: self.follower.poll_now()
+            self._control, own, bounds.record_ttl, lambda: self.follower.poll_now()
         )
         self.view = StoreView(
             clock,
@@ -203,12 +203,14 @@
 
     def reconfigure(self, cfg: GatewaySettings) -> None:
         """Apply changed settings; log the names of those that need a restart to take effect."""
-        fixed = [name for name in RESTART_SETTINGS if cfg.get(name) != self._cfg.get(name)]
-        if fixed:
-            log("restart-needed", settings=fixed)
+        needing_restart = [
+            name for name in RESTART_SETTINGS if cfg.get(name) != self._cfg.get(name)
+        ]
+        if needing_restart:
+            log("restart-needed", settings=needing_restart)
         kept = {name: self._cfg[name] for name in RESTART_SETTINGS if name in self._cfg}
-        free = {name: value for name, value in cfg.items() if name not in RESTART_SETTINGS}
-        self._cfg = t.cast(GatewaySettings, {**free, **kept})
+        changeable = {name: value for name, value in cfg.items() if name not in RESTART_SETTINGS}
+        self._cfg = t.cast(GatewaySettings, {**changeable, **kept})
         self._bounds = parse_bounds(self._cfg)
         self.selector.cold_limit = _cold_limit(self._cfg)
         for budget in self._budgets.values():
@@ -217,7 +219,7 @@
         self.follower.timing = _poll_timing(self._bounds)
         self.feed.set_drain_time(self._bounds.drain_time)
         self.upstream_table.use_regions(self._cfg["zones"])
-        log("reloaded", changed_fixed=bool(fixed))
+        log("reloaded", changed_fixed=bool(needing_restart))
 
     # Life cycle.
 
@@ -248,7 +250,7 @@
         self.lifecycle.stop()
 
     def ready(self) -> bool:
-        """Tell whether look-ups may name this entry."""
+        """Return whether look-ups may name this entry."""
         return self.lifecycle.state() == "ready"
 
     def on_ready(self) -> None:
@@ -257,7 +259,7 @@
         self._timers.every(self.presence.interval, self.presence.refresh)
 
     def on_leaving(self) -> None:
-        """Remove this entry from look-ups, and go on serving callers that know its address."""
+        """Remove this entry from look-ups, and continue to serve callers that know its address."""
         log("leaving", in_flight=self.app.in_flight)
         self.presence.withdraw()
         self.app.start_closing()
@@ -315,7 +317,7 @@
             return self.read(head)
         starting = self.lifecycle.state() == "starting"
         reason = RefusalReason.NOT_READY if starting else RefusalReason.STOPPING
-        return Refusal(reason, "ask another entry")
+        return Refusal(reason, "this entry is not serving requests; send it to another entry")
 
     def read(self, head: RequestHead) -> Call | Refusal:
         """Parse a request according to the configuration in force."""
@@ -338,7 +340,7 @@
         named = self._names.find(zone, region, homes, zones, with_own=ready)
         if not named:
             return Refusal(RefusalReason.NOT_READY, "no entry is ready")
-        ttl = min(MAX_LOOKUP_TTL, self._bounds.lookup_life)
+        ttl = min(MAX_LOOKUP_TTL, self._bounds.lookup_ttl)
         return LookupResult([record.address for record in named], ttl)
 
     # Changes from the store.
