--- a/packages/callers/src/cardamomloft/callers/app.py
+++ b/packages/callers/src/cardamomloft/callers/app.py
@@ -162,8 +162,8 @@
         result = self._lookup(client) if client is not None else _INVALID_CLIENT
         if isinstance(result, Refusal):
             return to_answer(result)
-        age = result["valid_ms"] // 1000
-        headers = (*_LOOKUP_HEADERS, ("Cache-Control", f"max-age={age}"))
+        max_age_s = result["valid_ms"] // 1000
+        headers = (*_LOOKUP_HEADERS, ("Cache-Control", f"max-age={max_age_s}"))
         return Answer(HTTPStatus.OK, headers, msgspec.json.encode(result))
 
     # Requests.
@@ -199,7 +199,7 @@
     def _respond(self, answer: Answer, request: CallerRequest) -> "Deferred[Delivery] | None":
         """Write the answer; the Deferred fires when a streamed body is delivered or aborted."""
         if not isinstance(answer.body, bytes):
-            if not request.over and request.method != b"HEAD" and answer.status not in NO_BODY:
+            if not request.ended and request.method != b"HEAD" and answer.status not in NO_BODY:
                 return AnswerWriter(request, answer).start()
             answer.body.abort()
         request.write_answer(answer)
--- a/packages/callers/src/cardamomloft/callers/channel.py
+++ b/packages/callers/src/cardamomloft/callers/channel.py
@@ -27,7 +27,7 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_HEADERS = 100
-# Default; a configuration may set another.
+# Default; the configuration may override it.
 HEAD_TIMEOUT_S = 10
 # How long the rest of a body is read and discarded after an early answer. Closing with unread data
 # would reset the connection before the caller has read the answer.
@@ -75,8 +75,8 @@
     _answered_request: "CallerRequest | None" = None
     _discard_timer: t.Any = None
     _refusal: list[bytes] | None = None
-    # When the first byte arrived of the data that waits to be parsed, and of the data that is being
-    # parsed; seconds of the reactor.
+    # Reactor times in seconds at which the first byte arrived of the data that is buffered, and of
+    # the data that is being parsed.
     _unread_since: float | None = None
     _reading_since: float | None = None
 
@@ -109,12 +109,14 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Parse bytes; start the head timeout when a head is incomplete."""
         super().dataReceived(data)
-        begun = self.line_mode and bool(self._head_lines or self._buffer) and not self._input_closed
-        if begun and self._head_timer is None:
+        in_head = (
+            self.line_mode and bool(self._head_lines or self._buffer) and not self._input_closed
+        )
+        if in_head and self._head_timer is None:
             self._head_timer = self.callLater(self.head_limits.time_s, self._on_head_timeout)
 
     def _on_head_timeout(self) -> None:
-        # First read the bytes that arrived while the event loop was busy.
+        # Bytes that arrived while the event loop was busy are read before the refusal.
         self._head_timer = self.callLater(0, self._refuse_head, HTTPStatus.REQUEST_TIMEOUT)
 
     def _cancel_head_timer(self) -> None:
@@ -183,14 +185,14 @@
         """Start the newest request if it waits and may overlap with those before it.
 
         No further head is read while a request waits, so only the newest request can be waiting.
-        Nothing is done while its head is incomplete.
+        A request whose head is incomplete is not started.
         """
         request: CallerRequest = self.requests[-1]
         if request.started or request.body is None:
             return
         is_first = len(self.requests) == 1
         overlaps = self.factory.may_overlap
-        if is_first or all(one.body.length == 0 and overlaps(one.head()) for one in self.requests):
+        if is_first or all(r.body.length == 0 and overlaps(r.head()) for r in self.requests):
             if not is_first:
                 request.pipeline_usage.start_ahead()
                 self.factory.count("pipelined.beside")
@@ -199,7 +201,7 @@
             request.start()
 
     def _read_next(self) -> None:
-        """Parse the next pipelined request if the newest is read and the limits allow another."""
+        """Parse the next pipelined request if the newest has been read and limits allow it."""
         if self._input_closed or not self._handlingRequest or not self.persistent:
             return
         if self._waitingForTransport:
@@ -323,7 +325,7 @@
 
 
 def _serialize(answer: Answer) -> list[bytes]:
-    """Return the bytes of an answer with ``Connection: close``, for a request without an object."""
+    """Return the bytes of an answer with ``Connection: close``, without using a request object."""
     status = HTTPStatus(answer.status)
     lines = [f"HTTP/1.1 {status.value} {status.phrase}\r\n".encode()]
     headers = (*answer.headers, ("Content-Length", str(len(answer.body))), ("Connection", "close"))
--- a/packages/callers/src/cardamomloft/callers/delivery.py
+++ b/packages/callers/src/cardamomloft/callers/delivery.py
@@ -30,7 +30,7 @@
         self._written = 0
 
     def start(self) -> "Deferred[Delivery]":
-        """Write the head and the body; the Deferred says whether the body was complete."""
+        """Write the head and the body; the Deferred fires with the result of the delivery."""
         self._request.begin_answer(self._answer)
         self._request.write(b"")
         self._request.disconnected.addCallback(lambda _: self._source.abort())
@@ -62,7 +62,7 @@
             delivery = Delivery(False, self._written, detail)
         if not delivery.complete:
             self._request.abort()
-        elif not self._request.over:
+        elif not self._request.ended:
             self._request.finish()
         return delivery
 
--- a/packages/callers/src/cardamomloft/callers/exchange.py
+++ b/packages/callers/src/cardamomloft/callers/exchange.py
@@ -99,7 +99,7 @@
     body: bytes | Source
 
 
-class _Explanation(t.TypedDict):
+class _GeneratedBody(t.TypedDict):
     """The JSON body of an answer that this system generates."""
 
     outcome: str
@@ -110,24 +110,24 @@
 
 def complete(status: int, headers: Headers, body: bytes | Source) -> Answer:
     """Return the answer of an upstream with the outcome ``complete``."""
-    own = {OUTCOME_HEADER.lower(), REASON_HEADER.lower()}
-    kept = tuple(pair for pair in headers if pair[0].lower() not in own)
+    reserved = {OUTCOME_HEADER.lower(), REASON_HEADER.lower()}
+    kept = tuple(pair for pair in headers if pair[0].lower() not in reserved)
     return Answer(status, (*kept, (OUTCOME_HEADER, COMPLETE)), body)
 
 
 def failed(detail: str, reason: str = "upstream-failed") -> Answer:
     """Return 502 for an idempotent request that may have run; the caller may retry it."""
-    return _explain(HTTPStatus.BAD_GATEWAY, FAILED, reason, detail)
+    return _generated_answer(HTTPStatus.BAD_GATEWAY, FAILED, reason, detail)
 
 
 def internal_error(detail: str) -> Answer:
     """Return 500 after an internal error; the request may or may not have run."""
-    return _explain(HTTPStatus.INTERNAL_SERVER_ERROR, UNKNOWN, "internal-error", detail)
+    return _generated_answer(HTTPStatus.INTERNAL_SERVER_ERROR, UNKNOWN, "internal-error", detail)
 
 
 def deadline_exceeded(detail: str) -> Answer:
     """Return 504 for a request whose deadline has passed; it may have run."""
-    return _explain(HTTPStatus.GATEWAY_TIMEOUT, UNKNOWN, "deadline-passed", detail)
+    return _generated_answer(HTTPStatus.GATEWAY_TIMEOUT, UNKNOWN, "deadline-passed", detail)
 
 
 def with_fractional_retry_after(answer: Answer) -> Answer:
@@ -157,12 +157,12 @@
 @to_answer.register
 def _(outcome: Refusal) -> Answer:
     status = _STATUS_OF_REASON.get(outcome.reason, HTTPStatus.SERVICE_UNAVAILABLE)
-    return _explain(status, REFUSED, outcome.reason, outcome.detail, outcome.retry_after)
+    return _generated_answer(status, REFUSED, outcome.reason, outcome.detail, outcome.retry_after)
 
 
 @to_answer.register
 def _(outcome: Unknown) -> Answer:
-    return _explain(HTTPStatus.GATEWAY_TIMEOUT, UNKNOWN, "outcome-unknown", outcome.detail)
+    return _generated_answer(HTTPStatus.GATEWAY_TIMEOUT, UNKNOWN, "outcome-unknown", outcome.detail)
 
 
 def end_to_end(headers: Iterable[tuple[str, str]]) -> Headers:
@@ -178,14 +178,14 @@
     return tuple(pair for pair in pairs if pair[0].lower() not in dropped)
 
 
-def _explain(
+def _generated_answer(
     status: HTTPStatus,
     outcome: str,
     reason: str,
     detail: str,
     retry_after: timedelta | None = None,
 ) -> Answer:
-    body = _Explanation(outcome=outcome, reason=str(reason), detail=detail)
+    body = _GeneratedBody(outcome=outcome, reason=str(reason), detail=detail)
     headers = [
         ("Content-Type", "application/json"),
         ("Cache-Control", "no-store"),
--- a/packages/callers/src/cardamomloft/callers/factory.py
+++ b/packages/callers/src/cardamomloft/callers/factory.py
@@ -16,7 +16,7 @@
 from .waiting import Waiters
 
 IDLE_TIMEOUT_S = 60
-"""Default idle timeout of a connection; a configuration may set another."""
+"""Default idle timeout of a connection; the configuration may override it."""
 
 
 class Meter(t.Protocol):
--- a/packages/callers/src/cardamomloft/callers/pipelining.py
+++ b/packages/callers/src/cardamomloft/callers/pipelining.py
@@ -9,7 +9,7 @@
 import typing as t
 
 MAX_REQUESTS_PER_CONNECTION = 8
-"""Requests of one connection that are handled concurrently."""
+"""Maximum number of requests of one connection that are handled concurrently."""
 
 MAX_HELD_BYTES_PER_CONNECTION = 512 * 1024
 """Bytes of held answers at which a connection reads no further request.
@@ -18,7 +18,7 @@
 """
 
 MAX_REQUESTS_AHEAD = 64
-"""Requests handled ahead of their turn on all connections of a process."""
+"""Maximum number of requests handled ahead of their turn on all connections of a process."""
 
 MAX_HELD_BYTES = 8 * 1024 * 1024
 """Bytes of held answers on all connections at which no further request is read.
@@ -34,18 +34,18 @@
     ----------
     requests
         Number of requests that are handled ahead of their turn.
-    held
-        Bytes of complete answers that wait for their turn.
+    held_bytes
+        Size of the complete answers that wait for their turn.
     """
 
     def __init__(self) -> None:
         self.requests = 0
-        self.held = 0
+        self.held_bytes = 0
 
     @property
     def is_exhausted(self) -> bool:
         """Whether no further request may be handled ahead of its turn."""
-        return self.requests >= MAX_REQUESTS_AHEAD or self.held >= MAX_HELD_BYTES
+        return self.requests >= MAX_REQUESTS_AHEAD or self.held_bytes >= MAX_HELD_BYTES
 
 
 class PipelineUsage:
@@ -60,7 +60,7 @@
     def __init__(self, budget: PipelineBudget) -> None:
         self._budget = budget
         self._ahead = False
-        self.held = 0
+        self.held_bytes = 0
 
     def start_ahead(self) -> None:
         """Charge the budget for a request that is handled ahead of its turn."""
@@ -69,14 +69,14 @@
 
     def hold_answer(self, size: int) -> None:
         """Charge the budget for a held answer of `size` bytes."""
-        self.held += size
-        self._budget.held += size
+        self.held_bytes += size
+        self._budget.held_bytes += size
 
     def release(self) -> None:
         """Release everything charged: it is the request's turn or the caller disconnected."""
         self._budget.requests -= self._ahead
-        self._budget.held -= self.held
-        self._ahead, self.held = False, 0
+        self._budget.held_bytes -= self.held_bytes
+        self._ahead, self.held_bytes = False, 0
 
 
 def may_read_next(usages: t.Sequence[PipelineUsage], budget: PipelineBudget) -> bool:
@@ -85,4 +85,4 @@
         return True
     if len(usages) >= MAX_REQUESTS_PER_CONNECTION or budget.is_exhausted:
         return False
-    return sum(usage.held for usage in usages) < MAX_HELD_BYTES_PER_CONNECTION
+    return sum(usage.held_bytes for usage in usages) < MAX_HELD_BYTES_PER_CONNECTION
--- a/packages/callers/src/cardamomloft/callers/request.py
+++ b/packages/callers/src/cardamomloft/callers/request.py
@@ -35,7 +35,7 @@
     started
         Whether processing has started.
     pipeline_usage
-        What the request uses of the pipelining budget.
+        The share of the pipelining budget that the request uses.
     waiting_since
         When the request arrived, in reactor seconds, if it had to wait for others; else None.
     """
@@ -75,7 +75,7 @@
 
     @property
     def _is_first(self) -> bool:
-        return self.over or self.channel.requests[0] is self
+        return self.ended or self.channel.requests[0] is self
 
     def wait_for_turn(self, size: int = 0) -> "Deferred[None]":
         """Return a Deferred that fires when the answer may be written.
@@ -173,8 +173,8 @@
         for name, value in end_to_end(answer.headers):
             headers.addRawHeader(name.encode("latin-1"), value.encode("latin-1"))
         # An answer to HEAD keeps the Content-Length of the body that GET would return.
-        sized = self.method == b"HEAD" and headers.hasHeader(b"Content-Length")
-        if isinstance(answer.body, bytes) and not sized:
+        keeps_length = self.method == b"HEAD" and headers.hasHeader(b"Content-Length")
+        if isinstance(answer.body, bytes) and not keeps_length:
             headers.setRawHeaders(b"Content-Length", [b"%d" % len(answer.body)])
         if answer.status in NO_BODY_CODES:
             headers.removeHeader(b"Content-Length")
@@ -192,20 +192,20 @@
 
     def write_answer(self, answer: Answer) -> None:
         """Write an answer without a streamed body; earlier answers must be complete."""
-        if self.over:
+        if self.ended:
             return
         self.begin_answer(answer)
         self.write(answer.body if isinstance(answer.body, bytes) else b"")
         self.finish()
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         """Whether the connection is lost or the answer is complete."""
         return self._disconnected or bool(self.finished)
 
     def abort(self) -> None:
         """Reset the connection, so that the caller recognizes a truncated answer."""
-        if not self.over:
+        if not self.ended:
             self.channel.transport.abortConnection()
 
     def _must_close(self) -> bool:
@@ -214,8 +214,10 @@
             return False
         if self.channel.factory.closing or not self.channel.persistent or self._awaits_continue:
             return True
-        rest = self.body.remaining
-        return self.body.failure is not None or (rest is not None and rest > MAX_DISCARD_BYTES)
+        remaining = self.body.remaining
+        return self.body.failure is not None or (
+            remaining is not None and remaining > MAX_DISCARD_BYTES
+        )
 
     def _send_continue(self) -> None:
         if self._awaits_continue and not self.startedWriting and not self._disconnected:
--- a/packages/callers/tests/test_pipelining.py
+++ b/packages/callers/tests/test_pipelining.py
@@ -98,12 +98,15 @@
     conn.receive(get(3)[10:])
     assert conn.order == [1, 2, 3] and conn.factory.pipeline_budget.requests == 2
     conn.answer(3)
-    assert conn.answered() == [] and conn.factory.pipeline_budget.held == 3
+    assert conn.answered() == [] and conn.factory.pipeline_budget.held_bytes == 3
     conn.answer(1)
     assert conn.answered() == [1] and conn.factory.pipeline_budget.requests == 1
     conn.answer(2)
     assert conn.answered() == [1, 2, 3] and not conn.transport.disconnecting
-    assert (conn.factory.pipeline_budget.requests, conn.factory.pipeline_budget.held) == (0, 0)
+    assert (conn.factory.pipeline_budget.requests, conn.factory.pipeline_budget.held_bytes) == (
+        0,
+        0,
+    )
     assert conn.meter.names == ["pipelined.beside"] * 2
     conn.receive(get(4))
     conn.answer(4)
@@ -158,7 +161,10 @@
     conn.answer(1)
     conn.answer(3)
     assert conn.app.in_flight == 0
-    assert (conn.factory.pipeline_budget.requests, conn.factory.pipeline_budget.held) == (0, 0)
+    assert (conn.factory.pipeline_budget.requests, conn.factory.pipeline_budget.held_bytes) == (
+        0,
+        0,
+    )
 
 
 def test_only_the_last_answer_closes_the_connection_during_shutdown():
@@ -335,7 +341,10 @@
     else:
         assert conn.answered() == list(range(len(kinds)))
     assert conn.app.in_flight == 0
-    assert (conn.factory.pipeline_budget.requests, conn.factory.pipeline_budget.held) == (0, 0)
+    assert (conn.factory.pipeline_budget.requests, conn.factory.pipeline_budget.held_bytes) == (
+        0,
+        0,
+    )
 
 
 class Peer(Protocol):
--- a/packages/feed/src/cardamomloft/feed/changetable.py
+++ b/packages/feed/src/cardamomloft/feed/changetable.py
@@ -73,10 +73,10 @@
         """Apply a complete listing of the store at the position `index`."""
         if index < self.index or index.era != self.index.era or self.index == BEGINNING:
             self._reset(index)
-        given = {key_of(fact): fact for fact in facts}
-        gone = (row.fact for key, row in self._rows.items() if key not in given)
-        removals = [removal for removal in map(_removal, gone) if removal is not None]
-        self.apply_changes([*removals, *given.values()], index)
+        listed = {key_of(fact): fact for fact in facts}
+        missing = (row.fact for key, row in self._rows.items() if key not in listed)
+        removals = [removal for removal in map(_removal, missing) if removal is not None]
+        self.apply_changes([*removals, *listed.values()], index)
 
     def apply_changes(self, facts: Iterable[Fact], index: Position) -> None:
         """Apply the changes up to the position `index`, in order."""
@@ -130,7 +130,7 @@
         while len(self._removed) > self._max_removals:
             key = next(iter(self._removed))
             del self._removed[key]
-            # Subscribers that are complete up to this position know of the removal.
+            # Subscribers that are complete up to this position have received the removal.
             self._oldest_index = max(self._oldest_index, self._rows.pop(key).index)
 
 
@@ -139,10 +139,10 @@
     return type(held) is type(received) and held == received
 
 
-def _supersedes(held: Fact, offered: Fact) -> bool:
-    """Return whether `offered` is an older configuration than `held`."""
-    both = isinstance(held, PlanRead) and isinstance(offered, PlanRead)
-    return both and offered.plan.number < held.plan.number
+def _supersedes(held: Fact, received: Fact) -> bool:
+    """Return whether `received` is an older configuration than `held`."""
+    are_plans = isinstance(held, PlanRead) and isinstance(received, PlanRead)
+    return are_plans and received.plan.number < held.plan.number
 
 
 def _is_removal(fact: Fact) -> bool:
--- a/packages/feed/src/cardamomloft/feed/noticecodec.py
+++ b/packages/feed/src/cardamomloft/feed/noticecodec.py
@@ -30,7 +30,7 @@
     notice: CrashUnderRequest
 
 
-_AGED = {UpstreamLeaving: _Leaving, CrashUnderRequest: _Crash}
+_ROW_TYPES = {UpstreamLeaving: _Leaving, CrashUnderRequest: _Crash}
 
 _codec: TypedCodec[_Leaving | _Crash] = TypedCodec((_Leaving, _Crash))
 
@@ -38,7 +38,7 @@
 def encode_notices(notices: Iterable[DatedNotice], now: timedelta) -> bytes:
     """Encode `notices`, given the time `now` on the clock of their times."""
     return _codec.encode(
-        _AGED[type(notice)](max(0, (now - at) // _MS), notice) for notice, at in notices
+        _ROW_TYPES[type(notice)](max(0, (now - at) // _MS), notice) for notice, at in notices
     )
 
 
--- a/packages/feed/src/cardamomloft/feed/sources.py
+++ b/packages/feed/src/cardamomloft/feed/sources.py
@@ -8,7 +8,7 @@
   immediately, so without failures a change is applied after 0.4.
 - A subscriber's query to a relay waits up to 0.3, and times out 0.1 later.
 - Data that is 0.7 old is refreshed from the store. The store is thus queried at most 0.8 after a
-  change, which leaves 0.2 for its answer.
+  change, so 0.2 remains for its answer.
 
 During an outage of the store, relays query it continuously and the other gateways query the relays.
 A relay with data newer than the failure shows that the store has recovered. Since only a relay may
@@ -40,7 +40,7 @@
 
 MAX_AGE_FRACTION = 0.7
 """Fraction of the drain time after which data is refreshed from the store. After a relay timeout,
-0.2 is left for the store's answer."""
+0.2 remains for the store's answer."""
 
 SUBSCRIBER_PAUSE_FRACTION = 0.05
 """Fraction of the drain time between an answer with changes and a subscriber's next query. It
@@ -54,7 +54,8 @@
 """Consecutive failed calls after which the store counts as unavailable."""
 
 SUSPECT_DRAIN_TIMES = 2.0
-"""Drain times for which an unresponsive relay is not queried; a dead one's record expires first."""
+"""Drain times for which an unresponsive relay is not queried. The record of a stopped relay expires
+earlier."""
 
 _NEVER = timedelta(0)
 
@@ -128,7 +129,7 @@
     def usable_relay(self, records: Iterable[EntryRecord], now: timedelta) -> EntryRecord | None:
         """Return a relay that may have data while the store does not answer, or None.
 
-        A relay gets the other relay.
+        For a gateway that is a relay itself, it is another relay.
         """
         return self._nearest(self._relays(records), now)
 
--- a/packages/feed/src/cardamomloft/feed/typedcodec.py
+++ b/packages/feed/src/cardamomloft/feed/typedcodec.py
@@ -17,7 +17,13 @@
 
 
 class TypedCodec(t.Generic[T]):
-    """Encodes and decodes items of `types`; append new types to keep the numbers."""
+    """Encodes and decodes items of the given types.
+
+    Parameters
+    ----------
+    types
+        The types; the position of each is its number in encoded data, so only append new types.
+    """
 
     def __init__(self, types: Sequence[type[T]]) -> None:
         self._numbers = {kind: number for number, kind in enumerate(types)}
@@ -32,14 +38,14 @@
     def decode(self, data: bytes) -> Result[tuple[T, ...], str]:
         """Decode items; the error is a message.
 
-        One invalid item makes the whole list an error, since the missing item may matter.
+        One invalid item makes the whole list an error, so that no item is skipped silently.
         """
         try:
-            return Ok(tuple(map(self._item, self._list_decoder.decode(data))))
+            return Ok(tuple(map(self._decode_item, self._list_decoder.decode(data))))
         except (msgspec.MsgspecError, ValueError, TypeError, RecursionError) as exc:
             return Error(f"{type(exc).__name__}: {exc}")
 
-    def _item(self, tagged: _TaggedItem) -> T:
+    def _decode_item(self, tagged: _TaggedItem) -> T:
         if not 0 <= tagged.number < len(self._decoders):
             raise ValueError(f"unknown type number {tagged.number}")
         return t.cast(T, self._decoders[tagged.number].decode(tagged.item))
--- a/packages/peers/src/cardamomloft/peers/codec.py
+++ b/packages/peers/src/cardamomloft/peers/codec.py
@@ -34,7 +34,7 @@
     messages.NoticeDigest,
     messages.ConfigurationPush,
 )
-_HEADERS = {kind: MAGIC + bytes([VERSION, at]) for at, kind in enumerate(_KINDS)}
+_HEADERS = {kind: MAGIC + bytes([VERSION, number]) for number, kind in enumerate(_KINDS)}
 
 
 class DecodeFailure(t.NamedTuple):
--- a/packages/store/src/cardamomloft/store/exchange.py
+++ b/packages/store/src/cardamomloft/store/exchange.py
@@ -18,7 +18,7 @@
 CONNECT_TIMEOUT_S = 1.0
 MAX_IDLE_CONNECTIONS = 4
 
-# Detect a dead peer in about 2 s: the minimum values of TCP keep-alive.
+# TCP keep-alive with its minimum values, which detects a dead peer in about 2 s.
 _KEEPALIVE_OPTIONS = {socket.TCP_KEEPIDLE: 1, socket.TCP_KEEPINTVL: 1, socket.TCP_KEEPCNT: 1}
 
 
@@ -38,7 +38,7 @@
 class _Connection(HTTP11ClientProtocol):
     """A connection with TCP keep-alive.
 
-    It ends a call that waits for a change on a dead connection before the call times out.
+    With it, a call that waits for a change on a dead connection fails before its timeout.
     """
 
     def connectionMade(self) -> None:  # noqa: N802
@@ -93,8 +93,8 @@
         self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
         # Retries, also of GET on a closed connection, are left to the caller.
         self._pool.retryAutomatically = False
-        own_agent = Agent(reactor, connectTimeout=CONNECT_TIMEOUT_S, pool=self._pool)
-        self._client = HTTPClient(agent or own_agent)
+        default_agent = Agent(reactor, connectTimeout=CONNECT_TIMEOUT_S, pool=self._pool)
+        self._client = HTTPClient(agent or default_agent)
 
     def call(
         self,
--- a/packages/store/src/cardamomloft/store/keyvalue.py
+++ b/packages/store/src/cardamomloft/store/keyvalue.py
@@ -293,7 +293,7 @@
 def _read_watched(answer: Answer, after_index: int) -> Result[WatchResult, StoreFailure]:
     if not answer.index and answer.status in (200, 404):
         return Error(StoreFailure(False, "the answer has no X-Consul-Index"))
-    # The index went back, so the store was replaced: continue with a plain read.
+    # A lower index means that the store was replaced; with index 0 the next watch reads at once.
     index = 0 if (answer.index or 0) < after_index else answer.index or 0
     return _read_record(answer).map(lambda record: WatchResult(record, index))
 
--- a/packages/upstreams/src/cardamomloft/upstreams/client.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/client.py
@@ -1,8 +1,8 @@
 """HTTP client that sends requests to upstream endpoints.
 
-A request counts as sent once it has a connection, since its first bytes may have left from then on.
-A failure before that proves that the request was not run; afterwards only a definite refusal by the
-upstream proves it.
+A request counts as sent once it has a connection, since bytes may be sent from then on. A failure
+before that proves that the request was not run; afterwards only a definite refusal by the upstream
+proves it.
 """
 
 import typing as t
@@ -134,7 +134,7 @@
         return _Exchange(self, req).result
 
     def cancel(self, endpoint: Endpoint, request_id: str) -> "Deferred[bool]":
-        """Ask the upstream to stop a request; return whether it confirms that it is not running.
+        """Cancel a request; return whether the upstream confirms that it is not running.
 
         This frees the slot, but the request may already have had an effect.
         """
@@ -151,8 +151,8 @@
 
     def forget(self, address: str) -> None:
         """Close the idle connections to `address`, because the upstream there was restarted."""
-        self.pool.drop(address)
-        self._control_pool.drop(address)
+        self.pool.close_idle(address)
+        self._control_pool.close_idle(address)
 
     def close(self) -> "Deferred[None]":
         """Close all idle connections."""
--- a/packages/upstreams/src/cardamomloft/upstreams/connections.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/connections.py
@@ -18,7 +18,7 @@
 MAX_IDLE_PER_ENDPOINT = 4
 # Shorter than the keep-alive time of most HTTP servers, so that the client usually closes first.
 IDLE_TIMEOUT_S = 3.0
-# Fraction of the keep-alive time granted by an upstream after which an idle connection is closed.
+# An idle connection is closed after this fraction of the keep-alive time granted by its upstream.
 IDLE_FRACTION = 0.7
 
 # TCP_USER_TIMEOUT: how long sent data may stay unacknowledged before the kernel closes the
@@ -43,7 +43,7 @@
     Attributes
     ----------
     exchange
-        Number of the current or last request on this connection, from 1.
+        Number of requests sent on this connection, which identifies the current or last one.
     closed_cleanly
         Whether the upstream closed the connection without a reset.
     idle_s
@@ -66,7 +66,7 @@
         self.exchange += 1
         result = super().request(request)
         if self.state == _TRANSMITTING:
-            self._responseDeferred.addCallback(self._answered_early, request)
+            self._responseDeferred.addCallback(self._stop_upload_on_error, request)
         return result
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
@@ -82,10 +82,10 @@
         self.closed_cleanly = bool(reason.check(ConnectionDone))
         super().connectionLost(reason)
 
-    def _answered_early(self, response: IResponse, request: t.Any) -> IResponse:
-        # Otherwise an early error answer would be delivered only after the whole body was sent, and
-        # be lost if the upstream closed the connection before. After a success status the upstream
-        # may still be reading the body.
+    def _stop_upload_on_error(self, response: IResponse, request: t.Any) -> IResponse:
+        # The base class delivers an answer only after the request body is sent, and drops it if the
+        # upstream closes the connection earlier. After a success status the upload continues,
+        # since the upstream may still be reading the body.
         transmitting = self.state in (_TRANSMITTING, _TRANSMITTING_AFTER_RESPONSE)
         if response.code < _FIRST_ERROR_STATUS or not transmitting:
             return response
@@ -110,11 +110,12 @@
 def usable_idle_s(granted: bytes) -> float:
     """Return the idle timeout in seconds for a connection with this ``Keep-Alive`` header value.
 
-    It is shorter than the time granted, which the server counts from when it sent its answer. If a
-    request was sent while the server closes the connection, it would be unknown whether it ran.
+    It is shorter than the time granted, which the server counts from when it sent its answer. If
+    the server closes the connection while a request is being sent, the client cannot know whether
+    the request ran.
     """
-    found = _KEEP_ALIVE.search(granted)
-    return IDLE_TIMEOUT_S if found is None else IDLE_FRACTION * int(found[1])
+    match = _KEEP_ALIVE.search(granted)
+    return IDLE_TIMEOUT_S if match is None else IDLE_FRACTION * int(match[1])
 
 
 class _ConnectionFactory(HTTPConnectionPool._factory):
@@ -135,7 +136,7 @@
         self.cachedConnectionTimeout = connection.idle_s
         super()._putConnection(key, connection)
 
-    def drop(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to `address`, which is ``ip:port``."""
         host, _, port = address.rpartition(":")
         key = (b"http", host.encode(), int(port))
@@ -176,8 +177,8 @@
         self, key: t.Hashable, endpoint: IStreamClientEndpoint
     ) -> "Deferred[UpstreamConnection]":
         """Return a connection for this request, from the pool or a new one."""
-        find = self._pool.open if self._fresh else self._pool.getConnection
-        return find(key, endpoint).addCallback(self._connected)
+        get_connection = self._pool.open if self._fresh else self._pool.getConnection
+        return get_connection(key, endpoint).addCallback(self._connected)
 
     def abort(self) -> None:
         """Reset the connection, unless this attempt's exchange on it has ended."""
--- a/packages/upstreams/src/cardamomloft/upstreams/dialect.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/dialect.py
@@ -12,7 +12,7 @@
 SHED_STATUS = 503
 
 MAX_RETRY_AFTER = timedelta(hours=1)
-"""Upper bound of the Retry-After time that an upstream may request; longer ones are cut to it."""
+"""Upper bound of an upstream's Retry-After time; longer times are reduced to it."""
 
 _SECONDS = re.compile(r"\d{1,9}(\.\d{1,9})?\Z", re.ASCII)
 _LOAD = re.compile(r"(\d{1,6}),(\d{1,6}),(\d{1,6})\Z")
@@ -71,8 +71,8 @@
 
 def parse_header_load(text: str | None) -> HeaderLoad | None:
     """Return the load report, or None if it is missing or malformed."""
-    found = _LOAD.match(text) if text else None
-    return HeaderLoad(*(int(part) for part in found.groups())) if found else None
+    match = _LOAD.match(text) if text else None
+    return HeaderLoad(*(int(part) for part in match.groups())) if match else None
 
 
 def parse_retry_after(text: str | None) -> timedelta | None:
@@ -80,5 +80,5 @@
 
     Only seconds, with fractions, are accepted: a date would depend on the clocks of both hosts.
     """
-    found = _SECONDS.match(text) if text else None
-    return min(timedelta(seconds=float(found[0])), MAX_RETRY_AFTER) if found else None
+    match = _SECONDS.match(text) if text else None
+    return min(timedelta(seconds=float(match[0])), MAX_RETRY_AFTER) if match else None
--- a/packages/upstreams/src/cardamomloft/upstreams/hints.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/hints.py
@@ -40,7 +40,7 @@
 
 
 def confirms_stopped(raw: bytes) -> bool:
-    """Return whether an answer to ``DELETE /-/requests/<id>`` says that it is not running."""
+    """Return whether an answer to ``DELETE /-/requests/<id>`` confirms that it is not running."""
     try:
         return not _running.decode(raw)["running"]
     except (msgspec.DecodeError, ValueError):
