--- a/packages/gateway/tests/test_crashing_requests.py
+++ b/packages/gateway/tests/test_crashing_requests.py
@@ -72,11 +72,11 @@
 
 
 @pytest.mark.parametrize("store", ["available", "unavailable"])
-@pytest.mark.parametrize("seen_by", ["one gateway", "several"])
-def test_request_that_crashed_three_endpoints_is_sent_to_no_more(fleet, store, seen_by):
+@pytest.mark.parametrize("sent_by", ["one gateway", "several"])
+def test_request_that_crashed_three_endpoints_is_sent_to_no_more(fleet, store, sent_by):
     if store == "unavailable":
         endpoints.put(f"http://{fleet.store}/control", {"down": "hang"})
-    crash_three(fleet, fleet.settings[:1] if seen_by == "one gateway" else fleet.settings[-3:])
+    crash_three(fleet, fleet.settings[:1] if sent_by == "one gateway" else fleet.settings[-3:])
     time.sleep(NOTICE_TIME_S)
     before = fleet.poison_count()
     answers = [endpoints.ask(cfg["callers"], POISON) for cfg in fleet.settings * 2]
--- a/packages/gateway/tests/test_documents.py
+++ b/packages/gateway/tests/test_documents.py
@@ -56,7 +56,7 @@
         ("format", "routes-2", "format"),
         ("rules.0.when.host", "Kiosks", "rules.menus.when.host"),
         ("rules.0.when.path", "/menus", "rules.menus.when.path"),
-        ("rules.0.when.pfad", "/", "rules.menus.when.pfad"),
+        ("rules.0.when.unknown", "/", "rules.menus.when.unknown"),
         ("rules.0.then.timeout", "1000", "rules.menus.then.timeout"),
         ("rules.0.then.services", [], "rules.menus.then.services"),
         ("rules.0.then.services.0.service", "unknown", "rules.menus.then.services"),
--- a/packages/gateway/tests/test_following.py
+++ b/packages/gateway/tests/test_following.py
@@ -14,12 +14,12 @@
 
 
 class Run:
-    """A follower of a fake store, with what it has reported."""
+    """A follower of a fake store, with the listings, changes and recoveries it has reported."""
 
     def __init__(self, control: kit.FakeControl) -> None:
         self.control = control
         self.time = kit.Time(Clock())
-        self.listings, self.changes, self.returned, self.faults = [], [], [], []
+        self.listings, self.changes, self.recoveries, self.faults = [], [], [], []
         self.follower = Follower(
             self.time.reactor,
             self.time.clock,
@@ -28,19 +28,19 @@
             PollTiming(INTERVAL, WAIT),
             self.listings.append,
             self.changes.append,
-            lambda *args: self.returned.append(args),
+            lambda *args: self.recoveries.append(args),
         )
         self.follower.start(self.faults.append)
 
 
-def _listed() -> kit.FakeControl:
+def _listed_control() -> kit.FakeControl:
     control = kit.FakeControl(Ok(kit.listing(index=10)))
     control.next = kit.no_changes()
     return control
 
 
 def test_store_is_listed_once_and_then_polled_at_the_interval():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.time.advance(5 * INTERVAL)
     assert run.control.calls[0] == "read"
     assert set(run.control.calls[1:]) == {"changes 10"}
@@ -49,7 +49,7 @@
 
 
 def test_changes_are_passed_on_and_advance_the_index():
-    run = Run(_listed())
+    run = Run(_listed_control())
     fact = UpstreamWithdrawn("i-1")
     run.control.next = Ok(Changes((fact,), kit.at(14)))
     run.time.advance(2 * INTERVAL)
@@ -58,7 +58,7 @@
 
 
 def test_lost_history_leads_to_a_new_listing():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.control.next = Ok(Changes((), kit.at(10), lost=True))
     run.time.advance(INTERVAL + 100 * MS)
     run.control.next = kit.no_changes()
@@ -74,27 +74,27 @@
 
 
 def test_single_failure_is_not_an_outage():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.control.next = kit.AWAY
     run.time.advance(INTERVAL + 100 * MS)
     assert not run.follower.store_unavailable
     run.control.next = kit.no_changes()
     run.time.advance(INTERVAL)
-    assert run.returned == []
+    assert run.recoveries == []
 
 
 def test_end_of_an_outage_is_reported_once():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.control.next = kit.AWAY
     run.time.advance(5 * INTERVAL)
     assert run.follower.store_unavailable
     run.control.next = kit.no_changes()
     run.time.advance(3 * INTERVAL)
-    assert run.returned == [()]
+    assert run.recoveries == [()]
 
 
 def test_long_poll_without_changes_is_repeated_at_once():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.control.pending = Deferred()
     run.time.advance(3000 * MS)
     assert run.control.calls == ["read", "changes 10"]
@@ -106,7 +106,7 @@
 
 
 def test_poll_after_a_change_waits_for_the_interval():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.control.pending = Deferred()
     run.time.advance(1500 * MS)
     poll, run.control.pending = run.control.pending, Deferred()
@@ -119,7 +119,7 @@
 
 
 def test_first_poll_after_a_failure_does_not_wait():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.time.advance(INTERVAL)
     run.control.next = kit.AWAY
     run.time.advance(3 * INTERVAL)
@@ -131,7 +131,7 @@
 
 
 def test_pending_poll_is_replaced_when_another_call_has_failed():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.control.pending = Deferred(lambda deferred: deferred.callback(kit.AWAY))
     run.time.advance(1500 * MS)
     run.control.pending = None
@@ -142,7 +142,7 @@
 
 
 def test_extra_poll_is_ignored_during_an_outage():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.control.next = kit.AWAY
     run.time.advance(3 * INTERVAL)
     calls_before = len(run.control.calls)
@@ -151,7 +151,7 @@
 
 
 def test_nothing_is_requested_after_a_stop():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.follower.stop()
     assert run.time.reactor.getDelayedCalls() == []
     calls_before = len(run.control.calls)
@@ -161,7 +161,7 @@
 
 
 def test_nothing_is_requested_after_a_stop_during_a_pending_poll():
-    run = Run(_listed())
+    run = Run(_listed_control())
     run.control.pending = Deferred(lambda deferred: deferred.callback(kit.AWAY))
     run.time.advance(1500 * MS)
     run.follower.stop()
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -145,7 +145,7 @@
 def test_stop_during_an_outage_of_the_store_continues_no_request():
     """Guards against a fault when a stop cancels a pending request for changes.
 
-    With the store unavailable, the cancelled request was continued at a relay during the stop.
+    The cancelled request must not be continued at a relay because the store is unavailable.
     """
     run = Run()
     run.control.next = kit.AWAY
--- a/packages/gateway/tests/test_gateway_settings.py
+++ b/packages/gateway/tests/test_gateway_settings.py
@@ -17,7 +17,7 @@
         ("zones", []),
         ("callers", "localhost:80"),
         ("retries", {"ratio": 0.2, "slack": 60}),
-        ("unheard_of", 1),
+        ("unknown_setting", 1),
     ],
 )
 def test_invalid_setting_is_reported_with_its_path(path, value):
--- a/packages/gateway/tests/test_gateway_store.py
+++ b/packages/gateway/tests/test_gateway_store.py
@@ -114,14 +114,14 @@
 
 
 def test_expiration_of_all_registrations_in_an_outage_removes_no_endpoint():
-    """Guards against taking revisions of expirations for a sign that the store was available."""
+    """Guards against treating revisions of expirations as evidence that the store was available."""
     run = _run_with(40)
     run.control.next = kit.no_changes(80)
     run.time.advance(10_000 * MS)
     run.control.next = kit.AWAY
     run.time.advance(4000 * MS)
-    lapsed = tuple(UpstreamWithdrawn(f"i-{number}") for number in range(1, 41))
-    run.control.next = Ok(Changes(lapsed, kit.at(120)))
+    expired = tuple(UpstreamWithdrawn(f"i-{number}") for number in range(1, 41))
+    run.control.next = Ok(Changes(expired, kit.at(120)))
     run.time.advance(600 * MS)
     run.control.next = kit.no_changes(120)
     assert run.ask().status == 200
@@ -135,9 +135,9 @@
 
 def test_expired_registration_is_not_retained_if_others_were_renewed_meanwhile():
     run = _run_with(4)
-    gone = [UpstreamWithdrawn(f"i-{number}") for number in (1, 2, 3, 4)]
-    back = [UpstreamRegistered(kit.registration(number)) for number in (1, 2, 3)]
-    _outage(run, *gone, *back)
+    expired = [UpstreamWithdrawn(f"i-{number}") for number in (1, 2, 3, 4)]
+    renewed = [UpstreamRegistered(kit.registration(number)) for number in (1, 2, 3)]
+    _outage(run, *expired, *renewed)
     assert [up.id for up in run.gateway.upstream_table.all()] == ["i-1", "i-2", "i-3"]
 
 
@@ -159,7 +159,7 @@
 
 
 class HangingControl(kit.FakeControl):
-    """Its calls for changes receive none, and report a lost history when their wait is over."""
+    """A fake store whose calls for changes report a lost history only at the end of their wait."""
 
     def __init__(self, first) -> None:
         super().__init__(first)
--- a/packages/gateway/tests/test_gossip.py
+++ b/packages/gateway/tests/test_gossip.py
@@ -33,7 +33,7 @@
 
 
 class Member:
-    """The gossip of one gateway, with what it has received."""
+    """The gossip of one gateway, with the notices that it has received."""
 
     def __init__(self, run: "Fleet", name: str) -> None:
         self.run, self.me = run, Incarnation(name, "1")
@@ -58,7 +58,7 @@
         timer.clock = run.time.reactor
         timer.start(COMPARE_INTERVAL.total_seconds(), now=False)
 
-    def knows(self, notice) -> bool:
+    def has_received(self, notice) -> bool:
         return notice in {dated.notice for dated in self.received}
 
     def _others(self):
@@ -103,7 +103,7 @@
         self.time.advance(duration, 10 * MS)
 
     def members_without(self, notice) -> list[str]:
-        return [member.me.seat for member in self.members if not member.knows(notice)]
+        return [member.me.seat for member in self.members if not member.has_received(notice)]
 
 
 @pytest.mark.parametrize("count", [2, 3, 10, 63, 195])
@@ -145,7 +145,7 @@
     fleet.run(2000 * MS)
     late.listed = True
     fleet.run(DELIVERY_TIME)
-    assert late.knows(CRASH)
+    assert late.has_received(CRASH)
 
 
 def test_starting_gateway_takes_the_newest_configuration_of_its_peers():
--- a/packages/gateway/tests/test_relay_processes.py
+++ b/packages/gateway/tests/test_relay_processes.py
@@ -57,7 +57,7 @@
 def test_only_relays_call_the_store_and_all_gateways_get_a_change_in_time(fleet):
     relays = fleet.relays()
     others = fleet.settings.keys() - set(relays)
-    # Calls that were pending when the gateways learned of each other still end at the store.
+    # Store calls that began before the gateways selected their relays must end first.
     time.sleep(DRAIN_S)
     calls_before = {
         name: processes.metric(fleet.settings[name], "changes_from_store") for name in others
--- a/packages/gateway/tests/test_relayed_changes.py
+++ b/packages/gateway/tests/test_relayed_changes.py
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("fault", ["cut", "refused", "silenced", "both"])
 def test_disconnected_relays_delay_no_change_beyond_the_drain_time(fault):
-    """The change follows the fault at once, which is the worst case."""
+    """The configuration changes immediately after the fault, which is the worst case."""
     run = Deployment()
     for name in run.relays:
         if fault in ("cut", "both"):
@@ -144,35 +144,38 @@
     before = counted(run.listeners(), "changes_from_store")
     _make_unavailable(run, 8000 * MS)
     calls = counted(run.listeners(), "changes_from_store") - before
-    # Two until the outage is detected, one per 0.7 of the drain time, and one at the end.
+    # Per gateway two calls until the outage is detected, one per 0.7 of the drain time, and one at
+    # the end.
     assert calls <= len(run.listeners()) * (2 + 8000 * MS / (DRAIN * 0.7) + 1)
 
 
-@pytest.mark.parametrize("relays", ["well", "cut", "silenced"])
+@pytest.mark.parametrize("relays", ["healthy", "cut", "silenced"])
 def test_end_of_an_outage_is_detected_in_time_and_before_expirations(relays):
-    """Guards against removing expired records before the end of the outage is known."""
+    """Guards against removing expired records before the end of the outage is detected."""
     run = Deployment()
-    ended_at = _make_unavailable(run, 8000 * MS, lapses=True)
+    ended_at = _make_unavailable(run, 8000 * MS, with_expiration=True)
     if relays == "cut":
         run.store.cut |= set(run.relays)
     if relays == "silenced":
         run.network.silenced |= set(run.relays)
     run.run(DRAIN)
     for gateway in run.listeners():
-        (noticed,) = gateway.returns
-        assert noticed - ended_at <= (600 * MS if relays == "well" else DRAIN * 0.9)
-        assert gateway.entries_gone and gateway.entries_gone[0] >= noticed
+        (detected_at,) = gateway.returns
+        assert detected_at - ended_at <= (600 * MS if relays == "healthy" else DRAIN * 0.9)
+        assert gateway.entries_gone and gateway.entries_gone[0] >= detected_at
     run.configure()
     run.run(DRAIN)
     assert {row.name for row in run.listeners()}.isdisjoint(run.late())
 
 
-def _make_unavailable(run: Deployment, duration: timedelta, *, lapses: bool = False) -> timedelta:
-    """Make the store unavailable to all gateways for `duration`, and return when that ended."""
+def _make_unavailable(
+    run: Deployment, duration: timedelta, *, with_expiration: bool = False
+) -> timedelta:
+    """Make the store unavailable to all gateways for `duration`, and return the end time."""
     run.store.refused |= {row.name for row in run.gateways}
     run.run(duration)
     run.store.refused.clear()
-    if lapses:
+    if with_expiration:
         run.store.write(("entry", "gone"), EntryWithdrawn("gone"), removes=True)
     return run.time.clock.monotonic()
 
@@ -248,13 +251,13 @@
 
 def test_unrequested_answers_are_ignored():
     run = Deployment()
-    subscriber, stranger = run.listeners()[0], Incarnation("stranger", "1")
+    subscriber, unknown_peer = run.listeners()[0], Incarnation("stranger", "1")
     for number in range(200):
-        subscriber.receive(stranger, ChangesResponse(number, 1, 10**9, b"", False, 0, 0))
+        subscriber.receive(unknown_peer, ChangesResponse(number, 1, 10**9, b"", False, 0, 0))
         subscriber.receive(
             Incarnation(run.relays[0], "9"), ChangesResponse(number, 1, 10**9, b"x", True, 0, 0)
         )
-    subscriber.receive(stranger, ChangesRequest(1, 0, 0, 10**9))
+    subscriber.receive(unknown_peer, ChangesRequest(1, 0, 0, 10**9))
     run.configure()
     run.run(DRAIN)
     assert run.late() == []
@@ -336,7 +339,7 @@
 def test_changes_are_in_time_and_never_reverted_under_any_sequence_of_faults(faults, seed):
     """A gateway that reaches the store gets each change within the drain time, whatever else fails.
 
-    Faults last until they are healed, so they overlap; each is followed by a change at once.
+    Faults last until they are healed, so they overlap. A change follows each fault immediately.
     """
     run = Deployment(seed)
     injector = FaultInjector(run)
@@ -366,16 +369,16 @@
 
 def test_relay_does_not_pass_on_unchanged_writes():
     run = Deployment()
-    same = UpstreamRegistered(kit.registration(1))
-    run.store.write("i-1", same)
+    unchanged = UpstreamRegistered(kit.registration(1))
+    run.store.write("i-1", unchanged)
     run.run(DRAIN)
-    answered = counted(run.listeners(), "changes_from_relay")
+    before = counted(run.listeners(), "changes_from_relay")
     for _ in range(100):
-        run.store.write("i-1", same)
+        run.store.write("i-1", unchanged)
         run.run(25 * MS)
-    # 2.5 s pass, and a request without changes is held for 0.3 of the drain time at most. A
-    # subscriber that received each write would have made some 20 requests.
-    assert counted(run.listeners(), "changes_from_relay") - answered <= 8 * 6
+    # In 2.5 s with requests held for at most 0.3 of the drain time, each subscriber makes few. One
+    # that received each write would make about 20 requests.
+    assert counted(run.listeners(), "changes_from_relay") - before <= 8 * 6
 
 
 def test_records_and_leases_are_handled_by_the_store():
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -103,11 +103,11 @@
     assert view.eligible() == ["i-1"]
 
 
-@pytest.mark.parametrize("left", [up(1, draining=True), UpstreamWithdrawn("i-1")])
-def test_endpoint_that_left_before_a_restore_is_not_used_again(left):
+@pytest.mark.parametrize("departure", [up(1, draining=True), UpstreamWithdrawn("i-1")])
+def test_endpoint_that_left_before_a_restore_is_not_used_again(departure):
     view = View()
     view.listed(up(1), up(2))
-    view.view.apply_changes((left,))
+    view.view.apply_changes((departure,))
     view.listed(up(1), up(2), era=2)
     view.advance(CONVERGENCE_TIME)
     assert view.eligible() == ["i-2"]
@@ -210,23 +210,23 @@
     def restore(self, age: timedelta) -> None:
         """Restore a backup of that age; lost operators' writes and records are repeated later."""
         run = self.run
-        held = dict(run.store.held)
+        facts = dict(run.store.held)
         run.store.restore(age)
-        run.time.reactor.callLater(WRITE_REPEAT_DELAY.total_seconds(), self._repeat_writes, held)
+        run.time.reactor.callLater(WRITE_REPEAT_DELAY.total_seconds(), self._repeat_writes, facts)
         run.time.reactor.callLater(RECORD_REPEAT_DELAY.total_seconds(), self._repeat_records)
 
-    def _repeat_writes(self, held) -> None:
+    def _repeat_writes(self, facts) -> None:
         store = self.run.store
-        for key, fact in held.items():
-            newer = isinstance(fact, PlanRead) and fact.plan.number < self.run.number
+        for key, fact in facts.items():
+            is_outdated = isinstance(fact, PlanRead) and fact.plan.number < self.run.number
             if (
                 isinstance(fact, PlanRead | ZoneDrained)
                 and store.held.get(key) != fact
-                and not newer
+                and not is_outdated
             ):
                 store.write(key, fact)
         for key in [key for key in store.held if isinstance(store.held[key], ZoneDrained)]:
-            if key not in held:
+            if key not in facts:
                 store.write(key, ZoneRestored(key[1]), removes=True)
 
     def _repeat_records(self) -> None:
@@ -330,9 +330,9 @@
     )
     store = SimpleNamespace(changes=lambda after, wait: succeed(Ok(FROM_STORE)))
     control = RelayedControl(store, time.clock, table, sources, port, lambda: records, Metrics())
-    found = []
-    control.changes(kit.at(60, era=2), DRAIN).addCallback(found.append)
-    (changes,) = (outcome.ok for outcome in found)
+    outcomes = []
+    control.changes(kit.at(60, era=2), DRAIN).addCallback(outcomes.append)
+    (changes,) = (outcome.ok for outcome in outcomes)
     assert changes.facts == ((RELAYED_FACT,) if is_used else FROM_STORE.facts)
     assert changes.whole == (is_used and whole)
     assert table.index == (index if is_used else FROM_STORE.index)
--- a/packages/gateway/tests/test_storecontrol.py
+++ b/packages/gateway/tests/test_storecontrol.py
@@ -106,9 +106,9 @@
         self.index = self.listing.index
 
     def changes(self):
-        found = _result(self.control.changes(self.index, timedelta(0))).ok
-        self.index = found.index
-        return set(found.facts)
+        read = _result(self.control.changes(self.index, timedelta(0))).ok
+        self.index = read.index
+        return set(read.facts)
 
 
 def test_listing_returns_all_facts_and_later_reads_only_differences():
@@ -125,12 +125,12 @@
 
 
 def test_position_from_a_relay_requires_a_new_listing():
-    """Guards against keeping an endpoint that came from a relay and left between two listings."""
+    """Guards against keeping a relayed endpoint that is withdrawn before the next listing."""
     store = ListStore(routes__current=DOCUMENT)
     poller = Poller(StoreControl(store, "g/"))
     poller.index = kit.at(poller.index.revision + 5)
-    found = _result(poller.control.changes(poller.index, timedelta(0))).ok
-    assert found.lost and found.facts == ()
+    read = _result(poller.control.changes(poller.index, timedelta(0))).ok
+    assert read.lost and read.facts == ()
     relisted = Poller(poller.control)
     assert relisted.changes() == set()
 
--- a/packages/gateway/tests/test_time_of_day.py
+++ b/packages/gateway/tests/test_time_of_day.py
@@ -11,7 +11,7 @@
 from cardamomloft_standins import processes
 
 STEP_S = 20.0
-"""Longer than all bounds below, so that a timer that follows the time of day is late."""
+"""Size of a step, longer than all bounds below: a timer that follows the time of day is late."""
 
 DRAIN_S = 2.5
 """Drain time of the settings, within which a change must be in force."""
--- a/tests/adapter/restorable.py
+++ b/tests/adapter/restorable.py
@@ -34,7 +34,7 @@
 
 
 class RestorableStore:
-    """Keys, history, leases and backups of the store; the condition `changed` guards them all."""
+    """Keys, history, leases and backups of the store, protected by the condition `changed`."""
 
     def __init__(self) -> None:
         self.changed = threading.Condition()
@@ -49,7 +49,7 @@
         self.unavailable_until = 0.0
         self.disconnected_ports: set[int] = set()
         self.calls = 0
-        # Without a lease, this takes a backup.
+        # Called without a lease number, this takes the initial backup.
         self._keep()
 
     def put(self, key: str, value: object, lease: int = 0) -> None:
@@ -66,14 +66,14 @@
         """Restore the newest backup of at least that age, and be unavailable for `outage_s`."""
         with self.changed:
             instant = time.monotonic() - age_s
-            backup = next((c for c in reversed(self.backups) if c.at <= instant), self.backups[0])
+            backup = next((b for b in reversed(self.backups) if b.at <= instant), self.backups[0])
             self.era += 1
             self.revision, self.items = backup.revision, dict(backup.items)
             self.leases, self.next_lease = dict(backup.leases), backup.next_lease
             now = time.monotonic()
             self.leases = {lease: now + self.lease_ttls_s[lease] for lease in self.leases}
             self.events = [row for row in self.events if row[0] <= self.revision]
-            self.backups = [c for c in self.backups if c.revision <= self.revision]
+            self.backups = [b for b in self.backups if b.revision <= self.revision]
             self.unavailable_until = now + outage_s
             self.changed.notify_all()
 
--- a/tests/adapter/test_build.py
+++ b/tests/adapter/test_build.py
@@ -1,4 +1,4 @@
-"""Building installs changed sources without disturbing processes that run from the old ones."""
+"""The build installs changed sources and keeps the previous tree for processes that use it."""
 
 import importlib.util
 import pathlib
@@ -35,16 +35,16 @@
 def test_changed_sources_are_installed_while_the_previous_tree_remains(tmp_path):
     deps = make_checkout(tmp_path)
     build.install_sources(tmp_path, deps)
-    running = (deps / "cardamomloft").resolve()
+    previous_tree = (deps / "cardamomloft").resolve()
     source = tmp_path / "packages/core/src/cardamomloft/core/rates.py"
     source.write_text("RATE = 2\n")
     build.install_sources(tmp_path, deps)
     assert (deps / "cardamomloft" / "core" / "rates.py").read_text() == "RATE = 2\n"
-    assert (running / "core" / "rates.py").read_text() == "RATE = 1\n"
-    assert list((running / "core" / "__pycache__").iterdir())
+    assert (previous_tree / "core" / "rates.py").read_text() == "RATE = 1\n"
+    assert list((previous_tree / "core" / "__pycache__").iterdir())
     source.write_text("RATE = 3\n")
     build.install_sources(tmp_path, deps)
-    assert not running.exists()
+    assert not previous_tree.exists()
 
 
 def test_plain_directory_of_an_earlier_build_is_replaced(tmp_path):
--- a/tests/adapter/test_client.py
+++ b/tests/adapter/test_client.py
@@ -36,7 +36,7 @@
 
 
 class FakeExchange:
-    """Gives the answers for a call's path and prefix in turn, and repeats the last one."""
+    """Returns the given answers of a call's path and prefix in turn, and repeats the last one."""
 
     def __init__(self, **answers) -> None:
         self.answers = answers
@@ -111,7 +111,7 @@
 
 
 def test_changes_are_applied_to_outdated_replica_pages():
-    """Guards against listing endpoints and drains that were removed after a replica's pages."""
+    """Guards against listing endpoints and drains that were removed since a replica's pages."""
     events = [
         {"key": "servers/i-1", "revision": 52, "removed": True},
         _item("servers/i-3", REGISTRATION),
@@ -132,10 +132,10 @@
 
 
 def test_replica_older_than_the_history_is_replaced_by_the_stores_own_pages():
-    """Guards against a listing with changes from after its own position.
+    """Guards against a listing that contains changes newer than its position.
 
-    The store's own pages show different instants as well, and such a change would be passed on as
-    an older one, so that gateways which have read past that position never receive it.
+    The store's own pages are read at different instants too. Relays would forward such a change
+    with the older position, and gateways that are already past it would never receive the change.
     """
     store = _store(range=[_page(at=10), _page(at=70)], range_servers=[], watch=[])
     store._exchange.answers |= {
@@ -189,8 +189,8 @@
     _result(store.changes(Position(0, 50), timedelta(seconds=2)))
     _result(store.changes(Position(0, 50), timedelta(seconds=90)))
     assert [call[2]["waitMs"] for call in store._exchange.calls] == ["2000", "30000"]
-    longest = [timedelta(seconds=2), timedelta(seconds=30)]
-    assert store._exchange.timeouts == [CALL_TIMEOUT + wait for wait in longest]
+    expected_waits = [timedelta(seconds=2), timedelta(seconds=30)]
+    assert store._exchange.timeouts == [CALL_TIMEOUT + wait for wait in expected_waits]
 
 
 def test_lost_history_is_reported_in_the_result():
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -74,7 +74,7 @@
 
 
 def test_draining_state_start_time_and_unknown_fields_are_accepted():
-    row = {**REGISTRATION, "state": "draining", "later": 1, "born": 1_700_000_000_123}
+    row = {**REGISTRATION, "state": "draining", "unknownField": 1, "born": 1_700_000_000_123}
     registration = decode_item("servers/i-7", json.dumps(row).encode()).registration
     assert registration.draining
     assert registration.started_ms == 1_700_000_000_123
@@ -102,7 +102,7 @@
         ("address", "10.1.0.9:99999"),
         ("address", "somewhere.example:80"),
         ("coldRemaining", None),
-        ("state", "unheard-of"),
+        ("state", "unknown"),
         ("address", None),
         ("service", ""),
         ("coldRemaining", "soon"),
@@ -145,7 +145,7 @@
     return (
         all(type(number) is int for number in numbers)
         and registration.slots >= 1
-        and all(0 <= int(part) <= 255 for part in host.split("."))
+        and all(0 <= int(octet) <= 255 for octet in host.split("."))
         and 0 < int(port) < 65_536
         and all(type(text) is str and text for text in (registration.service, registration.zone))
         and registration.cold_left >= timedelta(0)
@@ -170,7 +170,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.sampled_from(sorted(CONFIG)), _VALUES)
-def test_configuration_with_a_changed_part_is_valid_or_unreadable(name, value):
+def test_configuration_with_a_changed_section_is_valid_or_unreadable(name, value):
     fact = decode_item("op/config", _config(**{name: value}))
     assert isinstance(fact, Unreadable) or type(fact.plan.number) is int
 
@@ -209,7 +209,7 @@
     assert second.name == "r-1"
 
 
-@pytest.mark.parametrize("kind", ["unsafe", "upload", "never-heard-of"])
+@pytest.mark.parametrize("kind", ["unsafe", "upload", "unknown"])
 def test_only_safe_rules_are_idempotent(kind):
     row = [
         kind if column == "kind" else cell
--- a/tests/adapter/test_restored_platform.py
+++ b/tests/adapter/test_restored_platform.py
@@ -39,7 +39,7 @@
 
 
 def configuration(version: int) -> dict:
-    """Return a configuration with one rule; only the number depends on the version."""
+    """Return a configuration with one rule and the number `version`."""
     rule = [
         "menus",
         endpoints.HOST,
@@ -119,9 +119,9 @@
                     lease = body["lease"]
                     self.leases[row.name] = (store.era, lease)
                 store._keep(number=lease)
-                held = store.items.get(f"servers/{row.name}")
+                stored = store.items.get(f"servers/{row.name}")
                 value = self._registration(row)
-                if held is None or held.lease != lease or json.loads(_raw(held)) != value:
+                if stored is None or stored.lease != lease or json.loads(_raw(stored)) != value:
                     store.put(f"servers/{row.name}", value, lease)
 
     def _registration(self, row) -> dict:
@@ -268,7 +268,7 @@
 
 
 def run_drill(folder: pathlib.Path, seed: int, gateways: int) -> None:
-    """Run one drill."""
+    """Run the drill of `seed` with this number of gateways."""
     with contextlib.ExitStack() as stack:
         drill = Drill(stack, folder, seed, gateways)
         assert processes.eventually(drill.has_converged, 60), drill.describe_state()
