--- a/packages/callers/tests/test_callers_channel.py
+++ b/packages/callers/tests/test_callers_channel.py
@@ -42,7 +42,7 @@
     def receive(self, data):
         self.channel.dataReceived(data)
 
-    def lose(self):
+    def lose_connection(self):
         self.channel.connectionLost(Failure(ConnectionDone()))
 
     def written(self):
@@ -145,7 +145,7 @@
     harness.receive(POST + b"Content-Length: 10\r\n\r\nabc")
     _, body, disconnected = harness.calls[0]
     result = body.collect(100)
-    harness.lose()
+    harness.lose_connection()
     assert "after 3 bytes" in result.result.error and disconnected.called
     harness.answers[0].callback(text(b"too late"))
     assert harness.written() == b"" and harness.app.in_flight == 0
@@ -249,7 +249,7 @@
     assert source.producer.pauseProducing.called
     harness.transport.producer.resumeProducing()
     assert source.producer.resumeProducing.called
-    harness.lose()
+    harness.lose_connection()
     assert source.abort.called
     source.end(Delivery(False, 3, "aborted"))
     assert harness.app.in_flight == 0
@@ -306,7 +306,7 @@
     assert harness.transport.disconnecting
     closed = harness.app.disconnect()
     assert not closed.called
-    harness.lose()
+    harness.lose_connection()
     assert closed.called
 
 
--- a/packages/callers/tests/test_pipelining.py
+++ b/packages/callers/tests/test_pipelining.py
@@ -42,13 +42,13 @@
 
 class RecordingMeter:
     def __init__(self):
-        self.names = []
+        self.recorded = []
 
     def count(self, name):
-        self.names.append(name)
+        self.recorded.append(name)
 
     def observe(self, name, took):
-        self.names.append((name, took.total_seconds()))
+        self.recorded.append((name, took.total_seconds()))
 
 
 class Connection:
@@ -84,7 +84,7 @@
     def answer(self, name, body=None):
         self.answers[name].callback(complete(200, (), body or b"<%d>" % name))
 
-    def lose(self):
+    def lose_connection(self):
         self.channel.connectionLost(Failure(ConnectionDone()))
 
     def answered(self):
@@ -107,7 +107,7 @@
         0,
         0,
     )
-    assert conn.meter.names == ["pipelined.beside"] * 2
+    assert conn.meter.recorded == ["pipelined.beside"] * 2
     conn.receive(get(4))
     conn.answer(4)
     assert conn.answered() == [1, 2, 3, 4]
@@ -149,14 +149,14 @@
     conn.receive(post(1) + get(2))
     conn.clock.advance(0.75)
     conn.answer(1)
-    assert conn.meter.names == ["pipelined.waited", ("pipelined.wait", 0.75)]
+    assert conn.meter.recorded == ["pipelined.waited", ("pipelined.wait", 0.75)]
 
 
 def test_disconnect_cancels_all_pipelined_requests():
     conn = Connection()
     conn.receive(get(1) + get(2) + get(3) + post(4))
     conn.answer(2)
-    conn.lose()
+    conn.lose_connection()
     assert conn.disconnected == {1, 2, 3} and conn.order == [1, 2, 3]
     conn.answer(1)
     conn.answer(3)
@@ -248,7 +248,7 @@
     conn, source = Connection(), Source()
     conn.receive(get(1) + get(2))
     conn.answer(2, source)
-    conn.lose()
+    conn.lose_connection()
     assert source.aborted and source.consumer is None
 
 
@@ -334,7 +334,7 @@
         assert conn.order == list(range(len(conn.order)))
     if lost:
         waiting = [name for name in conn.order if name not in conn.answered()]
-        conn.lose()
+        conn.lose_connection()
         assert conn.disconnected == set(waiting)
         for name in set(conn.order) - done:
             conn.answer(name)
--- a/packages/feed/tests/test_changetable.py
+++ b/packages/feed/tests/test_changetable.py
@@ -72,9 +72,9 @@
 
 def test_new_listing_adds_removals_of_missing_keys():
     table = ChangeTable()
-    own = EntryRecorded(EntryRecord("e-1", "10.0.0.1:80", "a", "east"))
+    entry = EntryRecorded(EntryRecord("e-1", "10.0.0.1:80", "a", "east"))
     table.apply_listing(
-        [registered(1), registered(2), own, ZoneDrained("b"), Unreadable("x", "y")], kit.at(10)
+        [registered(1), registered(2), entry, ZoneDrained("b"), Unreadable("x", "y")], kit.at(10)
     )
     table.apply_changes([UpstreamUnreadable("i-3", "no slots")], kit.at(11))
     table.apply_listing([registered(2), PlanRead(kit.plan(1))], kit.at(30))
@@ -147,9 +147,9 @@
 
 
 @given(STEPS, st.integers(1, 3), st.data())
-def test_changes_since_any_position_lead_to_the_current_state(steps, kept, data):
+def test_changes_since_any_position_lead_to_the_current_state(steps, max_removals, data):
     """The changes since any position must give the current state, or None."""
-    table, history, index = ChangeTable(kept), [], 10
+    table, history, index = ChangeTable(max_removals), [], 10
     state = {}
     table.apply_listing([], kit.at(index))
     history.append((index, state))
--- a/packages/feed/tests/test_relays.py
+++ b/packages/feed/tests/test_relays.py
@@ -12,10 +12,10 @@
 
 
 def test_order_of_the_records_does_not_change_the_relays():
-    known = entries(20) + entries(20, "west")
-    shuffled = random.Random(1).sample(known, len(known))
-    assert relays_of("east", known) == relays_of("east", shuffled)
-    assert {row.region for row in relays_of("west", known)} == {"west"}
+    records = entries(20) + entries(20, "west")
+    shuffled = random.Random(1).sample(records, len(records))
+    assert relays_of("east", records) == relays_of("east", shuffled)
+    assert {row.region for row in relays_of("west", records)} == {"west"}
 
 
 def test_relays_are_in_different_zones():
@@ -34,23 +34,23 @@
 
 
 def test_gateways_without_a_peer_address_are_not_relays():
-    silent = [row._replace(peers="") for row in entries(40)]
-    assert relays_of("east", silent) == []
+    without_address = [row._replace(peers="") for row in entries(40)]
+    assert relays_of("east", without_address) == []
 
 
 def test_loss_of_one_relay_keeps_the_other():
-    known = entries(30)
-    first, second = relays_of("east", known)
-    left = [row for row in known if row != second]
-    assert relays_of("east", left)[0] == first
+    records = entries(30)
+    first, second = relays_of("east", records)
+    remaining = [row for row in records if row != second]
+    assert relays_of("east", remaining)[0] == first
 
 
 def test_relay_of_the_own_zone_is_first_and_other_gateways_are_spread():
-    known = entries(60)
-    relays = relays_of("east", known)
+    records = entries(60)
+    relays = relays_of("east", records)
     for relay in relays:
-        own = next(row for row in known if row.zone == relay.zone)
+        own = next(row for row in records if row.zone == relay.zone)
         assert by_proximity(own, relays)[0] == relay
-    far = [row for row in known if row.zone not in {relay.zone for relay in relays}]
-    firsts = [by_proximity(row, relays)[0] for row in far]
+    in_other_zones = [row for row in records if row.zone not in {relay.zone for relay in relays}]
+    firsts = [by_proximity(row, relays)[0] for row in in_other_zones]
     assert 4 <= firsts.count(relays[0]) <= len(firsts) - 4
--- a/packages/feed/tests/test_sources.py
+++ b/packages/feed/tests/test_sources.py
@@ -79,7 +79,7 @@
     assert sources.age(START) == timedelta(0)
 
 
-def test_unresponsive_relay_is_skipped_for_a_while():
+def test_unresponsive_relay_is_skipped_for_two_drain_times():
     sources = subscriber()
     first = sources.next_source(KNOWN, START).relay
     sources.record_relay_timeout(first.name, START)
--- a/packages/store/tests/test_http_store.py
+++ b/packages/store/tests/test_http_store.py
@@ -39,17 +39,23 @@
         self.session = []
 
     def render(self, request):
-        asked = f"{request.method.decode()} {request.uri.decode()}"
+        request_line = f"{request.method.decode()} {request.uri.decode()}"
         body = request.content.read().decode()
         request.content.seek(0)
-        turn = {"asked": asked, "body": body, "status": None, "index": None, "answered": ""}
-        self.session.append(turn)
+        exchange = {
+            "asked": request_line,
+            "body": body,
+            "status": None,
+            "index": None,
+            "answered": "",
+        }
+        self.session.append(exchange)
         write = request.write
 
         def record(data):
-            turn["status"] = request.code
-            turn["index"] = request.responseHeaders.getRawHeaders("X-Consul-Index")
-            turn["answered"] += data.decode()
+            exchange["status"] = request.code
+            exchange["index"] = request.responseHeaders.getRawHeaders("X-Consul-Index")
+            exchange["answered"] += data.decode()
             write(data)
 
         request.write = record
@@ -86,14 +92,14 @@
     def refuse(self, refusing, transport):
         self.closed = self.listener.close() if refusing else self.listener.open()
 
-    def set(self, **faults):
+    def set_faults(self, **faults):
         self.standin.faults = self.standin.faults._replace(**faults)
         self.standin.values.lag = timedelta(milliseconds=self.standin.faults.lag_ms)
 
     async def wait_for_calls(self, kind, number):
         await until(lambda: self.standin._calls[kind] == number)
 
-    async def held(self, key):
+    async def read(self, key):
         return (await self.store.get(key)).ok
 
     async def test_golden_session(self):
@@ -119,32 +125,32 @@
         self.assertTrue(self.recorder.session == self.snapshot)
 
     async def test_lost_answer_is_ambiguous_and_reading_the_key_resolves_it(self):
-        self.set(lose_answers=1)
+        self.set_faults(lose_answers=1)
         lost = await self.store.compare_and_swap(KEY, b"mine", 0)
         self.assertTrue(lost.error.ambiguous)
-        self.assertEqual((await self.held(KEY)).value, b"mine")
+        self.assertEqual((await self.read(KEY)).value, b"mine")
         self.assertEqual(await self.store.compare_and_swap(KEY, b"mine", 0), Ok(False))
 
     async def test_lost_request_is_ambiguous_without_an_effect(self):
-        self.set(lose_requests=1)
+        self.set_faults(lose_requests=1)
         lost = await self.store.compare_and_swap(KEY, b"mine", 0)
         self.assertTrue(lost.error.ambiguous)
-        self.assertIsNone(await self.held(KEY))
+        self.assertIsNone(await self.read(KEY))
 
     async def test_ambiguous_write_may_take_effect_after_a_read_showed_no_change(self):
-        self.set(late_effect_ms=5000)
+        self.set_faults(late_effect_ms=5000)
         late = self.store.compare_and_swap(KEY, b"late", 0)
         await self.wait_for_calls("cas", 1)
         self.clock.advance(2)
         self.assertTrue((await late).error.ambiguous)
-        self.assertIsNone(await self.held(KEY))
-        self.set(late_effect_ms=0)
+        self.assertIsNone(await self.read(KEY))
+        self.set_faults(late_effect_ms=0)
         self.assertEqual(await self.store.compare_and_swap(KEY, b"again", 0), Ok(True))
         self.clock.advance(3)
-        self.assertEqual((await self.held(KEY)).value, b"again")
+        self.assertEqual((await self.read(KEY)).value, b"again")
 
     async def test_timeout_is_ambiguous_for_writes_only(self):
-        self.set(delay_ms=60_000)
+        self.set_faults(delay_ms=60_000)
         write = self.store.compare_and_swap(KEY, b"slow", 0)
         read = self.store.get(KEY)
         await self.wait_for_calls("cas", 1)
@@ -160,13 +166,13 @@
         refused = await self.store.compare_and_swap(KEY, b"1", 0)
         self.assertEqual(refused.error.ambiguous, False)
         self.refuse(False, None)
-        self.set(down="hang")
+        self.set_faults(down="hang")
         hung = self.store.compare_and_swap(KEY, b"1", 0)
         await self.wait_for_calls("cas", 1)
         self.clock.advance(2)
         self.assertTrue((await hung).error.ambiguous)
-        self.set(down=False)
-        self.assertIsNone(await self.held(KEY))
+        self.set_faults(down=False)
+        self.assertIsNone(await self.read(KEY))
 
     async def test_paused_lease_holder_cannot_renew_or_acquire_with_its_expired_lease(self):
         paused = (await self.store.create_lease(TTL)).ok
@@ -176,12 +182,12 @@
         self.assertEqual(await self.store.acquire("lease", b"other", other), Ok(True))
         self.assertEqual(await self.store.renew(paused), Ok(False))
         self.assertTrue((await self.store.acquire("lease", b"paused", paused)).is_error())
-        self.assertEqual((await self.held("lease")).value, b"other")
+        self.assertEqual((await self.read("lease")).value, b"other")
 
     async def test_watch_returns_a_change_after_the_replication_lag(self):
         await self.store.compare_and_swap(KEY, b"1", 0)
         first = (await self.store.watch(KEY, 0, WAIT)).ok
-        self.set(lag_ms=3000)
+        self.set_faults(lag_ms=3000)
         waiting = self.store.watch(KEY, first.index, WAIT)
         outcomes = []
         waiting.addCallback(outcomes.append)
@@ -220,7 +226,7 @@
     async def test_value_above_the_size_limit_is_not_sent(self):
         whole = b"x" * MAX_VALUE_BYTES
         self.assertEqual(await self.store.compare_and_swap("map/a", whole, 0), Ok(True))
-        self.assertEqual((await self.held("map/a")).value, whole)
+        self.assertEqual((await self.read("map/a")).value, whole)
         refused = await self.store.compare_and_swap("map/b", whole + b"x", 0)
         self.assertEqual(refused.error.ambiguous, False)
         self.assertIn("1048577 bytes", refused.error.detail)
@@ -248,7 +254,7 @@
     async def test_read_on_a_broken_persistent_connection_is_not_retried(self):
         store = HttpStore(reactor, self.listener.address)
         await store.get(KEY)
-        self.set(down="hang")
+        self.set_faults(down="hang")
         cut = store.get(KEY)
         await self.wait_for_calls("get", 2)
         await self.listener.close()
