--- a/packages/gateway/tests/test_crashing_requests.py
+++ b/packages/gateway/tests/test_crashing_requests.py
@@ -62,7 +62,7 @@
 def crash_three(fleet, gateways) -> None:
     """Send the poison request to these gateways in turn until three endpoints have crashed."""
     for number in range(50):
-        endpoints.ask(gateways[number % len(gateways)]["callers"], POISON)
+        endpoints.send_request(gateways[number % len(gateways)]["callers"], POISON)
         if len({arrival.endpoint for arrival in fleet.arrivals}) >= MAX_CRASHES:
             return
         time.sleep(0.4)
@@ -79,7 +79,7 @@
     crash_three(fleet, fleet.settings[:1] if sent_by == "one gateway" else fleet.settings[-3:])
     time.sleep(NOTICE_TIME_S)
     before = fleet.poison_count()
-    answers = [endpoints.ask(cfg["callers"], POISON) for cfg in fleet.settings * 2]
+    answers = [endpoints.send_request(cfg["callers"], POISON) for cfg in fleet.settings * 2]
     assert fleet.poison_count() == before
     assert {answer.status for answer in answers} == {503}
     assert all(float(answer.headers["Retry-After"]) > 0 for answer in answers)
@@ -88,7 +88,7 @@
 def test_other_requests_are_not_quarantined(fleet):
     crash_three(fleet, fleet.settings)
     time.sleep(NOTICE_TIME_S)
-    answers = [endpoints.ask(cfg["callers"], "/menus/17") for cfg in fleet.settings]
+    answers = [endpoints.send_request(cfg["callers"], "/menus/17") for cfg in fleet.settings]
     assert {answer.status for answer in answers} == {200}
 
 
@@ -98,5 +98,5 @@
     assert processes.eventually(fleet.has_converged, 60)
     time.sleep(NOTICE_TIME_S)
     before = fleet.poison_count()
-    assert endpoints.ask(late["callers"], POISON).status == 503
+    assert endpoints.send_request(late["callers"], POISON).status == 503
     assert fleet.poison_count() == before
--- a/packages/gateway/tests/test_following.py
+++ b/packages/gateway/tests/test_following.py
@@ -35,7 +35,7 @@
 
 def _listed_control() -> kit.FakeControl:
     control = kit.FakeControl(Ok(kit.listing(index=10)))
-    control.next = kit.no_changes()
+    control.next_changes = kit.no_changes()
     return control
 
 
@@ -51,7 +51,7 @@
 def test_changes_are_passed_on_and_advance_the_index():
     run = Run(_listed_control())
     fact = UpstreamWithdrawn("i-1")
-    run.control.next = Ok(Changes((fact,), kit.at(14)))
+    run.control.next_changes = Ok(Changes((fact,), kit.position(14)))
     run.time.advance(2 * INTERVAL)
     assert run.changes[0] == (fact,)
     assert run.control.calls[-1] == "changes 14"
@@ -59,9 +59,9 @@
 
 def test_lost_history_leads_to_a_new_listing():
     run = Run(_listed_control())
-    run.control.next = Ok(Changes((), kit.at(10), lost=True))
+    run.control.next_changes = Ok(Changes((), kit.position(10), lost=True))
     run.time.advance(INTERVAL + 100 * MS)
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
     run.time.advance(600 * MS)
     assert run.control.calls.count("read") == 2
     assert len(run.listings) == 2
@@ -75,20 +75,20 @@
 
 def test_single_failure_is_not_an_outage():
     run = Run(_listed_control())
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(INTERVAL + 100 * MS)
     assert not run.follower.store_unavailable
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
     run.time.advance(INTERVAL)
     assert run.recoveries == []
 
 
 def test_end_of_an_outage_is_reported_once():
     run = Run(_listed_control())
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(5 * INTERVAL)
     assert run.follower.store_unavailable
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
     run.time.advance(3 * INTERVAL)
     assert run.recoveries == [()]
 
@@ -110,7 +110,7 @@
     run.control.pending = Deferred()
     run.time.advance(1500 * MS)
     poll, run.control.pending = run.control.pending, Deferred()
-    poll.callback(Ok(Changes((UpstreamWithdrawn("i-1"),), kit.at(11))))
+    poll.callback(Ok(Changes((UpstreamWithdrawn("i-1"),), kit.position(11))))
     assert run.changes == [(UpstreamWithdrawn("i-1"),)]
     run.time.advance(0.8 * INTERVAL)
     assert run.control.calls == ["read", "changes 10"]
@@ -121,10 +121,10 @@
 def test_first_poll_after_a_failure_does_not_wait():
     run = Run(_listed_control())
     run.time.advance(INTERVAL)
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(3 * INTERVAL)
     waits_before = len(run.control.waits)
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
     run.time.advance(2 * INTERVAL)
     assert run.control.waits[waits_before - 1] == run.control.waits[waits_before] == 0 * MS
     assert run.control.waits[-1] == WAIT
@@ -132,7 +132,7 @@
 
 def test_pending_poll_is_replaced_when_another_call_has_failed():
     run = Run(_listed_control())
-    run.control.pending = Deferred(lambda deferred: deferred.callback(kit.AWAY))
+    run.control.pending = Deferred(lambda deferred: deferred.callback(kit.STORE_UNAVAILABLE))
     run.time.advance(1500 * MS)
     run.control.pending = None
     run.follower.poll_now()
@@ -143,7 +143,7 @@
 
 def test_extra_poll_is_ignored_during_an_outage():
     run = Run(_listed_control())
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(3 * INTERVAL)
     calls_before = len(run.control.calls)
     run.follower.poll_now()
@@ -162,7 +162,7 @@
 
 def test_nothing_is_requested_after_a_stop_during_a_pending_poll():
     run = Run(_listed_control())
-    run.control.pending = Deferred(lambda deferred: deferred.callback(kit.AWAY))
+    run.control.pending = Deferred(lambda deferred: deferred.callback(kit.STORE_UNAVAILABLE))
     run.time.advance(1500 * MS)
     run.follower.stop()
     assert run.time.reactor.getDelayedCalls() == []
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -5,76 +5,78 @@
 from cardamomloft.gateway import records
 from cardamomloft.gateway.status import GatewayStatus
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.assembled import MS, Run
+from cardamomloft_standins.gatewayharness import MS, GatewayHarness
 from expression import Ok
 from twisted.internet.defer import Deferred
 
 
 def test_gateway_is_ready_once_it_has_a_configuration_and_a_listing():
     control = kit.FakeControl()
-    run = Run(control)
+    run = GatewayHarness(control)
     assert not run.gateway.ready()
-    assert run.ask().status == 503
+    assert run.send_request().status == 503
     control.listing = Ok(kit.listing(kit.registration(1)))
     run.time.advance(1000 * MS)
     assert run.gateway.ready()
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
 
 
 def test_request_without_a_rule_is_404_only_once_rules_are_known():
     control = kit.FakeControl()
-    run = Run(control)
-    assert run.ask(host="unknown.example").status == 503
-    assert Run().ask(host="unknown.example").status == 404
+    run = GatewayHarness(control)
+    assert run.send_request(host="unknown.example").status == 503
+    assert GatewayHarness().send_request(host="unknown.example").status == 404
 
 
 def test_entry_is_recorded_only_once_it_is_ready():
-    assert "record e-1" in Run().control.calls
-    assert "record e-1" not in Run(kit.FakeControl()).control.calls
+    assert "record e-1" in GatewayHarness().control.calls
+    assert "record e-1" not in GatewayHarness(kit.FakeControl()).control.calls
 
 
 def test_older_configuration_never_replaces_a_newer_one():
-    run = Run()
-    run.change(PlanRead(kit.plan(5, rules=[kit.RULE])))
-    assert run.ask("/orders/1").status == 404
-    run.change(PlanRead(kit.plan(4)))
-    assert run.ask("/orders/1").status == 404
-    run.change(PlanRead(kit.plan(6)))
-    assert run.ask("/orders/1").status == 200
+    run = GatewayHarness()
+    run.deliver_changes(PlanRead(kit.plan(5, rules=[kit.RULE])))
+    assert run.send_request("/orders/1").status == 404
+    run.deliver_changes(PlanRead(kit.plan(4)))
+    assert run.send_request("/orders/1").status == 404
+    run.deliver_changes(PlanRead(kit.plan(6)))
+    assert run.send_request("/orders/1").status == 200
 
 
 def test_look_up_returns_the_recorded_entries_of_the_region():
-    run = Run()
+    run = GatewayHarness()
     for number, zone, region in ((2, "a", "east"), (3, "b", "west")):
-        run.change(EntryRecorded(EntryRecord(f"e-{number}", f"10.0.0.{number}:80", zone, region)))
+        run.deliver_changes(
+            EntryRecorded(EntryRecord(f"e-{number}", f"10.0.0.{number}:80", zone, region))
+        )
     assert run.lookup().addresses == ["127.0.0.1:7101", "10.0.0.2:80"]
     assert run.lookup("b", "west").addresses == ["10.0.0.3:80"]
-    run.change(EntryWithdrawn("e-2"))
+    run.deliver_changes(EntryWithdrawn("e-2"))
     assert run.lookup().addresses == ["127.0.0.1:7101"]
 
 
 def test_look_up_is_refused_without_a_configuration():
-    assert isinstance(Run(kit.FakeControl()).lookup(), Refusal)
+    assert isinstance(GatewayHarness(kit.FakeControl()).lookup(), Refusal)
 
 
 def test_stopping_gateway_leaves_look_ups_at_once_and_keeps_serving():
-    run = Run()
-    run.change(EntryRecorded(EntryRecord("e-2", "10.0.0.2:80", "a", "east")))
+    run = GatewayHarness()
+    run.deliver_changes(EntryRecorded(EntryRecord("e-2", "10.0.0.2:80", "a", "east")))
     run.gateway.stop()
     run.time.advance(20 * MS)
     assert not run.gateway.ready()
     assert run.control.calls[-1] == "withdraw 7"
     assert run.lookup().addresses == ["10.0.0.2:80"]
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
     assert not run.gateway.stopped.called
 
 
 def test_stopping_gateway_waits_for_requests_in_flight():
-    run = Run()
+    run = GatewayHarness()
     run.gateway.app.in_flight = 1
     run.gateway.stop()
     run.time.advance(4000 * MS)
-    assert run.ask().status == 503
+    assert run.send_request().status == 503
     assert not run.gateway.stopped.called
     run.gateway.app.in_flight = 0
     run.gateway.app._drained.check()
@@ -83,7 +85,7 @@
 
 
 def test_stop_ends_within_the_stop_time_despite_requests_in_flight():
-    run = Run()
+    run = GatewayHarness()
     run.gateway.app.in_flight = 1
     run.gateway.stop()
     run.time.advance(5900 * MS)
@@ -91,7 +93,7 @@
 
 
 def test_stopped_gateway_makes_no_store_calls():
-    run = Run()
+    run = GatewayHarness()
     run.gateway.stop()
     run.time.advance(6000 * MS)
     calls_before = len(run.control.calls)
@@ -100,9 +102,9 @@
 
 
 def test_status_page_and_metrics_show_the_state():
-    run = Run()
+    run = GatewayHarness()
     status = GatewayStatus(run.gateway)
-    run.ask()
+    run.send_request()
     assert status.ready()
     page = status.status()
     assert (page["state"], page["configuration"], page["upstreams"]) == ("ready", 1, 1)
@@ -111,7 +113,7 @@
 
 
 def test_explain_names_the_rule_or_the_refusal():
-    status = GatewayStatus(Run().gateway)
+    status = GatewayStatus(GatewayHarness().gateway)
     assert status.explain({"host": "a.example", "path": "/menus/7"})["rule"] == "menus"
     assert status.explain({"host": "x.example"})["refused"] == "no-such-service"
 
@@ -119,11 +121,11 @@
 def test_refused_request_is_logged_with_its_id_and_the_configuration(monkeypatch):
     lines = []
     monkeypatch.setattr(records, "log", lambda event, **fields: lines.append((event, fields)))
-    run = Run()
-    run.ask(host="unknown.example")
+    run = GatewayHarness()
+    run.send_request(host="unknown.example")
     run.gateway.stop()
     run.time.advance(4000 * MS)
-    run.ask()
+    run.send_request()
     (_, unknown), (_, stopping) = lines
     assert (unknown["id"], unknown["configuration"]) == ("id-1", 1)
     assert unknown["reason"] == "no-such-service"
@@ -133,12 +135,12 @@
 def test_request_log_is_rate_limited_and_skipped_lines_are_counted(monkeypatch):
     lines = []
     monkeypatch.setattr(records, "log", lambda event, **fields: lines.append((event, fields)))
-    run = Run()
+    run = GatewayHarness()
     for _ in range(records.MAX_LINES_PER_S + 40):
-        run.ask(host="unknown.example")
+        run.send_request(host="unknown.example")
     assert len(lines) == records.MAX_LINES_PER_S
     run.time.advance(1500 * MS)
-    run.ask(host="unknown.example")
+    run.send_request(host="unknown.example")
     assert ("requests-not-logged", {"count": 40}) in lines
 
 
@@ -147,10 +149,10 @@
 
     The cancelled request must not be continued at a relay because the store is unavailable.
     """
-    run = Run()
-    run.control.next = kit.AWAY
+    run = GatewayHarness()
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(3000 * MS)
-    run.control.pending = Deferred(lambda deferred: deferred.callback(kit.AWAY))
+    run.control.pending = Deferred(lambda deferred: deferred.callback(kit.STORE_UNAVAILABLE))
     run.time.advance(600 * MS)
     run.gateway.stop()
     run.time.advance(6000 * MS)
--- a/packages/gateway/tests/test_gateway_settings.py
+++ b/packages/gateway/tests/test_gateway_settings.py
@@ -6,7 +6,7 @@
 from cardamomloft.gateway.reloading import SettingsFile
 from cardamomloft.gateway.settings import load_settings
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.assembled import MS, SETTINGS, Run
+from cardamomloft_standins.gatewayharness import MS, SETTINGS, GatewayHarness
 
 
 @pytest.mark.parametrize(
@@ -35,8 +35,8 @@
 
 
 def test_changed_settings_apply_at_once_except_those_that_need_a_restart():
-    run = Run()
-    run.ask()
+    run = GatewayHarness()
+    run.send_request()
     retries = {"ratio": 0.0, "slack": 0.0, "window": "10s"}
     changed = {**SETTINGS, "retries": retries, "lookup_life": "500ms", "callers": "127.0.0.1:1"}
     run.gateway.reconfigure(changed)
@@ -44,11 +44,11 @@
     assert run.lookup().addresses == ["127.0.0.1:7101"]
     run.client.outcomes.clear()
     run.client.outcomes.extend([kit.answer(503, b"", not_run=True), kit.answer()])
-    assert run.ask().status == 503
+    assert run.send_request().status == 503
 
 
 def test_endpoints_follow_their_zone_to_another_region():
-    run = Run()
+    run = GatewayHarness()
     run.gateway.reconfigure({**SETTINGS, "zones": {"a": "west", "b": "west"}})
     (upstream,) = run.gateway.upstream_table.of_service("menus")
     assert upstream.region == "west"
--- a/packages/gateway/tests/test_gateway_store.py
+++ b/packages/gateway/tests/test_gateway_store.py
@@ -11,7 +11,7 @@
 )
 from cardamomloft.gateway.control import Changes
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.assembled import MS, Run
+from cardamomloft_standins.gatewayharness import MS, GatewayHarness
 from expression import Ok
 from twisted.internet.defer import Deferred
 
@@ -19,34 +19,36 @@
 
 
 def relist(run, *facts):
-    run.control.next = Ok(Changes((), kit.at(10), lost=True))
+    run.control.next_changes = Ok(Changes((), kit.position(10), lost=True))
     run.control.listing = Ok(kit.listing()._replace(facts=facts))
     run.time.advance(2000 * MS)
-    run.control.next = kit.no_changes()
+    run.control.next_changes = kit.no_changes()
 
 
 def test_unreadable_item_keeps_the_last_valid_state():
-    run = Run()
-    run.change(Unreadable("config", "no rules"), Unreadable("upstreams/i-1", "no slots"))
-    assert run.ask().status == 200
+    run = GatewayHarness()
+    run.deliver_changes(Unreadable("config", "no rules"), Unreadable("upstreams/i-1", "no slots"))
+    assert run.send_request().status == 200
 
 
 def test_listing_with_an_unreadable_registration_keeps_the_other_endpoints():
-    run = Run()
-    run.change(UpstreamRegistered(kit.registration(2)), UpstreamRegistered(kit.registration(3)))
+    run = GatewayHarness()
+    run.deliver_changes(
+        UpstreamRegistered(kit.registration(2)), UpstreamRegistered(kit.registration(3))
+    )
     relist(run, UNREADABLE, UpstreamRegistered(kit.registration(2)))
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
     assert {request.endpoint.name for request in run.client.sent} == {"i-2"}
 
 
 def test_endpoint_is_not_used_while_its_registration_is_unreadable():
-    run = Run()
-    run.change(UNREADABLE)
-    assert run.ask().status == 503 and run.client.sent == []
-    run.change(UpstreamRegistered(kit.registration(1)), index=12)
-    assert run.ask().status == 200
+    run = GatewayHarness()
+    run.deliver_changes(UNREADABLE)
+    assert run.send_request().status == 503 and run.client.sent == []
+    run.deliver_changes(UpstreamRegistered(kit.registration(1)), index=12)
+    assert run.send_request().status == 200
     relist(run, UNREADABLE)
-    assert run.ask().status == 503
+    assert run.send_request().status == 503
 
 
 def test_unreadable_item_is_logged_once_until_it_has_been_readable_again(monkeypatch):
@@ -54,25 +56,29 @@
     monkeypatch.setattr(
         "cardamomloft.gateway.storeview.log", lambda name, **row: lines.append(name)
     )
-    run = Run()
+    run = GatewayHarness()
     for index in (11, 12, 13):
-        run.change(UNREADABLE, Unreadable("entries/e-9", "no address"), index=index)
+        run.deliver_changes(UNREADABLE, Unreadable("entries/e-9", "no address"), index=index)
     assert lines.count("unreadable") == 2
-    run.change(UpstreamRegistered(kit.registration(1)), index=14)
-    run.change(UNREADABLE, index=15)
+    run.deliver_changes(UpstreamRegistered(kit.registration(1)), index=14)
+    run.deliver_changes(UNREADABLE, index=15)
     assert lines.count("unreadable") == 3
 
 
 def test_new_incarnation_does_not_reuse_connections_of_the_previous_one():
-    run = Run()
-    run.change(UpstreamRegistered(kit.registration(1, started_ms=5)))
-    run.change(UpstreamRegistered(kit.registration(1, started_ms=5, draining=True)), index=12)
-    assert run.client.forgotten == ["10.0.0.1:80"]
-    run.change(UpstreamRegistered(kit.registration(1, started_ms=9)), index=13)
-    assert run.client.forgotten == ["10.0.0.1:80"] * 2
-    assert run.ask().status == 200
-    run.change(UpstreamRegistered(kit.registration(1, started_ms=5, draining=True)), index=14)
-    assert run.ask().status == 200
+    run = GatewayHarness()
+    run.deliver_changes(UpstreamRegistered(kit.registration(1, started_ms=5)))
+    run.deliver_changes(
+        UpstreamRegistered(kit.registration(1, started_ms=5, draining=True)), index=12
+    )
+    assert run.client.forgotten_addresses == ["10.0.0.1:80"]
+    run.deliver_changes(UpstreamRegistered(kit.registration(1, started_ms=9)), index=13)
+    assert run.client.forgotten_addresses == ["10.0.0.1:80"] * 2
+    assert run.send_request().status == 200
+    run.deliver_changes(
+        UpstreamRegistered(kit.registration(1, started_ms=5, draining=True)), index=14
+    )
+    assert run.send_request().status == 200
 
 
 @pytest.mark.parametrize(
@@ -84,31 +90,31 @@
     ],
 )
 def test_withdrawn_or_draining_endpoint_gets_no_requests(fact):
-    run = Run()
-    run.change(fact)
-    assert run.ask().status == 503
+    run = GatewayHarness()
+    run.deliver_changes(fact)
+    assert run.send_request().status == 503
     assert run.client.sent == []
 
 
 def _outage(run, *facts):
     """Simulate a 4 s outage of the store, after which it reports `facts` as changes."""
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(4000 * MS)
-    run.control.next = Ok(Changes(facts, kit.at(20)))
+    run.control.next_changes = Ok(Changes(facts, kit.position(20)))
     run.time.advance(600 * MS)
-    run.control.next = kit.no_changes(20)
+    run.control.next_changes = kit.no_changes(20)
 
 
 def _run_with(count):
     rows = [kit.registration(number) for number in range(1, count + 1)]
-    return Run(kit.FakeControl(Ok(kit.listing(*rows))))
+    return GatewayHarness(kit.FakeControl(Ok(kit.listing(*rows))))
 
 
 def test_endpoints_whose_registrations_expired_in_an_outage_keep_serving():
     run = _run_with(4)
     _outage(run, *(UpstreamWithdrawn(f"i-{number}") for number in (1, 2, 3, 4)))
-    assert run.ask().status == 200
-    run.change(UpstreamRegistered(kit.registration(2)), index=21)
+    assert run.send_request().status == 200
+    run.deliver_changes(UpstreamRegistered(kit.registration(2)), index=21)
     run.time.advance(2000 * MS)
     assert [up.id for up in run.gateway.upstream_table.all()] == ["i-2"]
 
@@ -116,15 +122,15 @@
 def test_expiration_of_all_registrations_in_an_outage_removes_no_endpoint():
     """Guards against treating revisions of expirations as evidence that the store was available."""
     run = _run_with(40)
-    run.control.next = kit.no_changes(80)
+    run.control.next_changes = kit.no_changes(80)
     run.time.advance(10_000 * MS)
-    run.control.next = kit.AWAY
+    run.control.next_changes = kit.STORE_UNAVAILABLE
     run.time.advance(4000 * MS)
     expired = tuple(UpstreamWithdrawn(f"i-{number}") for number in range(1, 41))
-    run.control.next = Ok(Changes(expired, kit.at(120)))
+    run.control.next_changes = Ok(Changes(expired, kit.position(120)))
     run.time.advance(600 * MS)
-    run.control.next = kit.no_changes(120)
-    assert run.ask().status == 200
+    run.control.next_changes = kit.no_changes(120)
+    assert run.send_request().status == 200
 
 
 def test_endpoints_withdrawn_while_only_this_gateway_was_disconnected_are_removed():
@@ -142,20 +148,20 @@
 
 
 def test_endpoints_of_a_restored_zone_are_cold():
-    run = Run()
-    run.change(ZoneDrained("a"))
-    run.change(ZoneRestored("a"))
+    run = GatewayHarness()
+    run.deliver_changes(ZoneDrained("a"))
+    run.deliver_changes(ZoneRestored("a"))
     (upstream,) = run.gateway.upstream_table.of_service("menus")
     assert upstream.cold_until > run.time.clock.monotonic()
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
 
 
 def test_zone_without_a_drain_in_a_new_listing_is_restored():
-    run = Run()
-    run.change(ZoneDrained("a"))
-    run.control.next = Ok(Changes((), kit.at(11), lost=True))
+    run = GatewayHarness()
+    run.deliver_changes(ZoneDrained("a"))
+    run.control.next_changes = Ok(Changes((), kit.position(11), lost=True))
     run.time.advance(2000 * MS)
-    assert run.ask().status == 200
+    assert run.send_request().status == 200
 
 
 class HangingControl(kit.FakeControl):
@@ -180,7 +186,7 @@
     until the call's wait is over.
     """
     control = HangingControl(Ok(kit.listing(kit.registration(1))))
-    run = Run(control, start=False)
+    run = GatewayHarness(control, start=False)
     control.reactor = run.time.reactor
     run.start()
     control.listing = Ok(kit.listing(kit.registration(1), number=7))
--- a/packages/gateway/tests/test_heeding.py
+++ b/packages/gateway/tests/test_heeding.py
@@ -6,20 +6,20 @@
 from cardamomloft.core.notices import CRASH_RETENTION
 from cardamomloft.core.quarantine import RESTART_TIME
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.carrying import (
+from cardamomloft_standins.forwarderharness import (
     CRASH,
     CUT_SHORT,
     MS,
     NOT_CONNECTED,
     RESET,
     SHED,
-    Bench,
+    ForwarderHarness,
     header,
 )
 
 
 def test_request_is_refused_after_it_crashed_three_endpoints():
-    bench = Bench(CRASH, endpoints=8)
+    bench = ForwarderHarness(CRASH, endpoints=8)
     for sent in (2, 3):
         assert bench.answer().status == 502
         assert len(bench.client.sent) == sent
@@ -32,9 +32,9 @@
     assert len(bench.client.sent) == 3
 
 
-def quarantined(*outcomes) -> Bench:
+def quarantined(*outcomes) -> ForwarderHarness:
     """Return a bench whose request has crashed three endpoints; further sends give `outcomes`."""
-    bench = Bench(CRASH, endpoints=8)
+    bench = ForwarderHarness(CRASH, endpoints=8)
     for _ in range(2):
         bench.answer()
         bench.time.advance(RESTART_TIME)
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("answer", [kit.answer(), kit.answer(404, b"none"), kit.answer(500, b"")])
 def test_answer_to_a_request_clears_its_earlier_crashes(answer):
-    bench = Bench(CRASH, CRASH, answer, CRASH, CRASH, kit.answer(), endpoints=8)
+    bench = ForwarderHarness(CRASH, CRASH, answer, CRASH, CRASH, kit.answer(), endpoints=8)
     for _ in range(3):
         bench.answer()
         bench.time.advance(RESTART_TIME)
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("outcome", [RESET, NOT_CONNECTED, SHED, CUT_SHORT])
 def test_other_failures_are_not_counted_as_crashes(outcome):
-    bench = Bench(outcome, endpoints=8)
+    bench = ForwarderHarness(outcome, endpoints=8)
     for _ in range(10):
         bench.answer()
         bench.time.advance(RESTART_TIME)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("status", [200, 404, 500])
 def test_endpoint_that_reports_leaving_gets_no_further_requests(status):
-    bench = Bench(kit.answer(status, b"last", x_leaving="1"), kit.answer(), endpoints=2)
+    bench = ForwarderHarness(kit.answer(status, b"last", x_leaving="1"), kit.answer(), endpoints=2)
     bench.answer()
     leaving = bench.client.sent[0].endpoint.name
     for _ in range(5):
@@ -93,14 +93,14 @@
 
 def test_leaving_reported_in_a_refusal_is_applied():
     shed = kit.answer(503, b"", not_run=True, x_leaving="1")
-    bench = Bench(shed, kit.answer(), endpoints=2)
+    bench = ForwarderHarness(shed, kit.answer(), endpoints=2)
     assert bench.answer().status == 200
     leaving = bench.client.sent[0].endpoint.name
-    assert leaving not in [up.id for up in bench.book.of_service("menus")]
+    assert leaving not in [up.id for up in bench.table.of_service("menus")]
 
 
 def test_leaving_reported_by_another_endpoint_at_the_address_is_ignored():
-    bench = Bench(kit.answer(421, b"", not_run=True, x_leaving="1"), kit.answer())
+    bench = ForwarderHarness(kit.answer(421, b"", not_run=True, x_leaving="1"), kit.answer())
     published = []
     bench.forwarder.notice_handler.publish = published.extend
     bench.answer()
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("marked", [True, False])
 def test_endpoint_is_paused_for_its_retry_after(marked):
     shed = kit.answer(503, b"", not_run=marked, retry_after="2.5")
-    bench = Bench(shed, kit.answer(), endpoints=2)
+    bench = ForwarderHarness(shed, kit.answer(), endpoints=2)
     bench.answer()
     paused = bench.client.sent[0].endpoint.name
     bench.client.sent.clear()
@@ -125,7 +125,7 @@
 
 def test_retry_after_is_the_first_end_of_a_pause_if_all_endpoints_are_paused():
     shed = kit.answer(503, b"", not_run=True, retry_after="2.5")
-    bench = Bench(shed, endpoints=2)
+    bench = ForwarderHarness(shed, endpoints=2)
     assert bench.answer().status == 503
     assert len(bench.client.sent) == 2
     bench.time.advance(500 * MS)
@@ -136,6 +136,6 @@
 
 
 def test_retry_after_of_a_successful_answer_does_not_pause_the_endpoint():
-    bench = Bench(kit.answer(200, retry_after="2.5"), endpoints=1)
+    bench = ForwarderHarness(kit.answer(200, retry_after="2.5"), endpoints=1)
     for _ in range(2):
         assert bench.answer().status == 200
--- a/packages/gateway/tests/test_leaving_answers.py
+++ b/packages/gateway/tests/test_leaving_answers.py
@@ -51,7 +51,7 @@
 def send_until(gateway, condition) -> None:
     """Send requests with one affinity key after the other until `condition` holds."""
     for path in PATHS:
-        assert endpoints.ask(gateway, path, key=path).status == 200
+        assert endpoints.send_request(gateway, path, key=path).status == 200
         if condition():
             return
     raise AssertionError("no request reached the endpoint")
@@ -65,7 +65,7 @@
     time.sleep(DRAIN_S)
     arrivals.clear()
     for cfg in settings:
-        answers = [endpoints.ask(cfg["callers"], path, key=path) for path in PATHS]
+        answers = [endpoints.send_request(cfg["callers"], path, key=path) for path in PATHS]
         assert {answer.status for answer in answers} == {200}
     assert len(arrivals) == len(settings) * len(PATHS)
     assert leaving.name not in {arrival.endpoint for arrival in arrivals}
@@ -79,7 +79,7 @@
     refused_at = time.monotonic()
     arrivals.clear()
     for path in itertools.cycle(PATHS):
-        endpoints.ask(gateway, path, key=path)
+        endpoints.send_request(gateway, path, key=path)
         if time.monotonic() - refused_at > PAUSE_S * 0.9:
             break
     assert paused.name not in {arrival.endpoint for arrival in arrivals}
--- a/packages/gateway/tests/test_presence.py
+++ b/packages/gateway/tests/test_presence.py
@@ -32,11 +32,11 @@
 
 def test_failed_renewal_keeps_the_lease_and_failed_record_is_retried():
     control, presence = _presence()
-    control.lease = kit.AWAY
+    control.lease = kit.STORE_UNAVAILABLE
     presence.refresh()
     control.lease = Ok("7")
     presence.refresh()
-    control.renewed = kit.AWAY
+    control.renewed = kit.STORE_UNAVAILABLE
     presence.refresh()
     presence.refresh()
     assert control.calls == ["record e-1", "record e-1", *["renew 7"] * 4]
@@ -46,14 +46,14 @@
     """Guards against a lease that expires after lost calls, before the next regular renewal."""
     control, presence = _presence()
     presence.refresh()
-    control.renewed = kit.AWAY
+    control.renewed = kit.STORE_UNAVAILABLE
     presence.refresh()
     assert control.calls == ["record e-1", "renew 7", "renew 7"]
 
 
 def test_lease_that_the_retry_finds_expired_is_replaced():
     control, presence = _presence()
-    answers = [kit.AWAY, Ok(False)]
+    answers = [kit.STORE_UNAVAILABLE, Ok(False)]
     control.renew = lambda lease: succeed(answers.pop(0))
     presence.refresh()
     presence.refresh()
@@ -68,7 +68,7 @@
     control.renewed = Ok(False)
     presence.refresh()
     assert failures == []
-    control.renewed = kit.AWAY
+    control.renewed = kit.STORE_UNAVAILABLE
     presence.refresh()
     assert failures == ["failed"]
 
--- a/packages/gateway/tests/test_relay_processes.py
+++ b/packages/gateway/tests/test_relay_processes.py
@@ -42,7 +42,8 @@
 
     def logs(self) -> str:
         return "\n".join(
-            processes.log_of(self.folder, cfg).read_text()[-2000:] for cfg in self.settings.values()
+            processes.log_path(self.folder, cfg).read_text()[-2000:]
+            for cfg in self.settings.values()
         )
 
 
--- a/packages/gateway/tests/test_relayed_changes.py
+++ b/packages/gateway/tests/test_relayed_changes.py
@@ -23,7 +23,13 @@
 from cardamomloft.gateway.relaying import RelayPort
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.relayed import DRAIN, ENTRIES, Deployment, Gateway, counted
+from cardamomloft_standins.relayharness import (
+    DRAIN_TIME,
+    ENTRY_COUNT,
+    Deployment,
+    Gateway,
+    counter_total,
+)
 from expression import Ok
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -37,11 +43,11 @@
 
 def test_only_relays_call_the_store_once_all_gateways_are_known():
     run = Deployment()
-    before = counted(run.listeners(), "changes_from_store")
+    before = counter_total(run.subscribers(), "changes_from_store")
     run.run(20_000 * MS)
-    assert counted(run.listeners(), "changes_from_store") == before
-    assert counted(run.gateways, "relay_silent") == 0
-    for gateway in run.listeners():
+    assert counter_total(run.subscribers(), "changes_from_store") == before
+    assert counter_total(run.gateways, "relay_silent") == 0
+    for gateway in run.subscribers():
         assert gateway.feed.status()["relays"] == run.relays
 
 
@@ -49,16 +55,16 @@
     run = Deployment()
     run.run(5000 * MS)
     run.configure()
-    run.run(20 * MS + DRAIN * 0.05)
-    assert run.late() == []
+    run.run(20 * MS + DRAIN_TIME * 0.05)
+    assert run.outdated_gateways() == []
 
 
 def test_successive_changes_are_in_force_within_half_of_the_drain_time():
     run = Deployment()
     for _ in range(20):
         run.configure()
-        run.run(DRAIN * 0.5)
-        assert run.late() == []
+        run.run(DRAIN_TIME * 0.5)
+        assert run.outdated_gateways() == []
 
 
 @pytest.mark.parametrize("fault", ["cut", "refused", "silenced", "both"])
@@ -73,9 +79,9 @@
         if fault in ("silenced", "both"):
             run.network.silenced.add(name)
     run.configure()
-    run.run(DRAIN)
-    others = {gateway.name for gateway in run.listeners()}
-    assert others.isdisjoint(run.late())
+    run.run(DRAIN_TIME)
+    others = {gateway.name for gateway in run.subscribers()}
+    assert others.isdisjoint(run.outdated_gateways())
 
 
 def test_stopped_relays_are_replaced_in_time():
@@ -84,26 +90,26 @@
         run.by_name(name).stop()
         run.store.write(("entry", name), EntryWithdrawn(name), removes=True)
     run.configure()
-    run.run(DRAIN)
-    others = {gateway.name for gateway in run.listeners()}
-    assert others.isdisjoint(run.late())
-    before = counted(run.listeners(), "changes_from_store")
+    run.run(DRAIN_TIME)
+    others = {gateway.name for gateway in run.subscribers()}
+    assert others.isdisjoint(run.outdated_gateways())
+    before = counter_total(run.subscribers(), "changes_from_store")
     run.run(10_000 * MS)
-    calls = counted(run.listeners(), "changes_from_store") - before
-    assert calls < 2 * 10_000 * MS / (DRAIN * 0.35) + 2
+    calls = counter_total(run.subscribers(), "changes_from_store") - before
+    assert calls < 2 * 10_000 * MS / (DRAIN_TIME * 0.35) + 2
 
 
 def test_leaving_gateway_gets_changes_from_the_store():
     """Relays do not answer a gateway without a record, but callers may still use it."""
     run = Deployment()
-    leaving = run.listeners()[0]
+    leaving = run.subscribers()[0]
     run.store.write(("entry", leaving.name), EntryWithdrawn(leaving.name), removes=True)
     leaving.present = False
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     for _ in range(3):
         run.configure()
-        run.run(DRAIN)
-        assert run.late() == []
+        run.run(DRAIN_TIME)
+        assert run.outdated_gateways() == []
     assert leaving.metrics.counters["relay_silent"] <= 1
 
 
@@ -114,14 +120,14 @@
     Its failed lease renewals must not replace the request to its relay by calls to the store.
     """
     run = Deployment()
-    rejected = run.listeners()[0]
+    rejected = run.subscribers()[0]
     getattr(run.store, fault).add(rejected.name)
     for _ in range(6):
         run.configure()
         for _ in range(2):
             rejected.follower.poll_now()
             run.run(1500 * MS)
-        assert run.late() == []
+        assert run.outdated_gateways() == []
     assert rejected.follower.store_unavailable
     getattr(run.store, fault).clear()
     run.run(2000 * MS)
@@ -141,12 +147,12 @@
 def test_subscribers_leave_polling_to_relays_during_an_outage():
     """Guards against frequent store calls from all gateways during an outage."""
     run = Deployment()
-    before = counted(run.listeners(), "changes_from_store")
+    before = counter_total(run.subscribers(), "changes_from_store")
     _make_unavailable(run, 8000 * MS)
-    calls = counted(run.listeners(), "changes_from_store") - before
+    calls = counter_total(run.subscribers(), "changes_from_store") - before
     # Per gateway two calls until the outage is detected, one per 0.7 of the drain time, and one at
     # the end.
-    assert calls <= len(run.listeners()) * (2 + 8000 * MS / (DRAIN * 0.7) + 1)
+    assert calls <= len(run.subscribers()) * (2 + 8000 * MS / (DRAIN_TIME * 0.7) + 1)
 
 
 @pytest.mark.parametrize("relays", ["healthy", "cut", "silenced"])
@@ -158,14 +164,14 @@
         run.store.cut |= set(run.relays)
     if relays == "silenced":
         run.network.silenced |= set(run.relays)
-    run.run(DRAIN)
-    for gateway in run.listeners():
-        (detected_at,) = gateway.returns
-        assert detected_at - ended_at <= (600 * MS if relays == "healthy" else DRAIN * 0.9)
-        assert gateway.entries_gone and gateway.entries_gone[0] >= detected_at
+    run.run(DRAIN_TIME)
+    for gateway in run.subscribers():
+        (detected_at,) = gateway.recoveries
+        assert detected_at - ended_at <= (600 * MS if relays == "healthy" else DRAIN_TIME * 0.9)
+        assert gateway.withdrawals and gateway.withdrawals[0] >= detected_at
     run.configure()
-    run.run(DRAIN)
-    assert {row.name for row in run.listeners()}.isdisjoint(run.late())
+    run.run(DRAIN_TIME)
+    assert {row.name for row in run.subscribers()}.isdisjoint(run.outdated_gateways())
 
 
 def _make_unavailable(
@@ -183,36 +189,36 @@
 def test_lost_history_hides_no_change():
     run = Deployment()
     run.store.write(("zone", "b"), ZoneDrained("b"))
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     run.store.write(("zone", "b"), ZoneRestored("b"), removes=True)
     run.configure()
-    run.store.forget()
-    run.run(DRAIN)
-    assert run.late() == []
+    run.store.discard_history()
+    run.run(DRAIN_TIME)
+    assert run.outdated_gateways() == []
     assert [row.name for row in run.gateways if row.drained] == []
 
 
 def test_restarted_gateway_gets_changes_from_relays():
     run = Deployment()
-    old = run.listeners()[0]
+    old = run.subscribers()[0]
     old.stop()
     new = Gateway(old.record, run.store, run.network, run.time, 99)
     run.gateways = [new if row is old else row for row in run.gateways]
     new.start()
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     before = new.metrics.counters["changes_from_store"]
-    run.run(3 * DRAIN)
+    run.run(3 * DRAIN_TIME)
     assert new.metrics.counters["changes_from_store"] == before
     run.configure()
-    run.run(DRAIN)
-    assert run.late() == []
+    run.run(DRAIN_TIME)
+    assert run.outdated_gateways() == []
 
 
 def test_extra_poll_while_a_relay_holds_a_request_goes_to_the_store():
     run = Deployment()
-    subscriber = run.listeners()[0]
+    subscriber = run.subscribers()[0]
     before = subscriber.metrics.counters["changes_from_store"]
-    run.run(DRAIN * 0.2)
+    run.run(DRAIN_TIME * 0.2)
     subscriber.follower.poll_now()
     run.run(700 * MS)
     assert subscriber.metrics.counters["changes_from_store"] == before + 1
@@ -220,12 +226,12 @@
 
 def test_request_with_huge_numbers_causes_no_fault():
     run = Deployment()
-    subscriber, relay = run.listeners()[0], run.by_name(run.relays[0])
+    subscriber, relay = run.subscribers()[0], run.by_name(run.relays[0])
     relay.receive(subscriber.me, ChangesRequest(10**6, run.store.era, run.store.revision, 2**61))
     assert relay.feed.port.held > 0
     run.run(31_000 * MS)
     assert all(gateway.faults == [] for gateway in run.gateways)
-    assert run.late() == []
+    assert run.outdated_gateways() == []
 
 
 @pytest.mark.parametrize(("age_ms", "held_ms"), [(0, 2**61), (2**61, 0), (2**61, 2**61)])
@@ -239,7 +245,9 @@
     port.peers = SimpleNamespace(send=lambda *message: sent.append(message) or True)
     relay = kit.entry_records(1)[0]
     outcomes = []
-    port.request_changes(relay, kit.at(5), DRAIN, DRAIN).addCallback(outcomes.append)
+    port.request_changes(relay, kit.position(5), DRAIN_TIME, DRAIN_TIME).addCallback(
+        outcomes.append
+    )
     time.advance(40 * MS)
     request = sent[0][1]
     port.receive(
@@ -251,7 +259,7 @@
 
 def test_unrequested_answers_are_ignored():
     run = Deployment()
-    subscriber, unknown_peer = run.listeners()[0], Incarnation("stranger", "1")
+    subscriber, unknown_peer = run.subscribers()[0], Incarnation("stranger", "1")
     for number in range(200):
         subscriber.receive(unknown_peer, ChangesResponse(number, 1, 10**9, b"", False, 0, 0))
         subscriber.receive(
@@ -259,8 +267,8 @@
         )
     subscriber.receive(unknown_peer, ChangesRequest(1, 0, 0, 10**9))
     run.configure()
-    run.run(DRAIN)
-    assert run.late() == []
+    run.run(DRAIN_TIME)
+    assert run.outdated_gateways() == []
     assert subscriber.faults == []
 
 
@@ -269,7 +277,7 @@
         st.sampled_from(
             ["cut", "refused", "silenced", "loss", "forget", "restart", "stop", "zone", "heal"]
         ),
-        st.integers(0, ENTRIES - 1),
+        st.integers(0, ENTRY_COUNT - 1),
         st.integers(0, 40),
     ),
     max_size=12,
@@ -294,7 +302,7 @@
             case "loss":
                 run.network.loss = 0.3
             case "forget":
-                run.store.forget()
+                run.store.discard_history()
                 for name in self.disturbed_at:
                     self._mark_disturbed(name)
             case "restart" | "stop":
@@ -315,7 +323,7 @@
         if gateway.stopped or gateway.name in self.run.store.cut | self.run.store.refused:
             return False
         now = self.run.time.clock.monotonic()
-        return now - self.disturbed_at[gateway.name] >= UNDISTURBED_TIME + DRAIN
+        return now - self.disturbed_at[gateway.name] >= UNDISTURBED_TIME + DRAIN_TIME
 
     def _mark_disturbed(self, name: str) -> None:
         self.disturbed_at[name] = self.run.time.clock.monotonic()
@@ -349,14 +357,14 @@
         run.run(pause * 100 * MS)
         _check_gateways(run)
         run.configure()
-        run.run(DRAIN)
+        run.run(DRAIN_TIME)
         undisturbed = [row.name for row in run.gateways if injector.is_undisturbed(row)]
-        assert set(undisturbed).isdisjoint(run.late())
+        assert set(undisturbed).isdisjoint(run.outdated_gateways())
     injector.inject("heal", 0)
-    run.run(UNDISTURBED_TIME + DRAIN)
+    run.run(UNDISTURBED_TIME + DRAIN_TIME)
     live = [row for row in run.gateways if not row.stopped]
     drained = {fact.zone for fact in run.store.held.values() if isinstance(fact, ZoneDrained)}
-    assert {row.name for row in live}.isdisjoint(run.late())
+    assert {row.name for row in live}.isdisjoint(run.outdated_gateways())
     assert [row.name for row in live if row.drained != drained] == []
     _check_gateways(run)
 
@@ -371,14 +379,14 @@
     run = Deployment()
     unchanged = UpstreamRegistered(kit.registration(1))
     run.store.write("i-1", unchanged)
-    run.run(DRAIN)
-    before = counted(run.listeners(), "changes_from_relay")
+    run.run(DRAIN_TIME)
+    before = counter_total(run.subscribers(), "changes_from_relay")
     for _ in range(100):
         run.store.write("i-1", unchanged)
         run.run(25 * MS)
     # In 2.5 s with requests held for at most 0.3 of the drain time, each subscriber makes few. One
     # that received each write would make about 20 requests.
-    assert counted(run.listeners(), "changes_from_relay") - before <= 8 * 6
+    assert counter_total(run.subscribers(), "changes_from_relay") - before <= 8 * 6
 
 
 def test_records_and_leases_are_handled_by_the_store():
@@ -393,13 +401,13 @@
         record,
         entry_table,
         lambda: True,
-        DRAIN,
+        DRAIN_TIME,
         lambda notice: None,
         kit.rng(),
         Metrics(),
     )
     results = []
-    feed.control.record(record, DRAIN).addCallback(results.append)
+    feed.control.record(record, DRAIN_TIME).addCallback(results.append)
     feed.control.renew("7").addCallback(results.append)
     feed.control.withdraw("7").addCallback(results.append)
     assert control.calls == ["record east-1", "renew 7", "withdraw 7"]
--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -28,7 +28,7 @@
 from cardamomloft.gateway.storeview import StoreView
 from cardamomloft.runtime.metrics import Metrics
 from cardamomloft_standins import gateway as kit
-from cardamomloft_standins.relayed import DRAIN, ENTRIES, Deployment, Gateway
+from cardamomloft_standins.relayharness import DRAIN_TIME, ENTRY_COUNT, Deployment, Gateway
 from expression import Ok
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
@@ -69,7 +69,7 @@
         )
 
     def listed(self, *facts, era=1) -> None:
-        self.view.apply_listing(Listing(facts, kit.at(10, era)))
+        self.view.apply_listing(Listing(facts, kit.position(10, era)))
 
     def advance(self, duration) -> None:
         for _ in range(duration // (100 * MS)):
@@ -246,8 +246,8 @@
     run = Deployment()
     environment = Environment(run, 1)
     run.configure()
-    run.run(DRAIN)
-    disconnected = run.listeners()[0].name
+    run.run(DRAIN_TIME)
+    disconnected = run.subscribers()[0].name
     if fault == "relays cut":
         run.store.cut |= set(run.relays)
     if fault == "one cut":
@@ -257,21 +257,23 @@
     environment.restore(age * MS)
     run.run(CONVERGENCE_TIME)
     run.configure()
-    run.run(DRAIN)
-    late = set(run.late()) - (set(run.relays) if fault.startswith("relays") else set())
-    assert late == set()
+    run.run(DRAIN_TIME)
+    outdated_gateways = set(run.outdated_gateways()) - (
+        set(run.relays) if fault.startswith("relays") else set()
+    )
+    assert outdated_gateways == set()
 
 
 def test_revision_reused_after_a_restore_hides_no_change():
     """Guards against comparing revisions of different eras, which skips changes after a restore."""
     run = Deployment()
     run.store.write(("zone", "b"), ZoneDrained("b"))
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     revision = run.store.revision
-    run.store.restore(DRAIN + 100 * MS)
+    run.store.restore(DRAIN_TIME + 100 * MS)
     while run.store.revision < revision:
         run.store.write(("zone", "c"), ZoneDrained("c"))
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     assert {"c" in gateway.drained for gateway in run.gateways} == {True}
     run.run(CONFIRMATION_TIMEOUT)
     assert {frozenset(gateway.drained) for gateway in run.gateways} == {frozenset("c")}
@@ -279,49 +281,49 @@
 
 def test_gateway_disconnected_from_the_store_gets_the_new_era_from_a_relay():
     run = Deployment()
-    disconnected = run.listeners()[0]
+    disconnected = run.subscribers()[0]
     run.store.cut.add(disconnected.name)
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     Environment(run, 1).restore(1000 * MS)
     run.run(CONVERGENCE_TIME)
     run.store.write(("zone", "b"), ZoneDrained("b"))
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     assert disconnected.drained == {"b"}
 
 
 def test_restored_store_is_not_listed_by_all_gateways():
     run = Deployment()
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     before = run.store.calls
     run.store.restore(0 * MS)
-    run.run(DRAIN)
+    run.run(DRAIN_TIME)
     assert run.store.calls - before < len(run.gateways)
 
 
 RELAYED_FACT, STORE_FACT = PlanRead(kit.plan(1)), ZoneDrained("b")
-FROM_STORE = Changes((STORE_FACT,), kit.at(70, era=2))
+FROM_STORE = Changes((STORE_FACT,), kit.position(70, era=2))
 
 
 @pytest.mark.parametrize(
     ("index", "whole", "is_used"),
     [
-        (kit.at(65, era=2), False, True),
-        (kit.at(65, era=2), True, True),
-        (kit.at(5, era=3), True, True),
-        (kit.at(5, era=3), False, False),
-        (kit.at(99, era=1), True, False),
-        (kit.at(99, era=1), False, False),
-        (kit.at(59, era=2), True, False),
+        (kit.position(65, era=2), False, True),
+        (kit.position(65, era=2), True, True),
+        (kit.position(5, era=3), True, True),
+        (kit.position(5, era=3), False, False),
+        (kit.position(99, era=1), True, False),
+        (kit.position(99, era=1), False, False),
+        (kit.position(59, era=2), True, False),
     ],
 )
 def test_relay_answers_of_an_earlier_era_or_partial_ones_of_a_later_era_are_discarded(
     index, whole, is_used
 ):
     time = kit.Time(Clock())
-    records = kit.entry_records(ENTRIES)
+    records = kit.entry_records(ENTRY_COUNT)
     own = next(row for row in records if row not in relays_of("east", records))
-    sources, table = SourceSelector(own, DRAIN), ChangeTable()
-    table.apply_listing((), kit.at(60, era=2))
+    sources, table = SourceSelector(own, DRAIN_TIME), ChangeTable()
+    table.apply_listing((), kit.position(60, era=2))
     sources.record_complete(time.clock.monotonic())
     time.advance(100 * MS)
     answer = RelayedChanges((RELAYED_FACT,), index, time.clock.monotonic(), whole)
@@ -331,7 +333,7 @@
     store = SimpleNamespace(changes=lambda after, wait: succeed(Ok(FROM_STORE)))
     control = RelayedControl(store, time.clock, table, sources, port, lambda: records, Metrics())
     outcomes = []
-    control.changes(kit.at(60, era=2), DRAIN).addCallback(outcomes.append)
+    control.changes(kit.position(60, era=2), DRAIN_TIME).addCallback(outcomes.append)
     (changes,) = (outcome.ok for outcome in outcomes)
     assert changes.facts == ((RELAYED_FACT,) if is_used else FROM_STORE.facts)
     assert changes.whole == (is_used and whole)
@@ -343,7 +345,7 @@
         st.sampled_from(
             ["restore", "configure", "zone", "cut", "silence", "heal", "forget", "restart", "loss"]
         ),
-        st.integers(0, ENTRIES - 1),
+        st.integers(0, ENTRY_COUNT - 1),
         st.integers(0, 60),
     ),
     max_size=12,
@@ -374,7 +376,7 @@
                 run.network.silenced.clear()
                 run.network.loss = 0.0
             case "forget":
-                run.store.forget()
+                run.store.discard_history()
             case "loss":
                 run.network.loss = 0.3
             case "restart":
@@ -388,8 +390,8 @@
     run.network.loss = 0.0
     run.run(2 * CONVERGENCE_TIME)
     run.configure()
-    run.run(DRAIN)
-    assert run.late() == []
+    run.run(DRAIN_TIME)
+    assert run.outdated_gateways() == []
     run.run(CONFIRMATION_TIMEOUT)
     drained = {key[1] for key in run.store.held if key[0] == "zone"}
     for gateway in run.gateways:
--- a/packages/gateway/tests/test_storecontrol.py
+++ b/packages/gateway/tests/test_storecontrol.py
@@ -94,7 +94,7 @@
 
 
 def _facts(control, after=1):
-    return set(_result(control.changes(kit.at(after), timedelta(0))).ok.facts)
+    return set(_result(control.changes(kit.position(after), timedelta(0))).ok.facts)
 
 
 class Poller:
@@ -128,7 +128,7 @@
     """Guards against keeping a relayed endpoint that is withdrawn before the next listing."""
     store = ListStore(routes__current=DOCUMENT)
     poller = Poller(StoreControl(store, "g/"))
-    poller.index = kit.at(poller.index.revision + 5)
+    poller.index = kit.position(poller.index.revision + 5)
     read = _result(poller.control.changes(poller.index, timedelta(0))).ok
     assert read.lost and read.facts == ()
     relisted = Poller(poller.control)
--- a/packages/gateway/tests/test_time_of_day.py
+++ b/packages/gateway/tests/test_time_of_day.py
@@ -41,7 +41,7 @@
 def running(tmp_path):
     with processes.store() as address, processes.settings(address) as cfg:
         processes.configure(address)
-        log = processes.log_of(tmp_path, cfg)
+        log = processes.log_path(tmp_path, cfg)
         with processes.gateway(tmp_path, cfg, LAUNCH) as proc:
             assert processes.eventually(
                 lambda: processes.status(cfg)["state"] == "ready", 30
--- a/packages/operators/tests/conftest.py
+++ b/packages/operators/tests/conftest.py
@@ -2,12 +2,12 @@
 
 import pytest
 from cardamomloft.operators.outcomes import ExitCode
-from cardamomloft_standins.operating import World, make_document
+from cardamomloft_standins.operating import OperatorHarness, make_document
 
 
 @pytest.fixture
 def world(tmp_path):
-    deployment = World(tmp_path)
+    deployment = OperatorHarness(tmp_path)
     deployment.file("first.json", make_document())
     deployment.file("longer.json", make_document(menus={"deadline_ms": 900}))
     deployment.file("spill.json", make_document(menus={"spill_percent": 10}))
--- a/packages/operators/tests/test_operator_commands.py
+++ b/packages/operators/tests/test_operator_commands.py
@@ -47,12 +47,12 @@
 
 
 def test_session_with_unreachable_entries(started, ctl, snapshot):
-    started.silent = {"e2", "e3"}
-    started.stuck = {"e1": 1}
+    started.unreachable = {"e2", "e3"}
+    started.pinned_revisions = {"e1": 1}
     started.vms = {"e1": "live", "e2": "gone", "e3": "live"}
     first = transcript(ctl, "apply longer.json --why w --change c2 --wait 3", "status")
-    started.stuck = {}
-    started.silent = {"e2"}
+    started.pinned_revisions = {}
+    started.unreachable = {"e2"}
     assert snapshot == first + transcript(ctl, "apply longer.json --why w --change c2")
 
 
--- a/packages/operators/tests/test_operator_waiting.py
+++ b/packages/operators/tests/test_operator_waiting.py
@@ -13,47 +13,47 @@
     smaller = make_document()
     del smaller["entries"]["e3"]
     started.file("smaller.json", smaller)
-    started.stuck = {"e3": 1}
+    started.pinned_revisions = {"e3": 1}
     code, payload = as_json(ctl, "apply smaller.json --why w --change a2 --wait 1")
     assert code is ExitCode.RECORDED
     assert [row["entry"] for row in payload["lacking"]] == ["e3"]
     started.vms = {"e3": "live"}
     code, payload = as_json(ctl, "drain zone north-a --why x --at 2026-02-01T00:00Z --wait 1")
     assert [row["entry"] for row in payload["lacking"]] == ["e3"]
-    started.silent, started.vms = {"e3"}, {}
+    started.unreachable, started.vms = {"e3"}, {}
     code, payload = as_json(ctl, "apply smaller.json --why w --change a2")
     assert (code, payload["out"]) == (ExitCode.OK, ["e3"])
 
 
 def test_entries_that_have_the_revision_are_not_polled_again(started, ctl):
-    started.stuck = {"e2": 1}
-    started.asked.clear()
+    started.pinned_revisions = {"e2": 1}
+    started.status_requests.clear()
     assert ctl("apply longer.json --why w --wait 2")[0] is ExitCode.RECORDED
-    assert started.asked.count("e2") > 3 and started.asked.count("e1") == 2
+    assert started.status_requests.count("e2") > 3 and started.status_requests.count("e1") == 2
 
 
 def test_an_entry_replaced_by_one_with_an_older_revision_is_detected(started, ctl):
     """One polling round would accept revision 2, although the new e1 copied revision 1 from e2."""
 
     def replace():
-        started.stuck = {"e1": 1}
-        started.lives["e1"] = 2
+        started.pinned_revisions = {"e1": 1}
+        started.incarnations["e1"] = 2
 
-    started.stuck = {"e2": 1}
-    started.asked.clear()
-    started.on_asked[("e2", 3)] = replace
-    started.on_asked[("e2", 4)] = lambda: started.stuck.pop("e2", None)
+    started.pinned_revisions = {"e2": 1}
+    started.status_requests.clear()
+    started.status_hooks[("e2", 3)] = replace
+    started.status_hooks[("e2", 4)] = lambda: started.pinned_revisions.pop("e2", None)
     code, payload = as_json(ctl, "apply longer.json --why w --change a2 --wait 5")
     assert (code, payload["outcome"]) == (ExitCode.RECORDED, "recorded")
     assert [(row["entry"], row["revision"]) for row in payload["lacking"]] == [("e1", 1)]
-    started.stuck = {}
+    started.pinned_revisions = {}
     assert ctl("apply longer.json --why w --change a2")[0] is ExitCode.OK
 
 
 @pytest.mark.parametrize(("wait", "code"), [(0, ExitCode.RECORDED), (5, ExitCode.OK)])
 def test_an_entry_replaced_between_the_rounds_is_polled_again(started, ctl, wait, code):
-    started.asked.clear()
-    started.on_asked[("e3", 3)] = lambda: started.lives.update(e3=2)
+    started.status_requests.clear()
+    started.status_hooks[("e3", 3)] = lambda: started.incarnations.update(e3=2)
     ended, payload = as_json(ctl, f"apply longer.json --why w --change a2 --wait {wait}")
     assert ended is code
     lacking = [] if code is ExitCode.OK else ["has revision 2, but was restarted between polls"]
@@ -64,7 +64,7 @@
     smaller = make_document()
     del smaller["entries"]["e3"]
     started.file("smaller.json", smaller)
-    started.stuck = {"e3": 1}
+    started.pinned_revisions = {"e3": 1}
     assert ctl("apply smaller.json --why w --wait 0")[0] is ExitCode.RECORDED
     started.fetch = lambda: succeed(Error("unreachable"))
     line = "drain zone north-a --why x --at 2026-02-01T00:00Z --wait 1"
@@ -112,7 +112,7 @@
         nonlocal sleeps
         sleeps -= 1
         if sleeps == 0:
-            world.silent.add(seat)
+            world.unreachable.add(seat)
             world.vms[seat] = "gone"
         world.clock.advance(span)
         return succeed(None)
@@ -121,7 +121,7 @@
 
 
 def test_waiting_ends_after_the_given_time(started, ctl):
-    started.stuck = {"e1": 1}
+    started.pinned_revisions = {"e1": 1}
     before = started.clock.monotonic()
     assert ctl("apply longer.json --why w --wait 7")[0] is ExitCode.RECORDED
     assert started.clock.monotonic() - before == timedelta(seconds=7)
--- a/packages/operators/tests/test_operator_writes.py
+++ b/packages/operators/tests/test_operator_writes.py
@@ -196,9 +196,9 @@
 
 
 def test_a_restored_store_continues_above_the_entries_revisions(started, ctl):
-    started.stuck = {"e2": 9}
+    started.pinned_revisions = {"e2": 9}
     code, payload = as_json(ctl, "apply longer.json --why w --change a2 --wait 0")
     assert (code, payload["revision"]) == (ExitCode.RECORDED, 10)
-    started.stuck = {}
+    started.pinned_revisions = {}
     assert ctl("drain zone north-a --why x --at 2026-02-01T00:00Z")[0] is ExitCode.OK
     assert ctl("audit --verify")[0] is ExitCode.OK
--- a/scripts/experiment.py
+++ b/scripts/experiment.py
@@ -6,7 +6,7 @@
 from cardamomloft_standins.experiment.policies import POLICIES
 from cardamomloft_standins.experiment.report import plot, spread, summarize, table
 from cardamomloft_standins.experiment.scenarios import NAMES, scenario
-from cardamomloft_standins.experiment.world import World
+from cardamomloft_standins.experiment.simulation import Simulation
 
 
 def experiment(
@@ -38,7 +38,7 @@
     for name in names or NAMES:
         selected = scenario(name, use)
         outcomes = {
-            policy: [World(selected, POLICIES[policy], seed + n).run() for n in range(plays)]
+            policy: [Simulation(selected, POLICIES[policy], seed + n).run() for n in range(plays)]
             for policy in policies or POLICIES
         }
         print(f"{name}, load {use}, seed {seed}, plays {plays}")
--- a/standins/src/cardamomloft_standins/endpoints.py
+++ b/standins/src/cardamomloft_standins/endpoints.py
@@ -190,7 +190,9 @@
     body: bytes
 
 
-def ask(gateway: str, path: str, key: str = "17", names: CallerHeaders = OWN_NAMES) -> Reply:
+def send_request(
+    gateway: str, path: str, key: str = "17", names: CallerHeaders = OWN_NAMES
+) -> Reply:
     """Send one request to a gateway, on a connection of its own."""
     conn = http.client.HTTPConnection(gateway, timeout=5)
     said = {names.request_id: f"r{next(_numbers)}", names.key: key, names.deadline_ms: "2000"}
--- a/standins/src/cardamomloft_standins/experiment/callers.py
+++ b/standins/src/cardamomloft_standins/experiment/callers.py
@@ -10,7 +10,7 @@
 from cardamomloft_standins.experiment.scenarios import WAVE, Load
 
 if t.TYPE_CHECKING:
-    from cardamomloft_standins.experiment.world import World
+    from cardamomloft_standins.experiment.simulation import Simulation
 
 LATE_PART = 0.2
 """Credit of an answer that comes after its target: callers still use it."""
@@ -43,7 +43,7 @@
 class Callers:
     """The callers of one zone."""
 
-    def __init__(self, world: "World", zone: str, load: Load, rng: random.Random) -> None:
+    def __init__(self, world: "Simulation", zone: str, load: Load, rng: random.Random) -> None:
         self._world = world
         self._zone = zone
         self._area = world.scenario.zones[zone] if world.scenario.regional else zone
@@ -77,7 +77,7 @@
     """One caller with one request, which it repeats once if it is refused."""
 
     def __init__(
-        self, world: "World", rng: random.Random, zone: str, request_id: str, key: str
+        self, world: "Simulation", rng: random.Random, zone: str, request_id: str, key: str
     ) -> None:
         self._world = world
         self._rng = rng
--- a/standins/src/cardamomloft_standins/experiment/world.py
+++ b/standins/src/cardamomloft_standins/experiment/simulation.py
@@ -70,7 +70,7 @@
         """Do nothing."""
 
 
-class World:
+class Simulation:
     """One play of a scenario under one policy.
 
     Parameters
@@ -181,7 +181,7 @@
 class _Entry:
     """A gateway's forwarding and placement, without its network."""
 
-    def __init__(self, world: World, name: str, zone: str, policy: MakeSelector) -> None:
+    def __init__(self, world: Simulation, name: str, zone: str, policy: MakeSelector) -> None:
         self._world = world
         self.book = book = UpstreamTable(world.scenario.zones)
         for endpoint in world.endpoints.values():
@@ -221,7 +221,7 @@
 
     dialect = kit.DIALECT
 
-    def __init__(self, world: World, zone: str) -> None:
+    def __init__(self, world: Simulation, zone: str) -> None:
         self._world = world
         self._zone = zone
         self.warm: dict[str, bool] = {}
--- a/standins/src/cardamomloft_standins/carrying.py
+++ b/standins/src/cardamomloft_standins/forwarderharness.py
@@ -26,7 +26,7 @@
 CUT_SHORT = kit.answer(200, "cut short after 3 bytes")
 
 
-class Bench:
+class ForwarderHarness:
     """A forwarder between fakes.
 
     Parameters
@@ -42,10 +42,10 @@
     def __init__(self, *outcomes, slack=1000.0, endpoints=4) -> None:
         self.time = kit.Time(Clock())
         self.client = kit.FakeClient(*outcomes)
-        self.book = UpstreamTable({"a": "east"})
+        self.table = UpstreamTable({"a": "east"})
         for number in range(endpoints):
-            self.book.register(kit.registration(number), 0 * MS)
-        self.selector = Selector(self.book, "e-0", "a", ColdLimit(1.5, 5), Preferences())
+            self.table.register(kit.registration(number), 0 * MS)
+        self.selector = Selector(self.table, "e-0", "a", ColdLimit(1.5, 5), Preferences())
         self.metrics = Metrics()
         budget = RetryBudget(0.0, slack, 10_000 * MS)
         self.forwarder = Forwarder(
@@ -53,12 +53,12 @@
             self.time.clock,
             kit.rng(),
             self.selector,
-            self.book,
+            self.table,
             self.client,
             lambda service: budget,
             self.metrics,
             RequestLog(lambda: 1),
-            NoticeHandler(self.time.clock, self.book, self.metrics),
+            NoticeHandler(self.time.clock, self.table, self.metrics),
         )
 
     def start(self, path="/menus/7", body=b"", whole=True, caller="app/1", address="10.0.0.9"):
--- a/standins/src/cardamomloft_standins/gateway.py
+++ b/standins/src/cardamomloft_standins/gateway.py
@@ -27,7 +27,7 @@
 DIALECT = Dialect(
     misdirected=421, expected="x-expected", load="x-load", refusal_statuses=frozenset({503})
 )
-AWAY = Error(StoreFailure(False, "away"))
+STORE_UNAVAILABLE = Error(StoreFailure(False, "away"))
 
 RULE = RouteRule(
     name="menus",
@@ -52,7 +52,7 @@
     return RoutePlan(number, tuple(rules), {"menus": POLICY}, LIMITS)
 
 
-def at(revision: int, era: int = 0) -> Position:
+def position(revision: int, era: int = 0) -> Position:
     """Return a position of the store."""
     return Position(era, revision)
 
@@ -67,7 +67,7 @@
 def listing(*registrations: Registration, number: int = 1, index: int = 10) -> Listing:
     """Return a whole listing with a plan and the registrations."""
     facts = [PlanRead(plan(number)), *map(UpstreamRegistered, registrations)]
-    return Listing(tuple(facts), at(index))
+    return Listing(tuple(facts), position(index))
 
 
 def entry_records(count: int, region: str = "east", zones: str = "abc") -> list[EntryRecord]:
@@ -115,12 +115,12 @@
     def __init__(self, *outcomes) -> None:
         self.outcomes = deque(outcomes)
         self.sent = []
-        self.forgotten = []
+        self.forgotten_addresses = []
         self.cancelled = 0
 
     def forget(self, address):
         """Note that the idle connections to an address are to be closed."""
-        self.forgotten.append(address)
+        self.forgotten_addresses.append(address)
 
     def send(self, req):
         """Note the request and return the next outcome; None never comes."""
@@ -139,9 +139,9 @@
 class FakeControl:
     """A control store whose answers the test sets."""
 
-    def __init__(self, first=AWAY) -> None:
+    def __init__(self, first=STORE_UNAVAILABLE) -> None:
         self.listing = first
-        self.next = AWAY
+        self.next_changes = STORE_UNAVAILABLE
         self.lease = Ok("7")
         self.renewed = Ok(True)
         self.calls = []
@@ -157,7 +157,7 @@
         """Return the changes that were set, at once unless the store is set to wait."""
         self.calls.append(f"changes {after.revision}")
         self.waits.append(wait)
-        return succeed(self.next) if self.pending is None else self.pending
+        return succeed(self.next_changes) if self.pending is None else self.pending
 
     def record(self, record, ttl):
         """Note that an entry is recorded."""
@@ -198,4 +198,4 @@
 
 def no_changes(index: int = 10):
     """Return an answer without changes."""
-    return Ok(Changes((), at(index)))
+    return Ok(Changes((), position(index)))
--- a/standins/src/cardamomloft_standins/assembled.py
+++ b/standins/src/cardamomloft_standins/gatewayharness.py
@@ -30,12 +30,12 @@
 }
 
 
-class Run:
+class GatewayHarness:
     """A gateway with a control store and endpoints that the test sets, on one clock."""
 
     def __init__(self, control=None, start=True) -> None:
         self.control = control or kit.FakeControl(Ok(kit.listing(kit.registration(1))))
-        self.control.next = kit.no_changes()
+        self.control.next_changes = kit.no_changes()
         self.time = kit.Time(MemoryReactorClock())
         self.client = kit.FakeClient(kit.answer())
         self.gateway = Gateway(
@@ -55,13 +55,13 @@
         self.gateway.start()
         self.time.advance(20 * MS)
 
-    def change(self, *facts, index=11) -> None:
+    def deliver_changes(self, *facts, index=11) -> None:
         """Let the store tell of `facts`, up to the revision `index`."""
-        self.control.next = Ok(Changes(tuple(facts), kit.at(index)))
+        self.control.next_changes = Ok(Changes(tuple(facts), kit.position(index)))
         self.time.advance(1200 * MS)
-        self.control.next = kit.no_changes(index)
+        self.control.next_changes = kit.no_changes(index)
 
-    def ask(self, path="/menus/7", host="a.example"):
+    def send_request(self, path="/menus/7", host="a.example"):
         """Ask for `path`, and return the answer if there is one at once."""
         pairs = (("host", host), ("x-request-id", "id-1"), ("x-object", "17"))
         head = RequestHead("GET", path, "", pairs, "10.0.0.9", 0, False)
--- a/standins/src/cardamomloft_standins/operating.py
+++ b/standins/src/cardamomloft_standins/operating.py
@@ -66,7 +66,7 @@
         return None
 
 
-class World:
+class OperatorHarness:
     """One deployment and the terminal of its operators."""
 
     def __init__(self, folder):
@@ -74,12 +74,12 @@
         self.clock = ManualClock()
         self.store = FakeStore()
         self.vms = {}
-        self.stuck = {}
-        self.silent = set()
+        self.pinned_revisions = {}
+        self.unreachable = set()
         self.drains = {}
-        self.asked = []
-        self.lives = {}
-        self.on_asked = {}
+        self.status_requests = []
+        self.incarnations = {}
+        self.status_hooks = {}
 
     @property
     def current(self):
@@ -94,16 +94,16 @@
     def status(self, address):
         """Return the status of the entry at an address, unless it is silent."""
         seat = f"e{int(address.rpartition(':')[2]) % 100}"
-        self.asked.append(seat)
-        self.on_asked.pop((seat, self.asked.count(seat)), lambda: None)()
-        if seat in self.silent:
+        self.status_requests.append(seat)
+        self.status_hooks.pop((seat, self.status_requests.count(seat)), lambda: None)()
+        if seat in self.unreachable:
             return succeed(Error("unreachable (TimeoutError)"))
         number = self.current["number"] if self.current else 0
         announced = self.current is not None and "drains" in self.current["document"]
         rows = self.drains.get(seat, []) if announced else []
         shown = rows.pop(0) if len(rows) > 1 else (rows or [[]])[0]
-        status = make_status(seat, self.stuck.get(seat, number), shown)
-        return succeed(Ok({**status, "incarnation": f"{seat}/{self.lives.get(seat, 1)}"}))
+        status = make_status(seat, self.pinned_revisions.get(seat, number), shown)
+        return succeed(Ok({**status, "incarnation": f"{seat}/{self.incarnations.get(seat, 1)}"}))
 
     def fetch(self):
         """List the VMs."""
--- a/standins/src/cardamomloft_standins/processes.py
+++ b/standins/src/cardamomloft_standins/processes.py
@@ -46,12 +46,12 @@
     """Own a gateway with its settings and log in `folder`, started by the words of `launch`."""
     path = folder / f"{cfg['name']}.json"
     path.write_text(json.dumps(cfg))
-    with open(log_of(folder, cfg), "wb") as log:
+    with open(log_path(folder, cfg), "wb") as log:
         with process(*launch, "--settings", str(path), out=log) as proc:
             yield proc
 
 
-def log_of(folder: pathlib.Path, cfg: dict[str, t.Any]) -> pathlib.Path:
+def log_path(folder: pathlib.Path, cfg: dict[str, t.Any]) -> pathlib.Path:
     """Return where a gateway's log is."""
     return folder / f"{cfg['name']}.log"
 
--- a/standins/src/cardamomloft_standins/relayed.py
+++ b/standins/src/cardamomloft_standins/relayharness.py
@@ -26,10 +26,10 @@
 
 MS = kit.MS
 
-DRAIN = 2500 * MS
+DRAIN_TIME = 2500 * MS
 """How soon a change must be in force."""
 
-ENTRIES = 10
+ENTRY_COUNT = 10
 """Gateways of the region: enough for relays."""
 
 CALL = 4 * MS
@@ -86,7 +86,7 @@
         for answer in waiting:
             answer()
 
-    def forget(self) -> None:
+    def discard_history(self) -> None:
         """Drop the history of changes."""
         self.first_known = self.revision
 
@@ -189,8 +189,8 @@
         self.time = time
         self.plans: list[int] = [0]
         self.faults = []
-        self.returns: list[timedelta] = []
-        self.entries_gone: list[timedelta] = []
+        self.recoveries: list[timedelta] = []
+        self.withdrawals: list[timedelta] = []
         self.stopped = False
         self.notices: list[DatedNotice] = []
         network.gateways[record.peers] = self
@@ -204,7 +204,7 @@
             record,
             self.entries,
             lambda: self.present,
-            DRAIN,
+            DRAIN_TIME,
             self.notices.append,
             random.Random(seed),
             metrics,
@@ -220,7 +220,7 @@
             time.clock,
             self.feed.control,
             random.Random(seed),
-            PollTiming(DRAIN * 0.4, DRAIN * 0.6),
+            PollTiming(DRAIN_TIME * 0.4, DRAIN_TIME * 0.6),
             self.view.apply_listing,
             self._on_changes,
             self._on_returned,
@@ -260,7 +260,7 @@
 
     def _on_changes(self, facts) -> None:
         gone = [fact for fact in facts if isinstance(fact, EntryWithdrawn)]
-        self.entries_gone += [self.time.clock.monotonic()] * len(gone)
+        self.withdrawals += [self.time.clock.monotonic()] * len(gone)
         self.view.apply_changes(facts)
 
     def _on_plan(self, plan) -> None:
@@ -268,7 +268,7 @@
             self.plans.append(plan.number)
 
     def _on_returned(self) -> None:
-        self.returns.append(self.time.clock.monotonic())
+        self.recoveries.append(self.time.clock.monotonic())
         self.view.store_recovered()
 
 
@@ -286,7 +286,7 @@
         self.number = 0
         self.undisturbed: dict[str, timedelta] = {}
         self.configure()
-        records = kit.entry_records(ENTRIES)
+        records = kit.entry_records(ENTRY_COUNT)
         self.gateways = [
             Gateway(record, self.store, self.network, self.time, seed + at)
             for at, record in enumerate(records)
@@ -310,15 +310,15 @@
         """Return the gateway called `name`."""
         return next(gateway for gateway in self.gateways if gateway.name == name)
 
-    def listeners(self) -> list[Gateway]:
+    def subscribers(self) -> list[Gateway]:
         """Return the gateways that were no relays at the start."""
         return [gateway for gateway in self.gateways if gateway.name not in self.relays]
 
-    def late(self) -> list[str]:
+    def outdated_gateways(self) -> list[str]:
         """Return the names of those that have not the newest configuration."""
         return [row.name for row in self.gateways if row.plans[-1] != self.number]
 
 
-def counted(gateways, name: str) -> int:
+def counter_total(gateways, name: str) -> int:
     """Return the sum of a counter over `gateways`."""
     return sum(gateway.metrics.counters[name] for gateway in gateways)
--- a/standins/src/cardamomloft_standins/upstream.py
+++ b/standins/src/cardamomloft_standins/upstream.py
@@ -15,7 +15,7 @@
 from twisted.web import http
 
 from cardamomloft_standins.answers import AnswerStream, send, send_echo
-from cardamomloft_standins.books import Books
+from cardamomloft_standins.endpointstatistics import Books
 from cardamomloft_standins.faults import Behaviour, changed, parse_json
 from cardamomloft_standins.listener import Listener
 
--- a/standins/tests/test_experiment.py
+++ b/standins/tests/test_experiment.py
@@ -18,7 +18,7 @@
     table,
 )
 from cardamomloft_standins.experiment.scenarios import Traits, scenario
-from cardamomloft_standins.experiment.world import World
+from cardamomloft_standins.experiment.simulation import Simulation
 from twisted.internet.task import Clock
 
 CREDITS = (0.9, 0.4, 0.5)
@@ -108,7 +108,7 @@
 
 def _played(name: str, policy: str, use: float, seconds: int = 10) -> Summary:
     played = scenario(name, use)._replace(length=timedelta(seconds=seconds))
-    return summarize(World(played, POLICIES[policy], seed=1).run())
+    return summarize(Simulation(played, POLICIES[policy], seed=1).run())
 
 
 def test_the_same_seed_gives_the_same_play():
@@ -136,7 +136,7 @@
 
 
 def test_a_zone_that_is_drained_gets_nothing_until_it_is_restored():
-    world = World(scenario("fleet-drain"), POLICIES["product"], seed=1)
+    world = Simulation(scenario("fleet-drain"), POLICIES["product"], seed=1)
     book, *_ = world._books()
     usable = {}
     for second in (1, 3, 12):
@@ -148,7 +148,7 @@
 
 
 def test_endpoints_that_are_lost_for_long_lapse_and_come_back_cold():
-    world = World(scenario("fleet-loss"), POLICIES["product"], seed=1)
+    world = Simulation(scenario("fleet-loss"), POLICIES["product"], seed=1)
     book, *_ = world._books()
     world.reactor.pump([9, 3, 3])
     assert len(book) == 7
@@ -166,7 +166,7 @@
 
 
 def test_an_endpoint_that_ails_is_slow_or_fails_until_it_is_well():
-    world = World(scenario("crowd-heavy", 0.01), POLICIES["product"], seed=1)
+    world = Simulation(scenario("crowd-heavy", 0.01), POLICIES["product"], seed=1)
     count = len(world.endpoints)
     seen = {}
     for second in (7, 9, 15, 21):
@@ -197,7 +197,7 @@
     assert loop.seconds() == 1.0
 
 
-def _small_crowd(policy: str) -> World:
+def _small_crowd(policy: str) -> Simulation:
     """Return a fifth of the crowd: each gateway still sends to an endpoint once in some seconds."""
     played = scenario("crowd-heavy", 0.13)
     endpoints = {zone: count // 5 for zone, count in played.endpoints.items()}
@@ -205,7 +205,7 @@
         zone: row._replace(per_s=row.per_s / 5, objects=67) for zone, row in played.load.items()
     }
     played = played._replace(endpoints=endpoints, load=load, length=timedelta(seconds=24))
-    return World(played, POLICIES[policy], seed=1)
+    return Simulation(played, POLICIES[policy], seed=1)
 
 
 def test_gateways_that_tell_each_other_of_failures_leave_lost_endpoints_sooner():
--- a/tests/adapter/test_restored_platform.py
+++ b/tests/adapter/test_restored_platform.py
@@ -258,13 +258,15 @@
         for cfg in self.settings:
             for number in range(40):
                 path = f"/menus/{number}"
-                assert endpoints.ask(cfg["callers"], path, path, CALLER_HEADERS).status == 200
+                assert (
+                    endpoints.send_request(cfg["callers"], path, path, CALLER_HEADERS).status == 200
+                )
         reached = {arrival.endpoint for arrival in self.arrivals}
         assert not reached & self.environment.leaving
         assert "cardamomloft:fault" not in self.logs()
 
     def logs(self) -> str:
-        return "".join(processes.log_of(self.folder, cfg).read_text() for cfg in self.settings)
+        return "".join(processes.log_path(self.folder, cfg).read_text() for cfg in self.settings)
 
 
 def run_drill(folder: pathlib.Path, seed: int, gateways: int) -> None:
