--- a/packages/core/src/cardamomloft/core/addresses.py
+++ b/packages/core/src/cardamomloft/core/addresses.py
@@ -26,7 +26,7 @@
         """Return whether every address of `other` is in this block."""
         return self.length <= other.length and other.network & self.netmask == self.network
 
-    def within(self, length: int) -> "Block":
+    def supernet(self, length: int) -> "Block":
         """Return the enclosing block of prefix length `length`."""
         return Block(self.network & NETMASKS[length], length)
 
--- a/packages/core/src/cardamomloft/core/checking.py
+++ b/packages/core/src/cardamomloft/core/checking.py
@@ -268,7 +268,7 @@
     block = parse_block(when.get("block", ""))
     if block is not None:
         for length in range(block.length + 1):
-            yield ("block", block.within(length))
+            yield ("block", block.supernet(length))
     for name, value in when.get("headers", {}).items():
         yield from (("headers", name, value), ("headers", name, ANY_VALUE))
 
--- a/packages/core/src/cardamomloft/core/operations.py
+++ b/packages/core/src/cardamomloft/core/operations.py
@@ -55,10 +55,10 @@
 
 
 class Prefix(t.NamedTuple):
-    """A prefix to issue to callers; ids with it are accepted for `left` from now on."""
+    """A prefix to issue to callers; ids with it are accepted for `valid_for` from now on."""
 
     text: str
-    left: timedelta
+    valid_for: timedelta
 
 
 def parse_operation(text: str) -> Result[SystemId | CallerSuppliedId, Refusal]:
--- a/packages/core/src/cardamomloft/core/selection.py
+++ b/packages/core/src/cardamomloft/core/selection.py
@@ -180,7 +180,7 @@
         cold_limit: ColdLimit,
         preferences: Preferences,
     ) -> None:
-        self._book = table
+        self._table = table
         self._zone = zone
         self.cold_limit = cold_limit
         self._preferences = preferences
@@ -346,12 +346,14 @@
 
     def _ranking(self, rule: RouteRule, service: str) -> "_Ranking":
         large = self.body_sizes.has_large_bodies(rule.name)
-        version = self._book.version(service)
+        version = self._table.version(service)
         cached = self._rankings.get((service, rule.homes, large))
         if cached is not None and cached.version == version:
             return cached
         usable = [
-            up for up in self._book.of_service(service) if not rule.homes or up.region in rule.homes
+            up
+            for up in self._table.of_service(service)
+            if not rule.homes or up.region in rule.homes
         ]
         by_zone = large and _fills_zones(usable)
         area = _zone_of if by_zone else _region_of
@@ -373,10 +375,10 @@
             slots[area(upstream)] += upstream.registration.slots
         regions = {
             zone if by_zone else region: region
-            for zone, region in self._book.regions.items()
+            for zone, region in self._table.regions.items()
             if not homes or region in homes
         }
-        here = self._zone if by_zone else self._book.regions.get(self._zone, "")
+        here = self._zone if by_zone else self._table.regions.get(self._zone, "")
         return slot_weights(slots, here, regions)
 
     # Feedback from requests.
--- a/packages/core/tests/test_blocks.py
+++ b/packages/core/tests/test_blocks.py
@@ -18,7 +18,7 @@
 # Few distinct octets and all lengths, so that blocks nest, adjoin, repeat and span segments.
 lengths = st.one_of(st.integers(0, 32), st.sampled_from((6, 7, 8, 9, 16, 24, 32)))
 networks = st.builds(
-    lambda octets, length: Block(int.from_bytes(bytes(octets), "big"), 32).within(length),
+    lambda octets, length: Block(int.from_bytes(bytes(octets), "big"), 32).supernet(length),
     st.tuples(*[st.sampled_from((0, 1, 2, 128, 254, 255))] * 4),
     lengths,
 )
--- a/packages/core/tests/test_operations.py
+++ b/packages/core/tests/test_operations.py
@@ -20,10 +20,10 @@
     ids = ids_of(clock)
     clock.advance(timedelta(seconds=24))
     prefix = ids.prefix()
-    assert prefix.left == timedelta(minutes=15) - timedelta(seconds=4)
+    assert prefix.valid_for == timedelta(minutes=15) - timedelta(seconds=4)
     operation = parse_operation(f'"{prefix.text}.{UNIQUE}"').ok
     assert operation.executor == ME
-    assert ids.check(operation).ok == clock.monotonic() + prefix.left
+    assert ids.check(operation).ok == clock.monotonic() + prefix.valid_for
 
 
 def test_forged_future_and_foreign_ids_are_distinguished() -> None:
--- a/packages/core/tests/test_selection.py
+++ b/packages/core/tests/test_selection.py
@@ -50,7 +50,7 @@
 def test_only_the_keys_of_a_removed_endpoint_move(gone):
     selector = _selector(near=8, far=0)
     before = {key: _choose(selector, key).id for key in map(str, range(60))}
-    selector._book.withdraw(f"i-{gone}", NOW)
+    selector._table.withdraw(f"i-{gone}", NOW)
     for key, endpoint in before.items():
         assert (_choose(selector, key).id == endpoint) == (endpoint != f"i-{gone}")
 
@@ -60,7 +60,7 @@
     """Some keys leave the region, which has too few slots without that endpoint."""
     selector = _selector()
     before = {key: _choose(selector, key).id for key in map(str, range(200))}
-    selector._book.withdraw(f"i-{gone}", NOW)
+    selector._table.withdraw(f"i-{gone}", NOW)
     after = {key: _choose(selector, key) for key in before}
     stayed = [key for key in before if before[key] != f"i-{gone}" and after[key].region == "east"]
     assert all(after[key].id == before[key] for key in stayed)
@@ -181,8 +181,8 @@
     selector = _selector()
     primary, secondary = _primary_and_secondary(selector)
     _mark_cached(selector, secondary)
-    selector._book.register(primary.registration._replace(started_ms=1), NOW)
-    selector._book.get(primary.id).service_time = 100 * MS
+    selector._table.register(primary.registration._replace(started_ms=1), NOW)
+    selector._table.get(primary.id).service_time = 100 * MS
     assert _choose(selector) is secondary
 
 
@@ -297,7 +297,7 @@
 
 def test_no_endpoint_is_ejected_when_most_of_them_fail():
     selector = _selector()
-    for upstream in selector._book.of_service("menus"):
+    for upstream in selector._table.of_service("menus"):
         for _ in range(3):
             selector.record_failure(upstream, NOW)
     assert not isinstance(_choose(selector), Refusal)
@@ -372,9 +372,9 @@
     _choose(selector)
     ranking = selector._ranking(RULE, "menus")
     row = Registration("i-x", "orders", "10.0.0.99:80", "a", 4, False, ZERO)
-    selector._book.register(row, NOW)
+    selector._table.register(row, NOW)
     assert selector._ranking(RULE, "menus") is ranking
-    selector._book.register(row._replace(id="i-y", service="menus"), NOW)
+    selector._table.register(row._replace(id="i-y", service="menus"), NOW)
     assert selector._ranking(RULE, "menus") is not ranking
 
 
@@ -392,7 +392,7 @@
 
 def _report_all(selector: Selector, load: int) -> None:
     """Report the same load everywhere, often enough to raise the average load."""
-    for upstream in selector._book.all():
+    for upstream in selector._table.all():
         for _ in range(5):
             selector.record_report(upstream, LoadReport(load, 0, 4, own=0, at=NOW))
 
@@ -412,16 +412,16 @@
     _report_all(selector, load=1)
     later = NOW + 2 * REPORT_MAX_AGE
     _fill(primary, 40, later)
-    assert _choose(selector, now=later) in set(selector._book.all()) - {primary}
+    assert _choose(selector, now=later) in set(selector._table.all()) - {primary}
 
 
 def test_a_fresh_report_takes_precedence_over_the_average_load():
     selector = _selector(near=8, far=0)
     primary = _choose(selector)
     _report_all(selector, load=9)
-    for upstream in selector._book.all():
+    for upstream in selector._table.all():
         _fill(upstream, 40 if upstream is primary else 0)
-    assert _choose(selector) in set(selector._book.all()) - {primary}
+    assert _choose(selector) in set(selector._table.all()) - {primary}
 
 
 def test_the_average_load_is_not_assumed_at_a_primary():
@@ -456,7 +456,7 @@
 
 def test_a_zone_that_loses_an_endpoint_keeps_its_large_bodies():
     selector = _selector(near=2, far=2)
-    selector._book.withdraw("i-3", NOW)
+    selector._table.withdraw("i-3", NOW)
     selector.body_sizes.record(RULE.name, 60_000)
     chosen = [_choose(selector, str(key)) for key in range(100)]
     assert {up.registration.zone for up in chosen} == {"a"}
--- a/packages/entry/src/cardamomloft/entry/lookups.py
+++ b/packages/entry/src/cardamomloft/entry/lookups.py
@@ -58,4 +58,4 @@
             if found is not None:
                 return seat, *found
         own = self._ids.prefix()
-        return self._me.seat, own.text, own.left
+        return self._me.seat, own.text, own.valid_for
--- a/packages/entry/src/cardamomloft/entry/node.py
+++ b/packages/entry/src/cardamomloft/entry/node.py
@@ -408,7 +408,7 @@
             settled=self.shares.settled,
             state="leaving" if state in ("closing", "stopped") else state,
             prefix=prefix.text if prefix else "",
-            prefix_left_ms=prefix.left // timedelta(milliseconds=1) if prefix else 0,
+            prefix_left_ms=prefix.valid_for // timedelta(milliseconds=1) if prefix else 0,
         )
 
     def _on_message(self, sender: Incarnation, message: Message) -> None:
--- a/packages/gateway/src/cardamomloft/gateway/gossip.py
+++ b/packages/gateway/src/cardamomloft/gateway/gossip.py
@@ -101,13 +101,13 @@
         self._address = address
         self.plan: Callable[[], RoutePlan | None] = lambda: None
         self.on_plan: Callable[[RoutePlan], None] = lambda plan: None
-        self._board = NoticeTable()
+        self._notice_table = NoticeTable()
         self._unsent: list[DatedNotice] = []
         self._push_timer: IDelayedCall | None = None
         self._started_at = clock.monotonic()
 
     def __len__(self) -> int:
-        return len(self._board)
+        return len(self._notice_table)
 
     def publish(self, notices: Iterable[Notice]) -> None:
         """Apply notices of this gateway here, and send them to all others."""
@@ -116,7 +116,7 @@
 
     def compare(self) -> None:
         """Send a digest to one random gateway; call it at each `COMPARE_INTERVAL`."""
-        if len(self._board) or self._is_starting():
+        if len(self._notice_table) or self._is_starting():
             self._send_to_random(1, self._digest(answers=False))
 
     def catch_up(self) -> None:
@@ -157,9 +157,9 @@
         if message.starting and plan is not None and plan.number > message.configuration:
             self._send(address, ConfigurationPush(encode_facts([PlanRead(plan)])))
         now = self._clock.monotonic()
-        if message.sums == self._board.checksums(now):
+        if message.sums == self._notice_table.checksums(now):
             return
-        missing = self._board.differing(message.sums, now)
+        missing = self._notice_table.differing(message.sums, now)
         if missing:
             self._send(address, _notice_push(missing, now))
         if not message.answers:
@@ -182,14 +182,14 @@
     def _digest(self, *, answers: bool) -> NoticeDigest:
         plan, now = self.plan(), self._clock.monotonic()
         number = 0 if plan is None else plan.number
-        sums = self._board.checksums(now)
+        sums = self._notice_table.checksums(now)
         return NoticeDigest(sums, answers, self._is_starting(), number, self._address)
 
     def _is_starting(self) -> bool:
         return self._clock.monotonic() - self._started_at < CATCH_UP_TIME
 
     def _add(self, received: Iterable[DatedNotice], now: timedelta) -> None:
-        new_notices = self._board.take(received, now)
+        new_notices = self._notice_table.take(received, now)
         for dated in new_notices:
             self._on_new_notice(dated)
         self._unsent.extend(new_notices)
--- a/packages/gateway/src/cardamomloft/gateway/node.py
+++ b/packages/gateway/src/cardamomloft/gateway/node.py
@@ -160,7 +160,7 @@
             self.upstream_table,
             self.entries,
             self.selector,
-            self._client.forget,
+            self._client.close_idle,
             self._apply_plan,
             self.metrics,
         )
--- a/packages/gateway/tests/test_gossip.py
+++ b/packages/gateway/tests/test_gossip.py
@@ -252,4 +252,4 @@
     fleet.disconnected, fleet.loss = set(), 0.0
     fleet.run(2 * DELIVERY_TIME)
     now = fleet.time.clock.monotonic()
-    assert len({member.gossip._board.checksums(now) for member in fleet.members}) == 1
+    assert len({member.gossip._notice_table.checksums(now) for member in fleet.members}) == 1
--- a/packages/upstreams/src/cardamomloft/upstreams/client.py
+++ b/packages/upstreams/src/cardamomloft/upstreams/client.py
@@ -149,7 +149,7 @@
         body = self._control("GET", endpoint, "/-/load", timeout)
         return body.addCallback(lambda raw: raw.bind(parse_load))
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to `address`, because the upstream there was restarted."""
         self.pool.close_idle(address)
         self._control_pool.close_idle(address)
--- a/scripts/slopes_document.py
+++ b/scripts/slopes_document.py
@@ -133,7 +133,7 @@
         first = rng.randrange(1 << 16, 224 << 16) << 8
         site = f"site-{rng.randrange(SITES)}"
         for step in range(rng.randrange(1, 9)):
-            block = Block(first + (step << 8), 32).within(rng.choice(_BLOCK_LENGTHS))
+            block = Block(first + (step << 8), 32).supernet(rng.choice(_BLOCK_LENGTHS))
             other = f"site-{rng.randrange(SITES)}"
             blocks[str(block)] = site if rng.random() < 0.8 else other
     return dict(itertools.islice(blocks.items(), count))
--- a/standins/src/cardamomloft_standins/experiment/policies.py
+++ b/standins/src/cardamomloft_standins/experiment/policies.py
@@ -31,7 +31,7 @@
         """Return the lowest ranked endpoint that is not ejected and has not been tried."""
         candidates = [
             up
-            for up in self._book.of_service(service)
+            for up in self._table.of_service(service)
             if up.id not in tried and up.ejected_until <= now
         ]
         if not candidates:
@@ -58,7 +58,7 @@
         """Return whether the endpoint is full, its distance unless it is full, and its load."""
         zone = self._zone
         other_zone = upstream.registration.zone != zone
-        other_region = upstream.region != self._book.regions.get(zone)
+        other_region = upstream.region != self._table.regions.get(zone)
         load = expected_load(upstream, now) / upstream.registration.slots
         return load >= 1, load if load >= 1 else other_zone + other_region, load
 
--- a/standins/src/cardamomloft_standins/experiment/sharing.py
+++ b/standins/src/cardamomloft_standins/experiment/sharing.py
@@ -48,7 +48,7 @@
 
     def receive_report(self, upstream_id: str, entry: str, at: timedelta, failed: bool) -> None:
         """Apply a report of this or another gateway."""
-        upstream = self._book.get(upstream_id)
+        upstream = self._table.get(upstream_id)
         if upstream is None:
             return
         incarnation = _incarnation_of(upstream)
--- a/standins/src/cardamomloft_standins/gateway.py
+++ b/standins/src/cardamomloft_standins/gateway.py
@@ -118,7 +118,7 @@
         self.forgotten_addresses = []
         self.cancelled = 0
 
-    def forget(self, address):
+    def close_idle(self, address):
         """Record that the idle connections to an address are to be closed."""
         self.forgotten_addresses.append(address)
 
--- a/standins/tests/test_experiment.py
+++ b/standins/tests/test_experiment.py
@@ -225,16 +225,16 @@
     first, second, *_ = [entry.selector for row in world.entries.values() for entry in row]
 
     def ejection_ends():
-        return [one._book.get("a1-0").ejected_until for one in (first, second)]
+        return [one._table.get("a1-0").ejected_until for one in (first, second)]
 
     now = world.clock.monotonic()
-    first.record_failure(first._book.get("a1-0"), now)
+    first.record_failure(first._table.get("a1-0"), now)
     world.reactor.advance(0.2)
     assert max(ejection_ends()) < now
-    second.record_failure(second._book.get("a1-0"), world.clock.monotonic())
+    second.record_failure(second._table.get("a1-0"), world.clock.monotonic())
     world.reactor.advance(0.2)
     assert min(ejection_ends()) > world.clock.monotonic()
-    first.record_answer(first._book.get("a1-0"), timedelta(seconds=1), 0.0)
+    first.record_answer(first._table.get("a1-0"), timedelta(seconds=1), 0.0)
     world.reactor.advance(0.2)
     assert max(ejection_ends()) < world.clock.monotonic()
     assert first.report_count + second.report_count == 3
