--- a/packages/gateway/tests/test_restored_store.py
+++ b/packages/gateway/tests/test_restored_store.py
@@ -404,3 +404,21 @@
 @example([("zone", 0, 23), ("restore", 6, 21), ("forget", 0, 0)], 0)
 def test_gateways_converge_after_any_sequence_of_restores_and_faults(steps, seed):
     run_steps(steps, seed)
+
+
+def test_drained_zone_is_known_to_all_gateways_after_restores_lost_requests_and_outages():
+    steps = [
+        ("restore", 0, 56),
+        ("silence", 0, 49),
+        ("forget", 0, 40),
+        ("cut", 5, 0),
+        ("zone", 0, 1),
+        ("configure", 0, 26),
+        ("cut", 9, 47),
+        ("configure", 0, 39),
+        ("cut", 1, 36),
+        ("loss", 0, 0),
+        ("zone", 0, 14),
+        ("zone", 0, 1),
+    ]
+    run_steps(steps, 44)
