--- a/conftest.py
+++ b/conftest.py
@@ -1,4 +1,4 @@
-"""Makes Hypothesis deterministic across runs and marks known failures as expected.
+"""Makes Hypothesis independent of the loaded modules and marks known failures as expected.
 
 Each line of ``KNOWN-RED.txt`` begins with the id of a test, up to `` | ``. The test is run, but its
 failure does not fail the run; the line is printed at the end.
